--- a/tests/rewriting.py
+++ b/tests/rewriting.py
@@ -48,7 +48,7 @@
 
 
 def _places(version: Version, key: str, rest: str, value: Any) -> Any:
-    pages = version.module("placement.record").Pages(ROOM)
+    pages = version.find("placement.record", "Pages")(ROOM)
     pages.load(int(rest), value, 1)
     return pages.value(int(rest))
 
@@ -56,14 +56,14 @@
 def read_note(version: Version, key: str, value: Any, live: dict[str, Any]) -> Any:
     """What a new leader takes from a note of starts and completions; `live`: all jobs' records."""
     jobs = version.module("submissions.jobs")
-    entry = version.module("state").Entry
-    board = version.module("placement.board").Board(
-        version.adopt(settings(0)), version.module("tuning").Tuning(), 1, version.module("clock").steady()
+    entry = version.find("state", "Entry")
+    board = version.find("placement.board", "Board")(
+        version.adopt(settings(0)), version.find("tuning", "Tuning")(), 1, version.find("clock", "steady")()
     )
     board.catalog = {
         name: jobs.MachineType(name, 64.0, 8.0, 512.0, 0.0, 1.0, 1.0, 1.0, 1.0, ("a", "b")) for name in ("cpu", "gpu")
     }
-    recorder = version.module("placement.recorder").Recorder(STATE, board, 1, version.module("bell").Bell())
+    recorder = version.find("placement.recorder", "Recorder")(STATE, board, 1, version.find("bell", "Bell")())
     records = [entry(jobs.LIVE + job_id, record, 1) for job_id, record in live.items()]
     recorder._use(records, [], [entry(key, value, 1)], {})
     number = int(key.rpartition("-")[2])
@@ -71,15 +71,15 @@
 
 
 def _chain(version: Version, key: str, rest: str, value: Any) -> Any:
-    store = version.module("chains.store").Store(STATE, 1)
-    chains = store.use([version.module("state").Entry(key, value, 1)])
+    store = version.find("chains.store", "Store")(STATE, 1)
+    chains = store.use([version.find("state", "Entry")(key, value, 1)])
     return store.value(int(rest), chains)
 
 
 def _rewrite_drains(version: Version, key: str, value: Any) -> Any:
     module = version.module("drain.store")
     store = module.Store(STATE, 1)
-    found = store.use([version.module("state").Entry(key, value, 1)])
+    found = store.use([version.find("state", "Entry")(key, value, 1)])
     if key.startswith(module.ASK):
         return module.encode_drain(found.drains[0])
     if key.startswith(module.STEPS):
@@ -87,13 +87,13 @@
     if key.startswith(module.ACCOUNT):
         return store.account(found.reached, found.windows, set())[f"{module.ACCOUNT}00"]
     if key == module.MOVES:
-        plan = version.module("packing.moves").Plan
+        plan = version.find("packing.moves", "Plan")
         return found.moves | {"plans": [plan.decode(each).encode() for each in found.moves["plans"]]}
     return {"gaps": found.gaps, "own": found.own}
 
 
 def _served(version: Version, key: str, rest: str, value: Any) -> Any:
-    account = version.module("served.account").Account()
+    account = version.find("served.account", "Account")()
     return account.encode(account.decode(value), ROOM)
 
 
@@ -106,8 +106,8 @@
 
 
 def _demand(version: Version, key: str, rest: str, value: Any) -> Any:
-    given = version.module("forecast.settings").AheadSettings()
-    history = version.module("forecast.history").History(given.slot_s, given.weeks, given.series_most)
+    given = version.find("forecast.settings", "AheadSettings")()
+    history = version.find("forecast.history", "History")(given.slot_s, given.weeks, given.series_most)
     number = value["start"] // 3600
     history.take(value, 1, float(value["start"]), key, lambda block: key)
     return history.encode(history.blocks[number], ROOM)
@@ -120,7 +120,7 @@
 
 
 def _catalog(version: Version, key: str, rest: str, value: Any) -> Any:
-    return msgspec.to_builtins(msgspec.convert(value, list[version.module("submissions.jobs").MachineType]))  # type: ignore[misc]
+    return msgspec.to_builtins(msgspec.convert(value, list[version.find("submissions.jobs", "MachineType")]))  # type: ignore[misc]
 
 
 REWRITERS = {
--- /dev/null
+++ b/tests/test_traffic.py
@@ -0,0 +1,149 @@
+"""The comparison of traffic: equal for one tree, and small changes of what a controller sends are found."""
+
+from collections.abc import Callable
+from dataclasses import replace
+from datetime import timedelta
+from typing import Any
+
+import msgspec
+import pytest
+
+from benchmarks import traffic
+from benchmarks.traffic import Message, first_difference, make_world, play
+from roseweir.leadership import leadership
+from roseweir.settings import Peer
+from roseweir.state import StateClient
+from tests import versions
+from tests.versions import PRESENT, Version, production
+
+SEED, LENGTH_S, JOBS = 3, 30.0, 10
+
+
+@pytest.fixture(scope="module")
+def messages() -> list[Message]:
+    """Those of one play of the present tree."""
+    found = play(SEED, PRESENT, LENGTH_S, JOBS)
+    assert not found.errors
+    return found.messages
+
+
+def test_two_plays_of_the_present_tree_are_equal(messages: list[Message]) -> None:
+    assert first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages) is None
+    # All that the comparison is about is among them.
+    for kind in ("sends POST /txn to 10.2.0.1:1", "sends GET /machines", "is asked POST /hello at its public"):
+        assert any(kind in f"{message.kind} {message.what}" for message in messages), kind
+    assert any(":9000" in message.what for message in messages)
+    assert any("at its back address" in message.what for message in messages)
+    assert len({message.controller for message in messages}) == 3
+
+
+def test_a_retry_one_millisecond_later_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(leadership, "RETRY", leadership.RETRY + timedelta(milliseconds=1))
+    difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
+    assert difference is not None and "base: " in difference and "present: " in difference
+
+
+def test_one_more_read_of_the_state_service_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
+    plain: Callable[..., Any] = StateClient.get
+    calls: list[str] = []
+
+    async def get(self: StateClient, key: str, *more: Any, **options: Any) -> Any:
+        calls.append(key)
+        if len(calls) == 10:
+            await plain(self, key, *more, **options)
+        return await plain(self, key, *more, **options)
+
+    monkeypatch.setattr(StateClient, "get", get)
+    difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
+    assert len(calls) > 10
+    assert difference is not None and "/store/" in difference
+
+
+def test_every_part_of_a_message_is_compared() -> None:
+    message = Message(1.0, "n0", 1, "sends", "GET /store/a", b"1")
+    changed = [
+        replace(message, instant=1.001),
+        replace(message, controller="n1"),
+        replace(message, exchange=2),
+        replace(message, kind="gets"),
+        replace(message, what="GET /store/b"),
+        replace(message, body=b"2"),
+    ]
+    assert first_difference([message], [message]) is None
+    assert all(first_difference([message], [other]) is not None for other in changed)
+    assert "no more messages" in str(first_difference([message, message], [message]))
+    assert "no more messages" in str(first_difference([message], [message, message]))
+
+
+def test_a_version_of_the_history_plays_as_recorded() -> None:
+    found = play(1, production(), 10.0, 3)
+    assert not found.errors and found.messages
+    assert first_difference(found.messages, play(1, production(), 10.0, 3).messages) is None
+
+
+def test_the_seed_alone_makes_the_world() -> None:
+    one, other = make_world(SEED, PRESENT), make_world(SEED, production())
+    assert (type(one), one.controllers, one.skew) == (type(other), other.controllers, other.skew)
+
+
+def test_the_hash_seed_is_fixed_by_a_second_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    started: list[dict[str, str]] = []
+    monkeypatch.setattr("os.execve", lambda path, arguments, environment: started.append(environment))
+    monkeypatch.setenv("PYTHONHASHSEED", "0")
+    traffic.fix_hash_seed()
+    assert not started
+    for value in ("", "random"):
+        monkeypatch.setenv("PYTHONHASHSEED", value)
+        traffic.fix_hash_seed()
+    assert [environment["PYTHONHASHSEED"] for environment in started] == ["0", "0"]
+
+
+@pytest.mark.parametrize(
+    "arguments",
+    [
+        [],
+        ["--base", "no-such-commit"],
+        ["--base", "--help-me"],
+        ["--base", "HEAD", "--seeds", "0"],
+        ["--base", "HEAD", "--seeds", "many"],
+        ["--base", "HEAD", "--jobs", "-1"],
+    ],
+)
+def test_bad_arguments_are_told_in_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(SystemExit) as exit_info:
+        traffic.main(arguments)
+    assert exit_info.value.code == 2
+    told = capsys.readouterr()
+    assert told.err.count("\n") == 1 and not told.out
+
+
+class RenamedPeer(msgspec.Struct, rename={"label": "node_name", "area": "site", "where": "peer_addr"}):
+    label: str
+    area: str
+    where: str
+
+
+def test_renamed_names_are_looked_up_in_the_history(monkeypatch: pytest.MonkeyPatch) -> None:
+    old = production()
+    monkeypatch.setitem(versions.MODULES_IN_HISTORY, "settings_now", "settings")
+    monkeypatch.setitem(versions.NAMES_IN_HISTORY, "settings_now:RenamedPeer", "Peer")
+    monkeypatch.setitem(versions.ATTRIBUTES_IN_HISTORY, "label", "name")
+    monkeypatch.setattr(RenamedPeer, "__module__", "roseweir.settings_now")
+    assert old.module("settings_now") is old.module("settings")
+    peer = old.adopt(RenamedPeer("n1", "a", "10.0.0.2:8081"))
+    assert type(peer) is old.find("settings", "Peer")
+    assert (peer.name, peer.zone, peer.address) == ("n1", "a", "10.0.0.2:8081")
+    assert old.attribute(peer, "label") == "n1"
+    # A class that has moved to a module of another origin.
+    monkeypatch.setitem(versions.NAMES_IN_HISTORY, "service:MovedPeer", "settings:Peer")
+    assert old.find("service", "MovedPeer") is old.find("settings", "Peer")
+
+
+def test_a_version_without_the_old_name_has_the_present_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    old: Version = production()
+    monkeypatch.setitem(versions.MODULES_IN_HISTORY, "settings", "settings_long_ago")
+    monkeypatch.setitem(versions.NAMES_IN_HISTORY, "settings:Peer", "LongAgo")
+    monkeypatch.setitem(versions.ATTRIBUTES_IN_HISTORY, "name", "long_ago")
+    peer = old.adopt(Peer("n1", "a", "10.0.0.2:8081"))
+    assert type(peer).__name__ == "Peer" and old.attribute(peer, "name") == "n1"
+    assert old.attribute(None, "name") is None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -115,7 +115,7 @@
 
 def test_production_reads_what_this_version_says_of_who_leads() -> None:
     record = msgspec.to_builtins(LeaderRecord("n1", "10.0.0.2:8081", 7, 3, LEVEL))
-    old = production().module("leadership.messages").LeaderRecord
+    old = production().find("leadership.messages", "LeaderRecord")
     assert msgspec.to_builtins(msgspec.convert(record, old)) == {k: v for k, v in record.items() if k != "level"}
     of_production = msgspec.to_builtins(old("n1", "10.0.0.2:8081", 7, 3))
     assert msgspec.convert(of_production, LeaderRecord).level == 0 < LEVEL
--- a/tests/test_upgrade_values.py
+++ b/tests/test_upgrade_values.py
@@ -311,7 +311,7 @@
     """So users may name them only once every controller has the new version."""
     world = World(1)
     wire = {name: value for name, value in world.make_job().items() if name != "mistaken"}
-    submission = production().module("submissions.messages").Submission
+    submission = production().find("submissions.messages", "Submission")
     found = msgspec.convert(wire | {"awaits": ["j-1"]}, submission)
     assert found == msgspec.convert(wire, submission)
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -34,8 +34,8 @@
     for path in ("service", "submissions.jobs", "leadership.leadership", "promises.desk"):
         assert old.module(path) is not PRESENT.module(path)
         assert old.module(path).__file__ != PRESENT.module(path).__file__
-    assert old.module("leadership.leadership").Term.__module__.startswith(old.package)
-    assert old.module("service").Desk is old.module("submissions.desk").Desk
+    assert old.find("leadership.leadership", "Term").__module__.startswith(old.package)
+    assert old.find("service", "Desk") is old.find("submissions.desk", "Desk")
 
 
 def test_a_world_of_production_alone_runs_production_alone() -> None:
@@ -43,4 +43,4 @@
     world = World(1, calm=True, versions=[old] * 3)
     world.play(length=20, jobs=8)
     assert not world.errors and not world.broken
-    assert {type(service) for service in world.terms.values()} == {old.module("service").Service}
+    assert {type(service) for service in world.terms.values()} == {old.find("service", "Service")}
--- a/tests/upgrading.py
+++ b/tests/upgrading.py
@@ -85,7 +85,7 @@
 
 def is_led_by(world: World, version: Version) -> list[bool]:
     """Of each term, in their order, whether a process of this version led it."""
-    own = version.module("service").Service
+    own = version.find("service", "Service")
     return [type(service) is own for _, service in sorted(world.terms.items())]
 
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,9 +1,9 @@
-"""Versions of the service side by side in one process: the present tree, and the version in production.
+"""Versions of the service side by side in one process: the present tree, and versions of its history.
 
-The version in production is the commit that `deploy/service.toml` names. Its package comes from the repository's own
-history, and is imported under a name of its own (`roseweir_` and the commit), imports inside functions among them.
-So both versions run in one simulated world, on one virtual clock, with classes of their own, and whatever goes from
-one to the other goes as JSON.
+The version in production is the commit that `deploy/service.toml` names. Its package, as that of any other commit,
+comes from the repository's own history, and is imported under a name of its own (`roseweir_` and the commit), imports
+inside functions among them. So versions run in one simulated world, on one virtual clock, with classes of their own,
+and whatever goes from one to the other goes as JSON.
 """
 
 import ast
@@ -13,11 +13,11 @@
 import sys
 import tarfile
 import tomllib
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Awaitable, Callable, Coroutine, Sequence
 from dataclasses import dataclass
-from functools import lru_cache
+from functools import cache
 from importlib.machinery import FileFinder, ModuleSpec, SourceFileLoader
-from importlib.util import spec_from_file_location
+from importlib.util import find_spec, spec_from_file_location
 from io import BytesIO
 from pathlib import Path
 from shutil import rmtree
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from roseweir.http import Reply, Unreachable
+from roseweir.http import Reply, Request, Response, Unreachable
 from roseweir.settings import Settings
 from roseweir.tuning import Tuning
 
@@ -37,6 +37,22 @@
 PACKAGE = "roseweir"
 COMMIT_DIGITS = 12  # of the commit, in the package's name
 
+# Names that differ between the present tree and versions of the history, each as name now -> name then. A version of
+# the history that lacks the name then is looked at under the name now, so the tables serve commits on both sides of a
+# renaming.
+#
+# Modules below the package: {"service": "service"}.
+MODULES_IN_HISTORY: dict[str, str] = {}
+# Classes and functions, by module and name now: {"service:Service": "Service"}. One that was in another module than
+# MODULES_IN_HISTORY has for its module now is given with the module then: {"service:Service": "service:Service"}.
+NAMES_IN_HISTORY: dict[str, str] = {}
+# Attributes of a running service that tests read, and fields of requests and responses: {"reign": "reign"}.
+ATTRIBUTES_IN_HISTORY: dict[str, str] = {}
+# Fields of settings by their encoded names, where these differ too: {"tuning:Tuning.ahead": "ahead"}.
+FIELDS_IN_HISTORY: dict[str, str] = {}
+# Keywords that a service gives its transport: {"patience": "patience"}.
+KEYWORDS_IN_HISTORY: dict[str, str] = {}
+
 
 class HistoryMissing(Exception):
     """The repository's history does not hold the version in production; the message is one line for the operator."""
@@ -49,49 +65,118 @@
     package: str
 
     def module(self, path: str) -> Any:
-        """A module of this version's, by its name below the package."""
+        """A module of this version's, by the name that it has now below the package.
+
+        ModuleNotFoundError if this version has it neither under that name nor under the one in MODULES_IN_HISTORY.
+        """
+        then = MODULES_IN_HISTORY.get(path)
+        if then is not None and not self.is_present and self._has_module(then):
+            path = then
         return importlib.import_module(f"{self.package}.{path}")
 
+    def locate(self, path: str, name: str) -> tuple[Any, str]:
+        """The module of this version's that has a class or function, and its name there, by module and name now."""
+        module_then, _, name_then = NAMES_IN_HISTORY.get(f"{path}:{name}", "").rpartition(":")
+        if module_then and not self.is_present and self._has_module(module_then):
+            module = importlib.import_module(f"{self.package}.{module_then}")
+            if hasattr(module, name_then):
+                return module, name_then
+        module = self.module(path)
+        return module, self._name_of(module, name_then or None, name)
+
+    def find(self, path: str, name: str) -> Any:
+        """A class or function of this version's, by its module and name now; AttributeError if it has none."""
+        module, own_name = self.locate(path, name)
+        return getattr(module, own_name)
+
+    def attribute(self, value: Any, path: str) -> Any:
+        """An attribute of an object of this version's, by its dotted path now; None if one on the way is None."""
+        for name in path.split("."):
+            if value is None:
+                return None
+            value = getattr(value, self._name_of(value, ATTRIBUTES_IN_HISTORY.get(name), name))
+        return value
+
+    def _name_of(self, owner: Any, then: str | None, now: str) -> str:
+        return now if then is None or self.is_present or not hasattr(owner, then) else then
+
+    def _has_module(self, path: str) -> bool:
+        try:
+            return find_spec(f"{self.package}.{path}") is not None
+        except ModuleNotFoundError:
+            return False  # not even the package around it
+
     @property
     def is_present(self) -> bool:
         return self.package == PACKAGE
 
     def make_service(self, settings: Settings, tuning: Tuning, connect: Callable[..., Any]) -> Any:
         """A controller of this version's, which talks to its surroundings by `connect`."""
+        service_class = self.find("service", "Service")
         if self.is_present:
-            return self.module("service").Service(settings, tuning, connect)
-        return self.module("service").Service(self.adopt(settings), self.adopt(tuning), self._translated(connect))
+            return service_class(settings, tuning, connect)
+        service = service_class(self.adopt(settings), self.adopt(tuning), self._translated(connect))
+        # Under the names that they have now, so that the world finds them there.
+        service.public, service.back = (
+            self._with_own_messages(self.attribute(service, "public")),
+            self._with_own_messages(self.attribute(service, "back")),
+        )
+        return service
 
     def adopt(self, value: Any) -> Any:
-        """A value of the present version's classes as one of this version's, without the fields that it lacks."""
+        """A value of the present version's classes as one of this version's, without the fields that it lacks.
+
+        Fields are matched by their encoded names, which stay when a field is renamed.
+        """
         if isinstance(value, msgspec.Struct):
             path = type(value).__module__.removeprefix(PACKAGE + ".")
-            own = getattr(self.module(path), type(value).__name__)
-            known = [name for name in value.__struct_fields__ if name in own.__struct_fields__]
-            return own(**{name: self.adopt(getattr(value, name)) for name in known})
+            class_name = type(value).__name__
+            own = self.find(path, class_name)
+            own_fields = dict(zip(own.__struct_encode_fields__, own.__struct_fields__, strict=True))
+            found = {}
+            for encoded, field in zip(value.__struct_encode_fields__, value.__struct_fields__, strict=True):
+                then = FIELDS_IN_HISTORY.get(f"{path}:{class_name}.{encoded}", encoded)
+                own_field = own_fields.get(then, own_fields.get(encoded))
+                if own_field is not None:
+                    found[own_field] = self.adopt(getattr(value, field))
+            return own(**found)
         if isinstance(value, list):
             return [self.adopt(each) for each in value]
         if isinstance(value, dict):
             return {key: self.adopt(each) for key, each in value.items()}
         return value
 
-    def make_request(self, method: str, path: str, body: bytes) -> Any:
-        """A request to a controller of this version's."""
-        return self.module("http").Request(method, path, body)
+    def make_request(self, method: str, path: str, body: bytes) -> Request:
+        """A request to a controller: each takes the present version's and makes its own of it."""
+        return Request(method, path, body)
+
+    def _with_own_messages(self, handler: Callable[[Any], Awaitable[Any]]) -> Callable[[Request], Awaitable[Response]]:
+        """A handler of this version's that takes the present version's requests and gives its responses."""
+        own_request = self.find("http", "Request")
+
+        async def serve(request: Request) -> Response:
+            response = await handler(own_request(request.method, request.path, request.body, request.too_large))
+            status, body, headers, close = (
+                self.attribute(response, name) for name in ("status", "body", "headers", "close")
+            )
+            return Response(status, body, headers, close)
+
+        return serve
 
     def _translated(self, connect: Callable[..., Any]) -> Callable[..., Any]:
         """A transport whose answers and errors are of this version's classes."""
-        own = self.module("http")
+        own_unreachable, own_reply = self.find("http", "Unreachable"), self.find("http", "Reply")
+        keywords = {then: now for now, then in KEYWORDS_IN_HISTORY.items()}
 
         def connect_own(address: str, pool: int) -> Callable[..., Coroutine[Any, Any, Any]]:
             send = connect(address, pool)
 
             async def send_own(*request: Any, **options: Any) -> Any:
                 try:
-                    found: Reply = await send(*request, **options)
+                    found: Reply = await send(*request, **{keywords.get(k, k): v for k, v in options.items()})
                 except Unreachable as e:
-                    raise own.Unreachable(str(e), e.connected) from e
-                return own.Reply(found.status, found.body)
+                    raise own_unreachable(str(e), e.connected) from e
+                return own_reply(found.status, found.body)
 
             return send_own
 
@@ -102,16 +187,33 @@
 LOADED = [PRESENT]  # all versions that this process has imported
 
 
-@lru_cache(maxsize=1)
 def production() -> Version:
     """The version in production; HistoryMissing if the repository's history does not hold it."""
-    commit = production_commit()
+    return load(production_commit())
+
+
+@cache
+def load(commit: str) -> Version:
+    """The version at a commit, by its full hash; HistoryMissing if the repository's history does not hold it."""
     package = f"{PACKAGE}_{commit[:COMMIT_DIGITS]}"
     sys.meta_path.insert(0, _Finder(package, extract(commit)))
     LOADED.append(Version(package))
     return LOADED[-1]
 
 
+def full_hash(name: str, root: Path = ROOT) -> str:
+    """The full hash of a commit given by any name that git knows; HistoryMissing if it knows none such."""
+    try:
+        found = subprocess.run(
+            ["git", "-C", str(root), "rev-parse", "--verify", "--quiet", "--end-of-options", name + "^{commit}"],
+            capture_output=True,
+            check=True,
+        )
+    except (FileNotFoundError, subprocess.CalledProcessError, ValueError):
+        raise HistoryMissing(f"the history of {root} does not hold a commit {name!r}") from None
+    return found.stdout.decode().strip()
+
+
 def production_commit() -> str:
     """The commit that serves now, by the deployment's own word."""
     return str(tomllib.loads(DEPLOYMENT.read_text())["production"])
--- a/tests/world.py
+++ b/tests/world.py
@@ -634,7 +634,7 @@
         self.service = self.running.make_service(given, self.world.tuning, self.connect)
         recorded = self.world.history.recorded(self.service.public, self.name)
         self.service.public = recorded  # type: ignore[method-assign]
-        self.task = self.spawn(self.service.duties())
+        self.task = self.spawn(self.running.attribute(self.service, "duties")())
         self.task.add_done_callback(self.ended)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
@@ -668,11 +668,11 @@
             self.world.errors.append(task.exception())
 
     def crash(self) -> None:
-        if self.service is not None and self.service.leadership.faults:
+        if self.running.attribute(self.service, "leadership.faults"):
             self.world.errors.append(AssertionError("a term ended in a fault of the service, see its log"))
-        reign = None if self.service is None else self.service.reign
-        if reign is not None and reign.drain.broken:
-            self.world.errors.append(AssertionError(f"drains ended in a fault: {reign.drain.broken}"))
+        broken = self.running.attribute(self.service, "reign.drain.broken")
+        if broken:
+            self.world.errors.append(AssertionError(f"drains ended in a fault: {broken}"))
         if self.task is not None:
             self.task.cancel()
         for handler in list(self.handlers):
@@ -973,11 +973,11 @@
             for _, task in self.on_machines():
                 at = self.cancelled.get(task.job)
                 self.rule(at is None or now() <= at + self.cancel_s, f"ran_cancelled: {task.job}/{task.index} is there")
-            for service in [node.service for node in self.nodes if node.service is not None]:
-                term = service.leadership.term
-                if term is not None:
-                    first = self.terms.setdefault(term.number, service)
-                    self.rule(first is service, f"used_twice: term {term.number}")
+            for node in self.nodes:
+                number = node.running.attribute(node.service, "leadership.term.number")
+                if node.service is not None and number is not None:
+                    first = self.terms.setdefault(number, node.service)
+                    self.rule(first is node.service, f"used_twice: term {number}")
 
     def check_answer(self, job_id: str, status: int, answer: dict[str, Any]) -> None:
         if status == 404:
@@ -1104,7 +1104,7 @@
                 self.spawn(self.one_trouble(draw.choice(self.troubles)))
 
     def leader(self) -> Node:
-        return next((n for n in self.nodes if n.service and n.service.reign), self.draw.choice(self.nodes))
+        return next((n for n in self.nodes if n.running.attribute(n.service, "reign")), self.draw.choice(self.nodes))
 
     async def one_trouble(self, kind: str) -> None:
         draw = self.draw
@@ -1309,5 +1309,5 @@
 
     with ExitStack() as patches:
         for version in LOADED:
-            patches.enter_context(patch.object(version.module("clock"), "wall", wall))
+            patches.enter_context(patch.object(*version.locate("clock", "wall"), wall))
         yield
