--- a/benchmarks/forecast.py
+++ b/benchmarks/forecast.py
@@ -12,22 +12,22 @@
 
 import orjson
 
-from roseweir.clock import START, seconds
-from roseweir.forecast.history import Demand, Key, Pool, Shape
-from roseweir.forecast.planner import Planner
-from roseweir.forecast.settings import AheadSettings
-from roseweir.forecast.tools.site import load_site
-from roseweir.placement.board import Board
-from roseweir.placement.model import Machine
-from roseweir.tuning import Tuning
+from roseweir.clock import MONOTONIC_ORIGIN, seconds
+from roseweir.forecast.demand_history import Demand, Pool, SeriesKey, TaskShape
+from roseweir.forecast.scaling_planner import ScalingPlanner
+from roseweir.forecast.settings import PredictiveScalingSettings
+from roseweir.forecast.tools.simulated_provider import load_provider
+from roseweir.operator_config import OperatorConfig
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import Machine
 
-BEGIN = 1_780_272_000.0  # a Monday, UTC
+BEGIN_S = 1_780_272_000.0  # a Monday, UTC
 
 
-def per_call(what: Callable[[int], object], times: int) -> float:
+def seconds_per_call(action: Callable[[int], object], times: int) -> float:
     began = time.process_time()
     for number in range(times):
-        what(number)
+        action(number)
     return (time.process_time() - began) / times
 
 
@@ -35,53 +35,57 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-def new_board(machines: int, now: datetime) -> Board:
-    site = load_site(None, None, machines, [f"t{n}" for n in range(8)])
-    board = Board(site.settings, Tuning(), 1, now)
-    board.catalog = dict(site.catalog)
-    kinds = list(site.catalog.values())
+def make_cluster_state(machines: int, now: datetime) -> ClusterState:
+    provider = load_provider(None, None, machines, [f"t{n}" for n in range(8)])
+    cluster_state = ClusterState(provider.settings, OperatorConfig(), 1, now)
+    cluster_state.catalog = dict(provider.catalog)
+    machine_types = list(provider.catalog.values())
     for number in range(machines):
-        machine = Machine(f"i-{number:06d}", kinds[number % 4 == 0], "ab"[number % 2], False, known_since=now)
-        machine.heard = machine.rented_at = machine.idle_since = now
-        machine.shown = True
-        board.machines[machine.name] = machine
-    return board
+        machine = Machine(f"i-{number:06d}", machine_types[number % 4 == 0], "ab"[number % 2], False, known_since=now)
+        machine.last_heartbeat_at = machine.scaled_out_at = machine.idle_since = now
+        machine.has_acknowledged_term = True
+        cluster_state.machines[machine.name] = machine
+    return cluster_state
 
 
 def measure(machines: int, series: int, weeks: int) -> dict[str, float]:
-    now = START
-    planner = Planner(AheadSettings(series_most=series, weeks=weeks), new_board(machines, now))
+    now = MONOTONIC_ORIGIN
+    planner = ScalingPlanner(
+        PredictiveScalingSettings(series_most=series, weeks=weeks), make_cluster_state(machines, now)
+    )
     before = peak_mb()
     history = planner.history
     pools = [
         Pool(gpus, None, zone, spot) for gpus in (False, True) for zone in (None, "a", "b") for spot in (True, False)
     ]
-    at, number = BEGIN, 0
+    at, number = BEGIN_S, 0
     counts: list[float] = []
-    while at < BEGIN + weeks * 7 * 86400:
+    while at < BEGIN_S + weeks * 7 * 86400:
         begun = time.process_time()
         for row in range(series):
             pool = pools[row % len(pools)]
-            shape = Shape(2.0, 1.0 if pool.gpus else 0.0, 8.0, 4.0)
-            key = Key(pool, f"class-{row}", f"t{row % 8}")
-            history.count(Demand(f"j-{number}", key, shape, at, 1500.0, 20.0, 30000.0, 10))
+            shape = TaskShape(2.0, 1.0 if pool.gpus else 0.0, 8.0, 4.0)
+            key = SeriesKey(pool, f"class-{row}", f"t{row % 8}")
+            history.record_accepted_job(Demand(f"j-{number}", key, shape, at, 1500.0, 20.0, 30000.0, 10))
             number += 1
-        history.cover(at - 1800, at)
+        history.mark_watched(at - 1800, at)
         counts.append((time.process_time() - begun) / series)
         at += 1800
-        for block in history.blocks.values():
-            block.dirty = False
-    history.roll(at)
+        for block in history.open_blocks.values():
+            block.is_dirty = False
+    history.advance_to(at)
     memory = peak_mb() - before
-    block = max(history.blocks.values(), key=lambda b: len(b.counts))
+    block = max(history.open_blocks.values(), key=lambda b: len(b.cells_by_series))
     return {
         "machines": machines,
         "series": len(history.series),
         "count_us": round(sum(counts) / len(counts) * 1e6, 1),
-        "first_needs_ms": round(per_call(lambda n: planner.forecast.needs(at, {}), 1) * 1e3, 2),
-        "needs_ms": round(per_call(lambda n: planner.forecast.needs(at + n, {}), 20) * 1e3, 2),
-        "decide_ms": round(per_call(lambda n: planner.plan([], {}, at + n, now + seconds(n / 100)), 100) * 1e3, 2),
-        "encode_ms": round(per_call(lambda n: history.encode(block, 8192), 20) * 1e3, 2),
+        "first_needs_ms": round(seconds_per_call(lambda n: planner.forecast.needs(at, {}), 1) * 1e3, 2),
+        "needs_ms": round(seconds_per_call(lambda n: planner.forecast.needs(at + n, {}), 20) * 1e3, 2),
+        "decide_ms": round(
+            seconds_per_call(lambda n: planner.plan([], {}, at + n, now + seconds(n / 100)), 100) * 1e3, 2
+        ),
+        "encode_ms": round(seconds_per_call(lambda n: history.encode(block, 8192), 20) * 1e3, 2),
         "value_bytes": len(orjson.dumps(history.encode(block, 8192))),
         "history_mb": round(memory, 1),
     }
--- a/benchmarks/registry.py
+++ b/benchmarks/simulated_registry.py
@@ -1,6 +1,6 @@
 """A stand-in for a land registry: amendments as they land, drawn from a seed.
 
-    python3 -m benchmarks.registry [--seed N] [--landing 400]
+    python3 -m benchmarks.simulated_registry [--seed N] [--landing 400]
 
 Quiet hours, and landings of hundreds at once; repeats, copies that come late, amendments that come out of order, and
 revisions that overtake others of the same lot. Without a controller it prints what it would send, a line each.
@@ -13,70 +13,71 @@
 
 import orjson
 
-Sent = tuple[float, dict[str, Any]]
-CLASSES = ("lot-boundaries", "lot-reproject", "viewer-tiles")
+TimedAmendment = tuple[float, dict[str, Any]]
+JOB_CLASSES = ("lot-boundaries", "lot-reproject", "viewer-tiles")
 
 
 @dataclass
-class Registry:
+class SimulatedRegistry:
     seed: int
     team: str = "t0"
-    lots: int = 400  # that there are
-    run_s: tuple[float, float] = (1.0, 4.0)
-    tasks: int = 3
-    draw: random.Random = field(init=False)
-    revisions: dict[str, int] = field(default_factory=dict)
-    made: int = 0
+    lot_count: int = 400  # that there are
+    run_time_range_s: tuple[float, float] = (1.0, 4.0)
+    max_tasks: int = 3
+    rng: random.Random = field(init=False)
+    revision_by_lot: dict[str, int] = field(default_factory=dict)
+    amendment_count: int = 0
 
     def __post_init__(self) -> None:
-        self.draw = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
 
-    def job(self, job_id: str, job_class: str, tasks: int, **more: Any) -> dict[str, Any]:
+    def make_job(self, job_id: str, job_class: str, tasks: int, **more: Any) -> dict[str, Any]:
         return {
             "name_id": job_id, "docket": job_class, "crew": self.team, "shape": "sweep", "rank": "normal",
             "parcels": tasks, "cores": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "kit": f"img-{job_class}",
             "size_gb": 0.5, "builds": None, "yard": None, "together": False, "scatter": False, "loaners": True,
-            "guess_s": round(self.draw.uniform(*self.run_s), 1), "mark_every_s": 0.0, "mark_s": 0.0, "due_s": None,
+            "guess_s": round(self.rng.uniform(*self.run_time_range_s), 1), "mark_every_s": 0.0,
+            "mark_s": 0.0, "due_s": None,
         } | more  # fmt: skip
 
-    def amendment(self, lots: list[str] | None = None, fan_out: bool = False) -> dict[str, Any]:
+    def make_amendment(self, lots: list[str] | None = None, fan_out: bool = False) -> dict[str, Any]:
         """Boundaries, then reprojection, then tiles; with `fan_out` a reprojection for each lot, and one join."""
-        self.made += 1
+        self.amendment_count += 1
         if lots is None:
             lots = [
                 f"lot-{n}"
-                for n in self.draw.sample(range(self.lots), min(self.lots, self.draw.choice([1, 1, 1, 2, 5])))
+                for n in self.rng.sample(range(self.lot_count), min(self.lot_count, self.rng.choice([1, 1, 1, 2, 5])))
             ]
-        revision = max((self.revisions.get(lot, 0) for lot in lots), default=0) + 1
-        self.revisions |= dict.fromkeys(lots, revision)
-        name = f"{self.seed:03d}{self.made:06d}"
+        revision = max((self.revision_by_lot.get(lot, 0) for lot in lots), default=0) + 1
+        self.revision_by_lot |= dict.fromkeys(lots, revision)
+        name = f"{self.seed:03d}{self.amendment_count:06d}"
         first = f"j-4{name}0"
-        steps: list[dict[str, Any]] = [{"job": self.job(first, CLASSES[0], 1), "after": []}]
+        steps: list[dict[str, Any]] = [{"job": self.make_job(first, JOB_CLASSES[0], 1), "after": []}]
         middle = []
         for n, part in enumerate([[lot] for lot in lots] if fan_out else [lots]):
             job_id = f"j-4{name}{n + 1}"
             middle.append(job_id)
-            size = self.draw.randint(1, self.tasks)
-            steps.append({"job": self.job(job_id, CLASSES[1], size), "after": [first], "lots": part})
-        steps.append({"job": self.job(f"j-4{name}99", CLASSES[2], 2), "after": middle})
+            size = self.rng.randint(1, self.max_tasks)
+            steps.append({"job": self.make_job(job_id, JOB_CLASSES[1], size), "after": [first], "lots": part})
+        steps.append({"job": self.make_job(f"j-4{name}99", JOB_CLASSES[2], 2), "after": middle})
         return {"id": f"am-{name}", "revision": revision, "lots": lots, "steps": steps}
 
-    def day(
+    def make_day(
         self, length: float, quiet_every: float, landing_at: float, landing: int
     ) -> list[tuple[float, dict[str, Any]]]:
         """(instant, amendment) in the order in which they are sent; copies and late ones among them."""
-        found: list[Sent] = []
+        found: list[TimedAmendment] = []
         at = 1.0
         while at < length:
-            found.append((at, self.amendment(fan_out=self.draw.random() < 0.2)))
-            at += self.draw.expovariate(1 / quiet_every)
-        found += [(landing_at + self.draw.uniform(0, 1), self.amendment()) for _ in range(landing)]
+            found.append((at, self.make_amendment(fan_out=self.rng.random() < 0.2)))
+            at += self.rng.expovariate(1 / quiet_every)
+        found += [(landing_at + self.rng.uniform(0, 1), self.make_amendment()) for _ in range(landing)]
         for when, what in list(found):
-            if self.draw.random() < 0.15:
+            if self.rng.random() < 0.15:
                 # A repeat at once, or a copy that comes late.
-                found.append((when + self.draw.choice([0.1, 1.0, 20.0]) * self.draw.uniform(0.5, 1.5), what))
+                found.append((when + self.rng.choice([0.1, 1.0, 20.0]) * self.rng.uniform(0.5, 1.5), what))
         # Some come later than those that overtake them.
-        found = [(when + (self.draw.uniform(2, 15) if self.draw.random() < 0.1 else 0.0), what) for when, what in found]
+        found = [(when + (self.rng.uniform(2, 15) if self.rng.random() < 0.1 else 0.0), what) for when, what in found]
         return sorted(found, key=lambda each: each[0])
 
 
@@ -85,7 +86,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--landing", type=int, default=400, help="amendments that land at once")
     args = parser.parse_args()
-    for at, what in Registry(args.seed).day(3600.0, 30.0, 1800.0, args.landing):
+    for at, what in SimulatedRegistry(args.seed).make_day(3600.0, 30.0, 1800.0, args.landing):
         print(f"{at:8.1f} {orjson.dumps(what).decode()}")
     return 0
 
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -38,17 +38,23 @@
 
 import orjson
 
-from roseweir.forecast.settings import AheadSettings
+from roseweir.delivery_deadlines.settings import DeadlinePolicy, DeadlineSettings
+from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.http import Reply, Request, Response, Unreachable
-from roseweir.promises.settings import Promise, PromiseSettings
+from roseweir.operator_config import OperatorConfig
 from roseweir.settings import Settings
-from roseweir.tuning import Tuning
-from tests.chained import ChainWorld, tuning
-from tests.user_troubles import USER_TROUBLES
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    PARTIAL_PARTITION_FAULTS,
+    STORE_AND_LEADER_FAULTS,
+    SimulatedCluster,
+    virtual_now,
+)
+from tests.simulation.user_faults import USER_FAULTS
+from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.versions import PRESENT, HistoryMissing, Version, full_hash, load
-from tests.world import LATER, LEFT_OUT, MEETING, World, now
 
-FAULTS = [*LATER, *LEFT_OUT, *MEETING, *USER_TROUBLES, "deaf"]
+FAULTS = [*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS, *STORE_AND_LEADER_FAULTS, *USER_FAULTS, "deaf"]
 # Virtual seconds of a day, and jobs submitted on it.
 DAY_S, JOBS = 90.0, 25
 # Virtual seconds between the amendments, and drains, of a day with every optional feature.
@@ -86,10 +92,10 @@
         """Record a request; returns what records its answer."""
         self.exchanges += 1
         exchange = self.exchanges
-        self.messages.append(Message(now(), controller, exchange, kind, what, body))
+        self.messages.append(Message(virtual_now(), controller, exchange, kind, what, body))
 
         def end(kind: str, what: str, body: bytes = b"") -> None:
-            self.messages.append(Message(now(), controller, exchange, kind, what, body))
+            self.messages.append(Message(virtual_now(), controller, exchange, kind, what, body))
 
         return end
 
@@ -144,31 +150,31 @@
 
     recorder: Recorder = field(default_factory=Recorder, compare=False)
 
-    def make_service(self, settings: Settings, tuning: Tuning, connect: Callable[..., Any]) -> Any:
+    def make_service(self, settings: Settings, tuning: OperatorConfig, connect: Callable[..., Any]) -> Any:
         controller = settings.name
         service = super().make_service(settings, tuning, self.recorder.record_connect(controller, connect))
-        service.public = self.recorder.record_handler(controller, "public", service.public)
-        service.back = self.recorder.record_handler(controller, "back", service.back)
+        service.serve_public = self.recorder.record_handler(controller, "public", service.serve_public)
+        service.serve_peer = self.recorder.record_handler(controller, "back", service.serve_peer)
         return service
 
 
-class FeaturesWorld(ChainWorld):
+class FeaturesWorld(WorkflowCluster):
     """A world in which every optional feature is on: chains, promises, renting ahead, drains."""
 
     def __init__(self, seed: int, **more: Any) -> None:
-        given = tuning()
-        given.promise = PromiseSettings(promises=[Promise()])
-        given.ahead = AheadSettings()
+        given = workflow_config()
+        given.delivery_deadline = DeadlineSettings(policies=[DeadlinePolicy()])
+        given.predictive_scaling = PredictiveScalingSettings()
         super().__init__(seed, given, **more)
-        self.spawn_later(lambda _: self.amend_and_drain())
+        self.schedule_action(lambda _: self.amend_and_drain())
 
     async def amend_and_drain(self) -> None:
         for number in range(int(DAY_S / AMENDMENT_GAP_S)):
             await asyncio.sleep(AMENDMENT_GAP_S)
-            self.spawn(self.amend(self.registry.amendment()))
+            self.spawn(self.submit_amendment(self.registry.make_amendment()))
             ask = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
-            node = self.draw.choice(self.nodes)
-            self.spawn(node.serve_back("POST", "/drains", orjson.dumps({"verb": "start", "ask": ask})))
+            node = self.rng.choice(self.nodes)
+            self.spawn(node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": ask})))
 
 
 class _OrderedTaskGroup(asyncio.TaskGroup):
@@ -212,17 +218,17 @@
     errors: list[str]  # of the simulation, or of a controller
 
 
-def make_world(seed: int, version: Version) -> World:
+def make_world(seed: int, version: Version) -> SimulatedCluster:
     """The seed's world: how many controllers, and which features and surroundings, depend on the seed alone."""
-    world_class = FeaturesWorld if seed % 3 == 0 else World
+    world_class = FeaturesWorld if seed % 3 == 0 else SimulatedCluster
     controllers = 2 + seed % 2
     return world_class(
         seed,
-        troubles=FAULTS,
-        controllers=controllers,
+        faults=FAULTS,
+        controller_count=controllers,
         versions=[version] * controllers,
-        back_after=(0.1, 3.0) if seed % 4 < 2 else (1.0, 4.0),
-        skew=0.5 * (seed % 5 == 4),
+        restart_delay_range_s=(0.1, 3.0) if seed % 4 < 2 else (1.0, 4.0),
+        max_clock_skew_s=0.5 * (seed % 5 == 4),
         write_rps=(100.0, 30.0)[seed % 7 == 5],
     )
 
@@ -231,9 +237,9 @@
     """Play one day with controllers of one version."""
     recorded = RecordedVersion(version.package)
     with repeatable(seed):
-        world = make_world(seed, recorded).play(length, jobs)
+        world = make_world(seed, recorded).run(length, jobs)
     errors = [f"{type(e).__name__}: {e}" for e in world.errors]
-    return Play(recorded.recorder.messages, [str(e) for e in world.broken], errors)
+    return Play(recorded.recorder.messages, [str(e) for e in world.rule_violations], errors)
 
 
 def first_difference(base: Sequence[Message], present: Sequence[Message]) -> str | None:
--- a/roseweir/calendars.py
+++ b/roseweir/calendars.py
@@ -5,16 +5,18 @@
 
 import msgspec
 
-from roseweir.forms import SettingsError, read_form, read_number, read_text
+from roseweir.sexp import SettingsError, read_form, read_number, read_string
 
 
-class Event(msgspec.Struct, frozen=True):
+class CalendarEvent(
+    msgspec.Struct, frozen=True, rename={"starts_at": "begins", "ends_at": "ends", "demand_factor": "factor"}
+):
     """Known beforehand: so many times the usual demand, in local time. It teaches the usual weeks nothing."""
 
     name: str
-    begins: datetime
-    ends: datetime
-    factor: float
+    starts_at: datetime
+    ends_at: datetime
+    demand_factor: float
 
 
 class Calendar(msgspec.Struct):
@@ -23,7 +25,7 @@
     time_zone: str = "UTC"
     # (year or None for every year, month, day)
     holidays: set[tuple[int | None, int, int]] = msgspec.field(default_factory=set)
-    events: list[Event] = msgspec.field(default_factory=list)
+    events: list[CalendarEvent] = msgspec.field(default_factory=list)
 
     @property
     def zone(self) -> tzinfo:
@@ -38,32 +40,32 @@
     def is_holiday(self, day: date) -> bool:
         return (day.year, day.month, day.day) in self.holidays or (None, day.month, day.day) in self.holidays
 
-    def event_at(self, local: datetime) -> Event | None:
+    def event_at(self, local: datetime) -> CalendarEvent | None:
         naive = local.replace(tzinfo=None)
-        return next((e for e in self.events if e.begins <= naive < e.ends), None)
+        return next((e for e in self.events if e.starts_at <= naive < e.ends_at), None)
 
 
 def parse_calendar(entries: list[Any]) -> Calendar:
     """Read the entries of `(calendar (time-zone "...") (holiday "...") (event ...) ...)`."""
-    found = Calendar()
+    calendar = Calendar()
     for entry in entries:
         name, args = read_form(entry)
         if name == "time-zone":
-            found.time_zone = read_text(name, args)
+            calendar.time_zone = read_string(name, args)
             try:
-                _ = found.zone
+                _ = calendar.zone
             except (KeyError, ValueError, OSError):  # a name that is not found is a KeyError
-                raise SettingsError(f"unknown time zone `{found.time_zone}` in `calendar`") from None
+                raise SettingsError(f"unknown time zone `{calendar.time_zone}` in `calendar`") from None
         elif name == "holiday":
-            found.holidays |= {_holiday(read_text(name, [arg])) for arg in args}
+            calendar.holidays |= {_parse_holiday(read_string(name, [arg])) for arg in args}
         elif name == "event":
-            found.events.append(_event(args))
+            calendar.events.append(_parse_event(args))
         else:
             raise SettingsError(f"unknown name `{name}` in `calendar`")
-    return found
+    return calendar
 
 
-def _holiday(text: str) -> tuple[int | None, int, int]:
+def _parse_holiday(text: str) -> tuple[int | None, int, int]:
     try:
         if len(text) == 5:
             # A leap year, so that 02-29 passes.
@@ -75,33 +77,33 @@
     return day.year, day.month, day.day
 
 
-def _event(entries: list[Any]) -> Event:
+def _parse_event(entries: list[Any]) -> CalendarEvent:
     texts: dict[str, str] = {}
     factor: float | None = None
     for entry in entries:
         name, args = read_form(entry)
         if name in ("name", "from", "to"):
-            texts[name] = read_text(name, args)
+            texts[name] = read_string(name, args)
         elif name == "factor":
             factor = read_number(name, args)
         else:
             raise SettingsError(f"unknown name `{name}` in `event`")
-    for needed in ("name", "from", "to"):
-        if needed not in texts:
-            raise SettingsError(f"an `event` needs `{needed}`")
+    for required_name in ("name", "from", "to"):
+        if required_name not in texts:
+            raise SettingsError(f"an `event` needs `{required_name}`")
     if factor is None:
         raise SettingsError("an `event` needs `factor`")
     times: list[datetime] = []
     for name in ("from", "to"):
         try:
-            at = datetime.fromisoformat(texts[name])
+            instant = datetime.fromisoformat(texts[name])
         except ValueError:
             raise SettingsError(
                 f"`{name}` in `event`: `{texts[name]}` is not a local time like 2026-12-20T18:00"
             ) from None
-        if at.tzinfo is not None:
+        if instant.tzinfo is not None:
             raise SettingsError(f"`{name}` in `event` is local time and takes no offset")
-        times.append(at)
+        times.append(instant)
     if times[0] >= times[1]:
         raise SettingsError("an `event` must end after it begins")
-    return Event(texts["name"], times[0], times[1], factor)
+    return CalendarEvent(texts["name"], times[0], times[1], factor)
--- a/roseweir/cli.py
+++ b/roseweir/cli.py
@@ -11,22 +11,22 @@
 from typing import Any
 
 from roseweir import __version__
-from roseweir.asking import address
-from roseweir.chains import cli as chains
-from roseweir.drain import cli as drain
-from roseweir.forecast import cli as forecast
-from roseweir.forms import SettingsError
-from roseweir.promises import cli as promises
+from roseweir.admin_client import validate_address
+from roseweir.delivery_deadlines import cli as delivery_deadline_cli
+from roseweir.drain import cli as drain_cli
+from roseweir.forecast import cli as forecast_cli
+from roseweir.operator_config import OperatorConfig, load_operator_config
 from roseweir.settings import Settings, load_settings
-from roseweir.tuning import Tuning, load_tuning
+from roseweir.sexp import SettingsError
+from roseweir.workflows import cli as workflow_cli
 
-PATIENCE = timedelta(seconds=3)
-TUNING = "ROSEWEIR_TUNING"
-LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
+REQUEST_TIMEOUT = timedelta(seconds=3)
+OPERATOR_CONFIG_VARIABLE = "ROSEWEIR_TUNING"
+LOG_LEVELS = {"error": logging.ERROR, "warning": logging.WARNING, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    args = _parser().parse_args(drain.named_first(sys.argv[1:] if argv is None else argv))
+    args = _build_parser().parse_args(drain_cli.expand_start_shorthand(sys.argv[1:] if argv is None else argv))
     try:
         result: int = args.run(args)
         return result
@@ -37,12 +37,12 @@
         return 130
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="roseweir", description="A cluster scheduler.")
     parser.add_argument("--version", action="version", version=f"roseweir {__version__}")
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
 
-    def files(command: argparse.ArgumentParser) -> None:
+    def add_config_arguments(command: argparse.ArgumentParser) -> None:
         command.add_argument(
             "--config", type=Path, required=True, metavar="FILE", help="the platform's settings (JSON)"
         )
@@ -50,84 +50,88 @@
             "--tuning",
             type=Path,
             metavar="FILE",
-            help=f"operators' own settings (S-expressions); default: ${TUNING}",
+            help=f"operators' own settings (S-expressions); default: ${OPERATOR_CONFIG_VARIABLE}",
         )
 
     serve = commands.add_parser("serve", help="run a controller until it is killed")
-    files(serve)
+    add_config_arguments(serve)
     serve.set_defaults(run=_serve)
     check = commands.add_parser("check-config", help="check settings files and say what is wrong")
-    files(check)
-    check.set_defaults(run=_check)
+    add_config_arguments(check)
+    check.set_defaults(run=_check_config)
 
-    def question(ask: argparse.ArgumentParser, what: str) -> None:
+    def add_query_arguments(ask: argparse.ArgumentParser, what: str) -> None:
         ask.add_argument("--at", required=True, metavar="HOST:PORT", help="a controller's own address (`back`)")
         ask.add_argument("--json", action="store_true", help="print the answer as it came")
-        ask.set_defaults(run=_ask, what=what, job=None)
+        ask.set_defaults(run=_query_controller, what=what, job=None)
 
-    question(commands.add_parser("limits", help="show the startup limits in force"), "limits")
+    add_query_arguments(commands.add_parser("limits", help="show the startup limits in force"), "limits")
     status = commands.add_parser("status", help="show what a controller knows")
-    question(status, "status")
+    add_query_arguments(status, "status")
     status.add_argument("--job", metavar="ID", help="what an unfinished job waits for; ask the leader")
-    question(commands.add_parser("served", help="show who is served, by team and class; ask the leader"), "served")
-    drain.add_commands(commands)
-    chains.add_commands(commands)
-    promises.add_commands(commands)
-    forecast.add_commands(commands, lambda ask: question(ask, "forecast"))
+    add_query_arguments(
+        commands.add_parser("served", help="show who is served, by team and class; ask the leader"), "served"
+    )
+    drain_cli.add_commands(commands)
+    workflow_cli.add_commands(commands)
+    delivery_deadline_cli.add_commands(commands)
+    forecast_cli.add_commands(commands, lambda ask: add_query_arguments(ask, "forecast"))
     return parser
 
 
-def _load(args: argparse.Namespace) -> tuple[Settings, Tuning]:
-    tuning: Path | None = args.tuning
-    if tuning is None and os.environ.get(TUNING):
-        tuning = Path(os.environ[TUNING])
-    return load_settings(args.config), load_tuning(tuning)
+def _load_configuration(args: argparse.Namespace) -> tuple[Settings, OperatorConfig]:
+    config_path: Path | None = args.tuning
+    if config_path is None and os.environ.get(OPERATOR_CONFIG_VARIABLE):
+        config_path = Path(os.environ[OPERATOR_CONFIG_VARIABLE])
+    return load_settings(args.config), load_operator_config(config_path)
 
 
 def _serve(args: argparse.Namespace) -> int:
-    settings, tuning = _load(args)
-    wanted = os.environ.get("LOG_LEVEL", "info").lower()
-    if wanted not in LEVELS:
-        raise SettingsError(f"LOG_LEVEL: unknown level `{wanted}`, expected one of {', '.join(LEVELS)}")
+    settings, operator_config = _load_configuration(args)
+    log_level = os.environ.get("LOG_LEVEL", "info").lower()
+    if log_level not in LOG_LEVELS:
+        raise SettingsError(f"LOG_LEVEL: unknown level `{log_level}`, expected one of {', '.join(LOG_LEVELS)}")
     logging.basicConfig(
-        stream=sys.stderr, level=LEVELS[wanted], format="%(asctime)s %(levelname)s %(name)s: %(message)s"
+        stream=sys.stderr, level=LOG_LEVELS[log_level], format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
-    import uvloop
-
-    from roseweir.service import Service
+    # Imported here alone: the other commands are quick to start.
+    from roseweir.service import serve
 
     try:
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(Service(settings, tuning).run())
+        serve(settings, operator_config)
     except OSError as e:
         print(f"roseweir: cannot serve: {e}", file=sys.stderr)
         return 1
     return 0
 
 
-def _check(args: argparse.Namespace) -> int:
-    settings, tuning = _load(args)
+def _check_config(args: argparse.Namespace) -> int:
+    settings, operator_config = _load_configuration(args)
     print(
         f"{settings.name}: {len(settings.peers)} peers, {len(settings.params.teams)} teams, "
-        f"{len(settings.params.objectives)} objectives, {len(tuning.class_limits)} class limits"
-        + (", renting ahead" if tuning.ahead is not None else "")
-        + (f", {len(tuning.drain.budgets)} budgets of disruption" if tuning.drain is not None else "")
-        + (", replaces machines by itself" if tuning.drain is not None and tuning.drain.own is not None else "")
+        f"{len(settings.params.objectives)} objectives, {len(operator_config.class_limits)} class limits"
+        + (", renting ahead" if operator_config.predictive_scaling is not None else "")
+        + (f", {len(operator_config.drain.budgets)} budgets of disruption" if operator_config.drain is not None else "")
+        + (
+            ", replaces machines by itself"
+            if operator_config.drain is not None and operator_config.drain.auto_replacement is not None
+            else ""
+        )
     )
     return 0
 
 
-def _ask(args: argparse.Namespace) -> int:
+def _query_controller(args: argparse.Namespace) -> int:
     from roseweir.http import Client, Unreachable
 
-    address(args.at)
+    validate_address(args.at)
 
-    async def ask() -> Any:
+    async def fetch() -> Any:
         path = f"/job/{args.job}" if args.job else f"/{args.what}"
-        return (await Client(args.at, pool=0).request("GET", path, patience=PATIENCE)).json()
+        return (await Client(args.at, pool_size=0).request("GET", path, timeout=REQUEST_TIMEOUT)).json()
 
     try:
-        answer = asyncio.run(ask())
+        answer = asyncio.run(fetch())
     except Unreachable as e:
         print(f"roseweir: no answer: {e}", file=sys.stderr)
         return 1
@@ -141,9 +145,9 @@
     elif args.what == "limits":
         _print_limits(answer)
     elif args.what == "served":
-        _print_served(answer)
+        _print_service_levels(answer)
     elif args.what == "forecast":
-        forecast.print_forecast(answer)
+        forecast_cli.print_forecast(answer)
     else:
         for name, value in answer.items():
             if isinstance(value, list):
@@ -154,20 +158,20 @@
     return 0
 
 
-def _print_served(answer: dict[str, Any]) -> None:
+def _print_service_levels(answer: dict[str, Any]) -> None:
     columns = ("accepted", "started", "done", "cancelled", "turned_away", "waiting", "tasks_waiting", "tasks_running")
     rows = [("team", "class", *columns, "served")]
-    for kind, of in (("teams", "team"), ("classes", "class")):
-        for name, at in answer[kind].items():
-            who = (name, "*") if of == "team" else ("*", name)
-            rows.append((*who, *(str(at[c]) for c in columns), f"{at['served']:.2f}"))
+    for section, dimension in (("teams", "team"), ("classes", "class")):
+        for name, counts in answer[section].items():
+            row_key = (name, "*") if dimension == "team" else ("*", name)
+            rows.append((*row_key, *(str(counts[c]) for c in columns), f"{counts['served']:.2f}"))
     rows += [(r["team"], r["class"], *(str(r[c]) for c in columns), f"{r['served']:.2f}") for r in answer["rows"]]
     _print_table(rows)
     print()
-    largest = ("accepted", "begun", "in_time", "late", "done", "cancelled", "longest_s")
+    largest_columns = ("accepted", "begun", "in_time", "late", "done", "cancelled", "longest_s")
     _print_table(
-        [("largest jobs of", *largest)]
-        + [(name, *(str(at[c]) for c in largest)) for name, at in answer["largest"].items()]
+        [("largest jobs of", *largest_columns)]
+        + [(name, *(str(counts[c]) for c in largest_columns)) for name, counts in answer["largest"].items()]
     )
     if answer["gaps"]:
         print(f"ends were lost {answer['gaps']} times, when the record was too old to be made up for")
--- a/roseweir/cloud/client.py
+++ b/roseweir/cloud/client.py
@@ -8,15 +8,15 @@
 
 from roseweir.cloud import messages as wire
 from roseweir.http import Connect, Unreachable, connect
+from roseweir.kv_store.client import RateLimiter, StoreError
 from roseweir.settings import CloudSettings
-from roseweir.state.client import Pace, Trouble
 from roseweir.submissions.jobs import MachineType
 
-PATIENCE = timedelta(seconds=3)
+REQUEST_TIMEOUT = timedelta(seconds=3)
 T = TypeVar("T")
 
-RENT_MOST = 50
-RELEASE_MOST = 100
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_RELEASE = 100
 
 
 class NoCapacity(Exception):
@@ -27,47 +27,51 @@
     def __init__(self, address: str, settings: CloudSettings, connect: Connect = connect) -> None:
         self._send = connect(address, 4)
         # The leader makes almost all calls; the rest is left to nodes that read the catalog.
-        self._pace = Pace(settings.rps * 0.8, burst=2.0)
+        self._rate_limiter = RateLimiter(settings.max_requests_per_s * 0.8, burst_s=2.0)
 
-    async def _call(self, method: str, path: str, body: object = None, may: Callable[[], bool] | None = None) -> object:
-        await self._pace.take()
+    async def _call(
+        self, method: str, path: str, body: object = None, may_act: Callable[[], bool] | None = None
+    ) -> object:
+        await self._rate_limiter.acquire()
         # A turn may be long in coming, and the node may have stood still: the right is looked at last.
-        if may is not None and not may():
-            raise Trouble("this node may not lead any more")
-        reply = await self._send(method, path, body, patience=PATIENCE)
+        if may_act is not None and not may_act():
+            raise StoreError("this node may not lead any more")
+        reply = await self._send(method, path, body, timeout=REQUEST_TIMEOUT)
         if reply.status == 503 and b"no capacity" in reply.body:
             raise NoCapacity
         if reply.status != 200:
-            raise Trouble(f"cloud answered {reply.status} to {path}")
+            raise StoreError(f"cloud answered {reply.status} to {path}")
         return reply.json() if reply.body else {}
 
-    async def catalog(self) -> list[MachineType]:
-        value = _read(await self._call("GET", "/catalog"), wire.Catalog)
-        return [entry.to_type() for entry in value.types]
+    async def read_catalog(self) -> list[MachineType]:
+        value = _decode(await self._call("GET", "/catalog"), wire.Catalog)
+        return [entry.to_machine_type() for entry in value.machine_types]
 
-    async def rent(
-        self, request: str, type_name: str, zone: str, spot: bool, count: int, may: Callable[[], bool]
+    async def rent_machines(
+        self, request_id: str, type_name: str, zone: str, spot: bool, count: int, may_act: Callable[[], bool]
     ) -> list[str]:
-        body = wire.rental(request, type_name, zone, spot, min(count, RENT_MOST))
-        return _read(await self._call("POST", "/machines", body, may), wire.Rented).machines
+        body = wire.rental_request(request_id, type_name, zone, spot, min(count, MAX_MACHINES_PER_RENTAL))
+        return _decode(await self._call("POST", "/machines", body, may_act), wire.RentedMachines).machine_names
 
-    async def release(self, names: list[str], may: Callable[[], bool]) -> None:
-        await self._call("POST", "/machines/release", wire.release(names[:RELEASE_MOST]), may)
+    async def release_machines(self, machine_names: list[str], may_act: Callable[[], bool]) -> None:
+        await self._call(
+            "POST", "/machines/release", wire.release_request(machine_names[:MAX_MACHINES_PER_RELEASE]), may_act
+        )
 
-    async def machines(self) -> list[wire.Listed]:
-        found: list[wire.Listed] = []
+    async def list_machines(self) -> list[wire.ListedMachine]:
+        listed: list[wire.ListedMachine] = []
         after = ""
         while True:
             path = "/machines?limit=500" + (f"&after={after}" if after else "")
-            page = _read(await self._call("GET", path), wire.MachineList)
-            found += page.machines
-            if not page.more or not page.machines:
-                return found
+            page = _decode(await self._call("GET", path), wire.MachineList)
+            listed += page.machines
+            if not page.has_more or not page.machines:
+                return listed
             after = page.machines[-1].name
 
 
-def _read(value: object, kind: type[T]) -> T:
+def _decode(value: object, message_type: type[T]) -> T:
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, message_type)
     except msgspec.ValidationError as e:
         raise Unreachable(f"the cloud's answer is not understood: {e}") from e
--- a/roseweir/cloud/messages.py
+++ b/roseweir/cloud/messages.py
@@ -22,7 +22,7 @@
     boot_s: float
     zones: list[str]
 
-    def to_type(self) -> MachineType:
+    def to_machine_type(self) -> MachineType:
         return MachineType(
             self.name,
             self.cpus,
@@ -37,47 +37,47 @@
         )
 
 
-class Catalog(msgspec.Struct, rename={"types": "builds"}):
-    types: list[CatalogEntry]
+class Catalog(msgspec.Struct, rename={"machine_types": "builds"}):
+    machine_types: list[CatalogEntry]
 
 
-class Listed(
+class ListedMachine(
     msgspec.Struct,
     rename={
         "name": "name_id",
         "address": "endpoint",
-        "type": "build",
+        "machine_type": "build",
         "zone": "yard",
-        "spot": "loaners",
+        "is_spot": "loaners",
         "state": "standing",
         "age_s": "held_s",
     },
 ):
     name: str
     address: str
-    type: str
+    machine_type: str
     zone: str
-    spot: bool
+    is_spot: bool
     state: str
     age_s: float
 
 
-class MachineList(msgspec.Struct, rename={"machines": "hosts", "more": "truncated"}):
-    machines: list[Listed]
-    more: bool = False
+class MachineList(msgspec.Struct, rename={"machines": "hosts", "has_more": "truncated"}):
+    machines: list[ListedMachine]
+    has_more: bool = False
 
 
-class Rented(msgspec.Struct, rename={"machines": "hosts"}):
-    machines: list[str]
+class RentedMachines(msgspec.Struct, rename={"machine_names": "hosts"}):
+    machine_names: list[str]
 
 
 BOOTING = "booting"
 FAILED = "failed"
 
 
-def rental(request: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    return {"requisition": request, "build": type_name, "yard": zone, "loaners": spot, "how_many": count}
+def rental_request(request_id: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    return {"requisition": request_id, "build": type_name, "yard": zone, "loaners": spot, "how_many": count}
 
 
-def release(names: list[str]) -> dict[str, Any]:
-    return {"hosts": names}
+def release_request(machine_names: list[str]) -> dict[str, Any]:
+    return {"hosts": machine_names}
--- a/roseweir/connections/__init__.py
+++ b/roseweir/connections/__init__.py
@@ -1,5 +1,5 @@
 """Connections as a resource: who may hold one, who is asked to come back, and who pays when there is no room."""
 
-from roseweir.connections.room import Room, Side
+from roseweir.connections.admission import ConnectionAdmission, ConnectionClass
 
-__all__ = ["Room", "Side"]
+__all__ = ["ConnectionAdmission", "ConnectionClass"]
--- a/roseweir/promises/cli.py
+++ b/roseweir/delivery_deadlines/cli.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 from typing import Any
 
-from roseweir.asking import post, print_json
-from roseweir.forms import SettingsError
+from roseweir.admin_client import post_command, print_json
+from roseweir.sexp import SettingsError
 
-PATH = "/promises"
+DEADLINES_PATH = "/promises"
 
 
 def add_commands(commands: Any) -> None:
@@ -17,22 +17,24 @@
     )
     parser.add_argument("--at", required=True, metavar="HOST:PORT", help="any controller's own address (`back`)")
     parser.add_argument("--json", action="store_true", help="print the answer as it came")
-    parser.add_argument("--night", type=_night, default="", metavar="DATE", help="one night, by its morning's date")
+    parser.add_argument(
+        "--night", type=_parse_date, default="", metavar="DATE", help="one night, by its morning's date"
+    )
     parser.add_argument("--draw", type=Path, metavar="FILE.png", help="a picture of it (needs matplotlib)")
-    parser.set_defaults(run=_promises)
+    parser.set_defaults(run=_run_promises)
 
 
-def _night(text: str) -> str:
+def _parse_date(text: str) -> str:
     try:
         return date.fromisoformat(text).isoformat()
     except ValueError:
         raise argparse.ArgumentTypeError(f"{text} is no date like 2026-12-03") from None
 
 
-def _promises(args: argparse.Namespace) -> int:
-    answer = post(args.at, PATH, {"night": args.night} if args.night else {})
+def _run_promises(args: argparse.Namespace) -> int:
+    answer = post_command(args.at, DEADLINES_PATH, {"night": args.night} if args.night else {})
     if args.draw is not None:
-        draw(answer, args.draw)
+        draw_chart(answer, args.draw)
     if args.json:
         print_json(answer)
         return 0
@@ -43,20 +45,21 @@
         print(f"{row['chain']:24} {row['state']:24} {row['stage']:16} {due}, slack {row['slack_s']} s, {lots}{why}")
     for night in answer["nights"]:
         if args.night in ("", night["night"]):
-            by = ", ".join(f"{n} by {step}" for step, n in night["late_by_step"].items())
+            delaying_steps = ", ".join(f"{n} by {step}" for step, n in night["late_by_step"].items())
             worst = f", the worst by {night['worst_late_s']} s" if night["late"] else ""
             print(
                 f"night to {night['night']}: {night['promised']} lots promised, {night['kept']} kept, "
-                f"{night['late']} late{worst}{f' ({by})' if by else ''}, {night['superseded']} superseded"
+                f"{night['late']} late{worst}{f' ({delaying_steps})' if delaying_steps else ''}, "
+                f"{night['superseded']} superseded"
             )
     return 0
 
 
-def _number(dates: Any, ms: int) -> float:
+def _date_number(dates: Any, ms: int) -> float:
     return float(dates.date2num(datetime.fromtimestamp(ms / 1000, UTC)))
 
 
-def draw(answer: dict[str, Any], path: Path) -> None:
+def draw_chart(answer: dict[str, Any], path: Path) -> None:
     """Each chain of the answer as a line from now to its end, beside what was promised."""
     try:
         import matplotlib
@@ -71,7 +74,7 @@
     for n, row in enumerate(rows):
         colour = colours.get(row["state"], "tab:red")
         end = row["ended_ms"] if row["ended_ms"] is not None else row["due_ms"] - row["slack_s"] * 1000
-        at, due = (_number(dates, ms) for ms in (end, row["due_ms"]))
+        at, due = (_date_number(dates, ms) for ms in (end, row["due_ms"]))
         axes.plot([at, due], [n, n], color=colour, linewidth=1)
         axes.plot([at], [n], "o", color=colour)
         axes.plot([due], [n], "|", color="black")
--- /dev/null
+++ b/roseweir/delivery_deadlines/controller.py
@@ -0,0 +1,271 @@
+"""The leader's side of promises: gives them as amendments are taken, follows them, hurries what is at risk.
+
+The promised instant is in the chain's own record, durable before the amendment is answered. Everything else is derived
+from chains; nights that are over are kept in one key, with what the classes' steps took.
+"""
+
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+from typing import Any
+
+import msgspec
+
+from roseweir.clock import monotonic_now, seconds, sleep, utc_now_ms
+from roseweir.delivery_deadlines import due_time
+from roseweir.delivery_deadlines.deadline_status import (
+    AT_RISK,
+    DEFAULT_STEP_DURATION_S,
+    LATE,
+    STATE_SORT_ORDER,
+    UNATTAINABLE,
+    DeadlineStatus,
+    NightReport,
+    StepDurations,
+    delivered_lots,
+    evaluate_deadline,
+    urgent_job_slack,
+)
+from roseweir.delivery_deadlines.settings import DeadlineSettings
+from roseweir.http import Unreachable
+from roseweir.kv_store import CompareFailed, KeyValueStoreClient, StoreError
+from roseweir.kv_store.fenced_writes import FencedWriter, LeadershipLost
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.job_explanation import explain_job
+from roseweir.workflows.controller import WorkflowController
+from roseweir.workflows.model import Workflow, WorkflowStep
+
+log = logging.getLogger(__name__)
+
+NIGHT_REPORTS_KEY = "promise/nights"
+EVALUATION_INTERVAL, SAVE_INTERVAL = timedelta(seconds=2), timedelta(seconds=30)
+# After its morning a night is told of as it stands, and closed so much later: what is late by then stays so.
+REPORT_CLOSE_DELAY_MS = 24 * 3600 * 1000
+MAX_LISTED_DEADLINES = 200
+
+
+class DeadlineController:
+    def __init__(
+        self,
+        settings: DeadlineSettings,
+        workflow_controller: WorkflowController,
+        cluster_state: ClusterState,
+        kv_store: KeyValueStoreClient,
+        leader_version: int,
+        may_write: Callable[[], bool],
+        step_down: Callable[[str], None],
+    ) -> None:
+        self.settings = settings
+        self.workflow_controller = workflow_controller
+        self.cluster_state = cluster_state
+        self.fenced_writer = FencedWriter(kv_store, leader_version, "promises")
+        self.step_durations = StepDurations()
+        self.closed_reports: dict[str, NightReport] = {}  # that are over
+        self.statuses: dict[str, DeadlineStatus] = {}
+        self.is_loaded = False
+        self._may_write = may_write
+        self._step_down = step_down
+        self._measured_jobs: set[str] = set()
+        workflow_controller.assign_due_ms = self.assign_due_ms
+        workflow_controller.on_workflow_changed = self.on_workflow_changed
+
+    # -- given --------------------------------------------------------------------------------
+
+    def assign_due_ms(self, workflow: Workflow) -> int:
+        """The instant that is promised for the chain's lots; 0: its team is promised nothing."""
+        policy = self.settings.policy_for(workflow.team)
+        return 0 if policy is None else due_time.compute_due_ms(workflow.landed_ms, policy, self.settings.calendar)
+
+    def on_workflow_changed(self, workflow: Workflow) -> None:
+        """Something has happened in the chain: what its steps took is learnt, and how it stands told anew."""
+        for step in workflow.steps:
+            if step.outcome == "done" and step.released_ms and step.job_id not in self._measured_jobs:
+                self._measured_jobs.add(step.job_id)
+                self.step_durations.add(step.job_class, (step.ended_ms - step.released_ms) / 1000)
+        if workflow.is_ended:
+            if (
+                workflow.state == "done"
+                and workflow.due_ms
+                and len(delivered_lots(workflow, workflow.due_ms)) < len(workflow.lots)
+            ):
+                workflow.late_step_class = self._slowest_step_class(workflow)
+            self._measured_jobs.difference_update(step.job_id for step in workflow.steps)
+        if workflow.due_ms:
+            self._update_status(workflow, utc_now_ms())
+
+    # -- followed -----------------------------------------------------------------------------
+
+    async def run(self) -> None:
+        last_saved = monotonic_now()
+        while True:
+            await sleep(EVALUATION_INTERVAL)
+            try:
+                if not self.is_loaded:
+                    await self._load()
+                self._evaluate_deadlines()
+                if monotonic_now() - last_saved >= SAVE_INTERVAL and self._may_write():
+                    last_saved = monotonic_now()
+                    await self._save()
+            except LeadershipLost as e:
+                self._step_down(str(e))
+            except (StoreError, Unreachable, CompareFailed) as e:
+                log.info("promises: %s", e)
+                await sleep(seconds(1))
+
+    async def _load(self) -> None:
+        entry = await self.fenced_writer.kv_store.get(NIGHT_REPORTS_KEY)
+        if entry is not None:
+            self.fenced_writer.load([entry])
+            try:
+                self.closed_reports = {str(n): NightReport.decode(v) for n, v in entry.value["nights"].items()}
+                self.step_durations.decode(entry.value["times"])
+            except (KeyError, TypeError, ValueError, AttributeError) as e:
+                # Nothing but reports of nights that are over and first forecasts rest on it.
+                log.warning("the record of nights can't be read, and begins anew: %r", e)
+                self.closed_reports = {}
+        self.is_loaded = True
+
+    async def _save(self) -> None:
+        now_ms = utc_now_ms()
+        newly_closed: dict[str, NightReport] = {}
+        for workflow in self._workflows_with_deadline():
+            if workflow.due_ms + REPORT_CLOSE_DELAY_MS < now_ms:
+                name = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
+                if name not in self.closed_reports:
+                    newly_closed.setdefault(name, NightReport()).add(
+                        workflow, self._delaying_step_class(workflow), now_ms
+                    )
+        self.closed_reports |= newly_closed
+        for name in sorted(self.closed_reports)[: max(0, len(self.closed_reports) - self.settings.max_night_reports)]:
+            del self.closed_reports[name]
+        value = {
+            "nights": {n: night.encode() for n, night in sorted(self.closed_reports.items())},
+            "times": self.step_durations.encode(),
+        }
+        max_bytes = int(min(self.fenced_writer.kv_store.transaction_limits.max_value_bytes, 8192) * 0.9)
+        while len(msgspec.json.encode(value)) > max_bytes and value["nights"]:
+            del value["nights"][min(value["nights"])]
+        changes = self.fenced_writer.changed_values({NIGHT_REPORTS_KEY: value})
+        if changes:
+            await self.fenced_writer.save(changes)
+
+    def _workflows_with_deadline(self) -> list[Workflow]:
+        return [workflow for workflow in self.workflow_controller.workflows.values() if workflow.due_ms]
+
+    def _evaluate_deadlines(self) -> None:
+        now_ms = utc_now_ms()
+        workflow_ids = {workflow.id for workflow in self._workflows_with_deadline()}
+        self.statuses = {name: s for name, s in self.statuses.items() if name in workflow_ids}
+        for workflow in self._workflows_with_deadline():
+            if not workflow.is_ended or workflow.id not in self.statuses:
+                self._update_status(workflow, now_ms)
+        slack_by_job = urgent_job_slack(
+            (s for s in self.statuses.values() if s.state == AT_RISK), self.workflow_controller.workflows
+        )
+        self.cluster_state.set_slack("promises", slack_by_job)
+
+    def _update_status(self, workflow: Workflow, now_ms: int) -> None:
+        policy = self.settings.policy_for(workflow.team)
+        quantile = 0.8 if policy is None else policy.forecast_quantile
+        margin_ms = 0 if policy is None else round(policy.risk_margin.total_seconds() * 1000)
+
+        def typical_duration(step: WorkflowStep) -> float:
+            known = self.step_durations.quantile(step.job_class, quantile)
+            if known is not None:
+                return known
+            run = self.cluster_state.jobs.get(step.job_id)
+            return (
+                DEFAULT_STEP_DURATION_S
+                if run is None
+                else max(DEFAULT_STEP_DURATION_S, self.cluster_state.estimate_runtime(run.spec).total_seconds())
+            )
+
+        previous = self.statuses.get(workflow.id)
+        status = evaluate_deadline(workflow, typical_duration, margin_ms, now_ms)
+        if status.state in (AT_RISK, UNATTAINABLE, LATE):
+            status.waits_for = self._waiting_reason(workflow)
+        elif (
+            previous is not None and status.state not in (AT_RISK, UNATTAINABLE, LATE) and not status.slowest_step_class
+        ):
+            status.slowest_step_class = previous.slowest_step_class
+        self.statuses[workflow.id] = status
+        if previous is None or previous.state != status.state:
+            slack = f", {status.slack_ms / 1000:.0f} s of slack" if not workflow.is_ended else ""
+            why = f"; {status.waits_for}" if status.waits_for else ""
+            log.info("promise of %s (%d lots): %s%s%s", workflow.id, len(workflow.lots), status.state, slack, why)
+
+    def _waiting_reason(self, workflow: Workflow) -> str | None:
+        if workflow.state != "open":
+            return workflow.reason or workflow.state
+        for step in workflow.steps:
+            if not step.outcome and step.released_ms:
+                explanation = explain_job(self.cluster_state, step.job_id, monotonic_now())
+                if explanation is not None and explanation["waits_for"]:
+                    return f"{step.job_class}: {explanation['waits_for']}"
+                return f"{step.job_class} to end"
+        return None
+
+    def _slowest_step_class(self, workflow: Workflow) -> str:
+        """The class of the step that took the longest beyond what its class usually takes."""
+        excess_durations = [
+            ((s.ended_ms - s.released_ms) / 1000 - (self.step_durations.quantile(s.job_class, 0.5) or 0.0), s.job_class)
+            for s in workflow.steps
+            if s.released_ms and s.ended_ms
+        ]
+        return max(excess_durations, default=(0.0, ""))[1]
+
+    def _delaying_step_class(self, workflow: Workflow) -> str:
+        if workflow.late_step_class:
+            return workflow.late_step_class
+        status = self.statuses.get(workflow.id)
+        return status.slowest_step_class if status is not None else ""
+
+    # -- told ---------------------------------------------------------------------------------
+
+    def night_reports(self) -> dict[str, NightReport]:
+        """Nights that are over, and those that are not, as they stand."""
+        reports = dict(self.closed_reports)
+        now_ms = utc_now_ms()
+        for workflow in self._workflows_with_deadline():
+            name = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
+            if name not in self.closed_reports:
+                reports.setdefault(name, NightReport()).add(workflow, self._delaying_step_class(workflow), now_ms)
+        return dict(sorted(reports.items()))
+
+    def describe(self, night: str = "") -> dict[str, Any]:
+        rows = sorted(self.statuses.values(), key=lambda s: (STATE_SORT_ORDER[s.state], s.slack_ms, s.workflow_id))
+        if night:
+            rows = [s for s in rows if due_time.night_ending_date(s.due_ms, self.settings.calendar) == night]
+        now_ms = utc_now_ms()
+        return {
+            "promises": [
+                {
+                    "chain": s.workflow_id,
+                    "team": s.team,
+                    "state": s.state,
+                    "stage": s.stage,
+                    "due_in_s": round((s.due_ms - now_ms) / 1000),
+                    "expected_in_s": round((s.expected_ms - now_ms) / 1000),
+                    "slack_s": round(s.slack_ms / 1000),
+                    "lots": s.lot_count,
+                    "lots_in_viewer": s.delivered_lot_count,
+                    "waits_for": s.waits_for,
+                    "due_ms": s.due_ms,
+                    "ended_ms": s.expected_ms if s.stage == "in the viewer" else None,
+                }
+                for s in rows[:MAX_LISTED_DEADLINES]
+            ],
+            "nights": [
+                {"night": name, "promised": n.due_lots, "kept": n.on_time_lots, "late": n.late_lots,
+                 "superseded": n.superseded_lots,
+                 "worst_late_s": n.max_lateness_s, "late_by_step": n.late_lots_by_step_class}
+                for name, n in self.night_reports().items()
+            ],
+        }  # fmt: skip
+
+    def summary(self) -> dict[str, Any]:
+        """For `status`."""
+        counts: dict[str, int] = {}
+        for status in self.statuses.values():
+            counts[status.state] = counts.get(status.state, 0) + 1
+        return {"promises": counts} if counts else {}
--- a/roseweir/promises/morning.py
+++ b/roseweir/delivery_deadlines/due_time.py
@@ -11,52 +11,52 @@
 from datetime import UTC, date, datetime, time, timedelta, tzinfo
 
 from roseweir.calendars import Calendar
-from roseweir.promises.settings import Promise
+from roseweir.delivery_deadlines.settings import DeadlinePolicy
 
 # Closed days and holidays in a row, at the most, that are looked through.
-DAYS_MOST = 400
+MAX_DAYS_SEARCHED = 400
 
 
-def due_ms(landed_ms: int, promise: Promise, calendar: Calendar) -> int:
+def compute_due_ms(landed_ms: int, policy: DeadlinePolicy, calendar: Calendar) -> int:
     landed = datetime.fromtimestamp(landed_ms / 1000, UTC)
     zone = calendar.zone
     day = landed.astimezone(zone).date()
-    for ahead in range(DAYS_MOST):
-        morning = day + timedelta(days=ahead)
-        if morning.weekday() in promise.closed or calendar.is_holiday(morning):
+    for days_ahead in range(MAX_DAYS_SEARCHED):
+        business_day = day + timedelta(days=days_ahead)
+        if business_day.weekday() in policy.closed_weekdays or calendar.is_holiday(business_day):
             continue
-        due = instant(morning, promise.by, zone)
-        if landed < cut_off(morning, promise, zone):
+        due = local_instant(business_day, policy.due_time, zone)
+        if landed < cutoff_instant(business_day, policy, zone):
             return round(due.timestamp() * 1000)
     return 0
 
 
-def cut_off(morning: date, promise: Promise, zone: tzinfo) -> datetime:
+def cutoff_instant(business_day: date, policy: DeadlinePolicy, zone: tzinfo) -> datetime:
     """Until when what lands is for this morning: the last time the cut-off's hour comes before it."""
-    if promise.cut_off is None:
-        return instant(morning, promise.by, zone)
-    day = morning if promise.cut_off <= promise.by else morning - timedelta(days=1)
-    return instant(day, promise.cut_off, zone)
+    if policy.cutoff_time is None:
+        return local_instant(business_day, policy.due_time, zone)
+    day = business_day if policy.cutoff_time <= policy.due_time else business_day - timedelta(days=1)
+    return local_instant(day, policy.cutoff_time, zone)
 
 
-def instant(day: date, at: time, zone: tzinfo) -> datetime:
+def local_instant(day: date, at: time, zone: tzinfo) -> datetime:
     """A local time of a day. One that does not exist is the moment at which the clocks have gone on."""
     local = datetime.combine(day, at, zone)
-    found = local.astimezone(UTC)
-    if found.astimezone(zone).replace(tzinfo=None) == local.replace(tzinfo=None):
-        return found
+    utc_time = local.astimezone(UTC)
+    if utc_time.astimezone(zone).replace(tzinfo=None) == local.replace(tzinfo=None):
+        return utc_time
     # Skipped: between the last moment before the change and the first after it.
-    low, high = found - timedelta(hours=3), found + timedelta(hours=3)
-    before = low.astimezone(zone).utcoffset()
+    low, high = utc_time - timedelta(hours=3), utc_time + timedelta(hours=3)
+    offset_before = low.astimezone(zone).utcoffset()
     while high - low > timedelta(seconds=1):
         middle = low + (high - low) / 2
-        if middle.astimezone(zone).utcoffset() == before:
+        if middle.astimezone(zone).utcoffset() == offset_before:
             low = middle
         else:
             high = middle
     return high.replace(microsecond=0)
 
 
-def night_of(due: int, calendar: Calendar) -> str:
+def night_ending_date(due_ms: int, calendar: Calendar) -> str:
     """The date of the morning that ends the night."""
-    return datetime.fromtimestamp(due / 1000, UTC).astimezone(calendar.zone).date().isoformat()
+    return datetime.fromtimestamp(due_ms / 1000, UTC).astimezone(calendar.zone).date().isoformat()
--- a/roseweir/dependencies/graph.py
+++ b/roseweir/dependencies/graph.py
@@ -11,133 +11,137 @@
 
 
 @dataclass(slots=True)
-class Change:
+class GraphChange:
     """What follows from one event."""
 
     released: list[str] = field(default_factory=list)  # all that they awaited is done
-    cancelled: dict[str, str] = field(default_factory=dict)  # with which job, by the id of the one that needs it
+    cancelled_with: dict[str, str] = field(default_factory=dict)  # with which job, by the id of the one that needs it
     priorities: dict[str, int] = field(default_factory=dict)  # effective ones that are others than before
 
 
-class Graph:
+class DependencyGraph:
     """Jobs that wait, and what they wait for."""
 
     def __init__(self) -> None:
-        self.needs: dict[str, set[str]] = {}  # of a job that waits: what is not known to be done
-        self.needed_by: dict[str, set[str]] = {}  # the same edges, from the other end
-        self.cancelled: dict[str, str] = {}  # jobs that are cancelled with one, which is named, and not over yet
-        self._own: dict[str, int] = {}  # priorities as submitted, of all jobs with an edge that are known
-        self._effective: dict[str, int] = {}
+        self.dependencies: dict[str, set[str]] = {}  # of a job that waits: what is not known to be done
+        self.dependents: dict[str, set[str]] = {}  # the same edges, from the other end
+        self.cancelled_with: dict[str, str] = {}  # jobs that are cancelled with one, which is named, and not over yet
+        self._own_priorities: dict[str, int] = {}  # priorities as submitted, of all jobs with an edge that are known
+        self._effective_priorities: dict[str, int] = {}
 
-    def __contains__(self, job: str) -> bool:
-        return job in self.needs or job in self.cancelled
+    def __contains__(self, job_id: str) -> bool:
+        return job_id in self.dependencies or job_id in self.cancelled_with
 
-    def priority(self, job: str) -> int | None:
+    def effective_priority(self, job_id: str) -> int | None:
         """The lowest number of the job's own and of those of all that need it; None: nobody waits here."""
-        return self._effective.get(job)
+        return self._effective_priorities.get(job_id)
 
-    def add(self, job: str, priority: int, awaited: Iterable[str]) -> Change:
+    def add_job(self, job_id: str, priority: int, awaited: Iterable[str]) -> GraphChange:
         """A job that waits. `awaited`: what it names that is not known to be done; those known cancelled are told of
         by `end` afterwards. With nothing awaited it is released."""
-        change = Change()
-        needs = set(awaited)
-        root = min((self.cancelled[name] for name in needs if name in self.cancelled), default="")
+        change = GraphChange()
+        dependencies = set(awaited)
+        root = min((self.cancelled_with[name] for name in dependencies if name in self.cancelled_with), default="")
         if root:
-            self._forget_priority(job)
-            self._cancel([(job, root)], change)
+            self._forget_priority(job_id)
+            self._cancel_transitively([(job_id, root)], change)
             return change
-        if not needs:
-            change.released.append(job)
+        if not dependencies:
+            change.released.append(job_id)
             return change
-        self.needs[job] = needs
-        for name in needs:
-            self.needed_by.setdefault(name, set()).add(job)
-        self.know(job, priority, change)
+        self.dependencies[job_id] = dependencies
+        for name in dependencies:
+            self.dependents.setdefault(name, set()).add(job_id)
+        self.record_priority(job_id, priority, change)
         return change
 
-    def know(self, job: str, priority: int, change: Change | None = None) -> Change:
+    def record_priority(self, job_id: str, priority: int, change: GraphChange | None = None) -> GraphChange:
         """The priority with which a job was submitted, if it waits or others wait for it."""
-        change = change or Change()
-        if job in self.needs or job in self.needed_by:
-            self._own[job] = priority
-            self._effective.setdefault(job, priority)
-            self._settle([job, *self.needs.get(job, ())], change)
+        change = change or GraphChange()
+        if job_id in self.dependencies or job_id in self.dependents:
+            self._own_priorities[job_id] = priority
+            self._effective_priorities.setdefault(job_id, priority)
+            self._propagate_priorities([job_id, *self.dependencies.get(job_id, ())], change)
         return change
 
-    def end(self, job: str, state: str) -> Change:
+    def record_end(self, job_id: str, state: str) -> GraphChange:
         """The job's end is durable."""
-        change = Change()
-        self.cancelled.pop(job, None)
-        needs = self._detach(job)
+        change = GraphChange()
+        self.cancelled_with.pop(job_id, None)
+        dependencies = self._remove_dependencies(job_id)
         if state == DONE:
-            for waiting in sorted(self.needed_by.pop(job, ())):
-                left = self.needs[waiting]
-                left.discard(job)
-                if not left:
-                    del self.needs[waiting]
-                    change.released.append(waiting)
+            for dependent in sorted(self.dependents.pop(job_id, ())):
+                remaining = self.dependencies[dependent]
+                remaining.discard(job_id)
+                if not remaining:
+                    del self.dependencies[dependent]
+                    change.released.append(dependent)
         else:
-            self._cancel([(waiting, job) for waiting in sorted(self.needed_by.get(job, ()))], change)
-            self.needed_by.pop(job, None)
-        self._forget_priority(job)
-        self._settle(needs, change)
+            self._cancel_transitively(
+                [(dependent, job_id) for dependent in sorted(self.dependents.get(job_id, ()))], change
+            )
+            self.dependents.pop(job_id, None)
+        self._forget_priority(job_id)
+        self._propagate_priorities(dependencies, change)
         for released in change.released:
-            if released not in self.needed_by:
+            if released not in self.dependents:
                 self._forget_priority(released)
         return change
 
-    def _cancel(self, first: list[tuple[str, str]], change: Change) -> None:
+    def _cancel_transitively(self, initial: list[tuple[str, str]], change: GraphChange) -> None:
         """These jobs, and all that need them through others, are cancelled with the jobs named."""
-        stack = list(first)
+        stack = list(initial)
         affected: set[str] = set()
         while stack:
-            job, root = stack.pop()
-            if job in self.cancelled:
+            job_id, root = stack.pop()
+            if job_id in self.cancelled_with:
                 continue
-            self.cancelled[job] = change.cancelled[job] = root
-            affected |= self._detach(job)
-            stack += [(waiting, root) for waiting in self.needed_by.pop(job, ())]
-            self._forget_priority(job)
-        self._settle(affected, change)
+            self.cancelled_with[job_id] = change.cancelled_with[job_id] = root
+            affected |= self._remove_dependencies(job_id)
+            stack += [(dependent, root) for dependent in self.dependents.pop(job_id, ())]
+            self._forget_priority(job_id)
+        self._propagate_priorities(affected, change)
 
-    def _detach(self, job: str) -> set[str]:
+    def _remove_dependencies(self, job_id: str) -> set[str]:
         """The job waits for nothing any more; what it waited for."""
-        needs = self.needs.pop(job, set())
-        for name in needs:
-            others = self.needed_by.get(name)
-            if others is not None:
-                others.discard(job)
-                if not others:
-                    del self.needed_by[name]
-        return needs
-
-    def _forget_priority(self, job: str) -> None:
-        self._own.pop(job, None)
-        self._effective.pop(job, None)
-
-    def _settle(self, jobs: Iterable[str], change: Change) -> None:
+        dependencies = self.dependencies.pop(job_id, set())
+        for name in dependencies:
+            dependents = self.dependents.get(name)
+            if dependents is not None:
+                dependents.discard(job_id)
+                if not dependents:
+                    del self.dependents[name]
+        return dependencies
+
+    def _forget_priority(self, job_id: str) -> None:
+        self._own_priorities.pop(job_id, None)
+        self._effective_priorities.pop(job_id, None)
+
+    def _propagate_priorities(self, job_ids: Iterable[str], change: GraphChange) -> None:
         """See these jobs' effective priorities anew, and those of all that they need where one has changed."""
-        stack = list(jobs)
+        stack = list(job_ids)
         while stack:
-            job = stack.pop()
-            own = self._own.get(job)
-            if own is None:
+            job_id = stack.pop()
+            own_priority = self._own_priorities.get(job_id)
+            if own_priority is None:
                 continue
-            needing = (self._effective.get(name, own) for name in self.needed_by.get(job, ()))
-            priority = min(own, min(needing, default=own))
-            if priority != self._effective.get(job) or job not in self._effective:
-                self._effective[job] = change.priorities[job] = priority
-                stack += self.needs.get(job, ())
-            if job not in self.needed_by and job not in self.needs:
-                self._forget_priority(job)
+            dependent_priorities = (
+                self._effective_priorities.get(name, own_priority) for name in self.dependents.get(job_id, ())
+            )
+            priority = min(own_priority, min(dependent_priorities, default=own_priority))
+            if priority != self._effective_priorities.get(job_id) or job_id not in self._effective_priorities:
+                self._effective_priorities[job_id] = change.priorities[job_id] = priority
+                stack += self.dependencies.get(job_id, ())
+            if job_id not in self.dependents and job_id not in self.dependencies:
+                self._forget_priority(job_id)
 
 
 @dataclass(slots=True, frozen=True)
 class Stage:
     """What a job adds to its pipeline's length, in milliseconds of the time of day."""
 
-    takes_ms: int  # from its start to its end, as far as can be told
-    due_ms: int | None  # its own deadline
+    duration_ms: int  # from its start to its end, as far as can be told
+    deadline_ms: int | None  # its own deadline
 
 
 @dataclass(slots=True, frozen=True, order=True)
@@ -145,48 +149,48 @@
     """By when a job has to start, and the deadline that asks for it; milliseconds of the time of day."""
 
     start_ms: int
-    due_ms: int
+    deadline_ms: int
 
 
 def latest_starts(
-    jobs: Iterable[str], needed_by: Mapping[str, set[str]], stage: Callable[[str], Stage]
+    job_ids: Iterable[str], dependents: Mapping[str, set[str]], stage_of: Callable[[str], Stage]
 ) -> dict[str, LatestStart]:
     """By when each job has to start so that no deadline behind it is missed, of those with one.
 
     A job has to end before its own deadline and before the latest start of each job that needs it.
     """
     found: dict[str, LatestStart | None] = {}
-    for first in jobs:
-        stack = [first]
+    for first_job_id in job_ids:
+        stack = [first_job_id]
         while stack:
-            job = stack[-1]
-            if job in found:
+            job_id = stack[-1]
+            if job_id in found:
                 stack.pop()
                 continue
-            behind = [name for name in needed_by.get(job, ()) if name not in found]
-            if behind:
-                stack += behind
+            unresolved = [name for name in dependents.get(job_id, ()) if name not in found]
+            if unresolved:
+                stack += unresolved
                 continue
             stack.pop()
-            at = stage(job)
-            ends = [end for name in needed_by.get(job, ()) if (end := found[name]) is not None]
-            if at.due_ms is not None:
-                ends.append(LatestStart(at.due_ms, at.due_ms))
-            end = min(ends, default=None)
-            found[job] = None if end is None else LatestStart(end.start_ms - at.takes_ms, end.due_ms)
-    return {job: start for job, start in found.items() if start is not None}
+            job_stage = stage_of(job_id)
+            latest_ends = [end for name in dependents.get(job_id, ()) if (end := found[name]) is not None]
+            if job_stage.deadline_ms is not None:
+                latest_ends.append(LatestStart(job_stage.deadline_ms, job_stage.deadline_ms))
+            end = min(latest_ends, default=None)
+            found[job_id] = None if end is None else LatestStart(end.start_ms - job_stage.duration_ms, end.deadline_ms)
+    return {job_id: start for job_id, start in found.items() if start is not None}
 
 
-def longest_path(job: str, edges: Mapping[str, set[str]], takes_ms: Callable[[str], int]) -> int:
+def longest_path_ms(job_id: str, edges: Mapping[str, set[str]], duration_ms: Callable[[str], int]) -> int:
     """Milliseconds of the longest way from a job along the edges, the job itself included."""
-    found: dict[str, int] = {}
-    stack = [job]
+    path_ms: dict[str, int] = {}
+    stack = [job_id]
     while stack:
-        at = stack[-1]
-        ahead = [name for name in edges.get(at, ()) if name not in found and at not in found]
-        if ahead:
-            stack += ahead
+        current = stack[-1]
+        unresolved = [name for name in edges.get(current, ()) if name not in path_ms and current not in path_ms]
+        if unresolved:
+            stack += unresolved
             continue
         stack.pop()
-        found[at] = takes_ms(at) + max((found[name] for name in edges.get(at, ())), default=0)
-    return found[job]
+        path_ms[current] = duration_ms(current) + max((path_ms[name] for name in edges.get(current, ())), default=0)
+    return path_ms[job_id]
--- a/roseweir/dependencies/slack.py
+++ b/roseweir/dependencies/slack.py
@@ -1,54 +1,60 @@
 """How much time the jobs of a pipeline have left: users set a deadline on its last job alone. Pure.
 
 Each job before has to end early enough for those behind it, by the estimates that the leader corrects by class. Among
-one team's jobs of equal standing those that run out of time go first, the least slack first (`placement/plan.py`): an
-exception to the order of arrival, and the smallest that works. Nobody else's place in the queue moves, no job whose
+one team's jobs of equal standing those that run out of time go first, the least slack first
+(`scheduler/scheduling_pass.py`): an exception to the order of arrival, and the smallest that works. Nobody else's
+place in the queue moves, no job whose
 time is ample moves, and what is late by more than its whole path makes way again for what can still come in time.
 """
 
 from collections.abc import Iterable
 from math import ceil
 
-from roseweir.dependencies.graph import Graph, LatestStart, Stage, latest_starts
-from roseweir.placement.board import Board
-from roseweir.placement.model import JobRun
-from roseweir.placement.plan import most_at_once
+from roseweir.dependencies.graph import DependencyGraph, LatestStart, Stage, latest_starts
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import JobRun
+from roseweir.scheduler.scheduling_pass import max_concurrent_tasks
 
 # Whether jobs of pipelines are put in order by slack; False to measure without.
 ORDER_BY_SLACK = True
 # Estimates are wrong by half: less slack than this part of the path behind a job is none. And how late is lost.
-AT_RISK, LOST = 0.5, 1.0
+AT_RISK_SLACK_FRACTION, MAX_LATENESS_FRACTION = 0.5, 1.0
 
 
-def takes_ms(board: Board, run: JobRun) -> int:
+def estimated_duration_ms(cluster_state: ClusterState, run: JobRun) -> int:
     """Milliseconds from the job's start to its end: a task's time, as often as its team's limit makes waves of them."""
     spec = run.spec
-    task_ms = spec.estimate_s * board.ratios.get(spec.job_class, 1.0) * 1000
-    left = spec.tasks - run.done_count
-    if spec.whole or left <= 1:
+    task_ms = spec.estimated_duration_s * cluster_state.runtime_ratios.get(spec.job_class, 1.0) * 1000
+    remaining_tasks = spec.task_count - run.completed_count
+    if spec.is_admitted_as_unit or remaining_tasks <= 1:
         return round(task_ms)
-    return round(task_ms * ceil(left / max(1, most_at_once(board, spec))))
+    return round(task_ms * ceil(remaining_tasks / max(1, max_concurrent_tasks(cluster_state, spec))))
 
 
-def stage_of(board: Board, job_id: str) -> Stage:
-    run = board.jobs.get(job_id)
-    if run is None or run.over:
+def stage_of(cluster_state: ClusterState, job_id: str) -> Stage:
+    run = cluster_state.jobs.get(job_id)
+    if run is None or run.final_state:
         return Stage(0, None)
-    due_s = run.spec.deadline_s
-    return Stage(takes_ms(board, run), None if due_s is None else run.due_from_ms + round(due_s * 1000))
+    deadline_s = run.spec.deadline_s
+    return Stage(
+        estimated_duration_ms(cluster_state, run),
+        None if deadline_s is None else run.deadline_base_ms + round(deadline_s * 1000),
+    )
 
 
-def starts_by(board: Board, graph: Graph, jobs: Iterable[str]) -> dict[str, LatestStart]:
+def latest_start_times(
+    cluster_state: ClusterState, graph: DependencyGraph, job_ids: Iterable[str]
+) -> dict[str, LatestStart]:
     """By when these jobs and those behind them have to start, of those with a deadline behind them."""
-    return latest_starts(jobs, graph.needed_by, lambda job_id: stage_of(board, job_id))
+    return latest_starts(job_ids, graph.dependents, lambda job_id: stage_of(cluster_state, job_id))
 
 
-def at_risk(starts: dict[str, LatestStart], now_ms: int) -> dict[str, int]:
+def slack_of_jobs_at_risk(latest_starts_by_job: dict[str, LatestStart], now_ms: int) -> dict[str, int]:
     """Slack in milliseconds of the jobs that run out of time. `now_ms`: time of day."""
-    found: dict[str, int] = {}
-    for job_id, latest in starts.items():
-        path_ms = latest.due_ms - latest.start_ms
+    slack_ms_by_job: dict[str, int] = {}
+    for job_id, latest in latest_starts_by_job.items():
+        path_ms = latest.deadline_ms - latest.start_ms
         slack_ms = latest.start_ms - now_ms
-        if -LOST * path_ms <= slack_ms < AT_RISK * path_ms:
-            found[job_id] = slack_ms
-    return found
+        if -MAX_LATENESS_FRACTION * path_ms <= slack_ms < AT_RISK_SLACK_FRACTION * path_ms:
+            slack_ms_by_job[job_id] = slack_ms
+    return slack_ms_by_job
--- a/roseweir/drain/cli.py
+++ b/roseweir/drain/cli.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from roseweir.asking import post, print_json
-from roseweir.drain.model import RESERVED
-from roseweir.forms import SettingsError
+from roseweir.admin_client import post_command, print_json
+from roseweir.drain.model import RESERVED_NAMES
+from roseweir.sexp import SettingsError
 
-LOOK = 2.0
+STATUS_POLL_INTERVAL_S = 2.0
 
 
-def named_first(argv: Sequence[str]) -> list[str]:
+def expand_start_shorthand(argv: Sequence[str]) -> list[str]:
     """`drain NAME ...` is short for `drain start NAME ...`."""
-    words = list(argv)
-    if words[:1] == ["drain"] and len(words) > 1 and words[1] not in (*RESERVED, "-h", "--help"):
-        words.insert(1, "start")
-    return words
+    arguments = list(argv)
+    if arguments[:1] == ["drain"] and len(arguments) > 1 and arguments[1] not in (*RESERVED_NAMES, "-h", "--help"):
+        arguments.insert(1, "start")
+    return arguments
 
 
 def add_commands(commands: Any) -> None:
     parser = commands.add_parser("drain", help="empty machines within budgets of disruption, and replace them")
     verbs = parser.add_subparsers(required=True, metavar="NAME | status | stop")
 
-    def common(verb: argparse.ArgumentParser, run: Callable[[argparse.Namespace], int]) -> None:
+    def add_common_arguments(verb: argparse.ArgumentParser, run: Callable[[argparse.Namespace], int]) -> None:
         verb.add_argument("--at", required=True, metavar="HOST:PORT", help="any controller's own address (`back`)")
         verb.add_argument("--json", action="store_true", help="print the answer as it came")
         verb.set_defaults(run=run)
@@ -35,29 +35,33 @@
     start.add_argument("--machine", action="append", default=[], metavar="ID", help="this machine; may be repeated")
     start.add_argument("--type", action="append", default=[], metavar="TYPE", help="machines of this type")
     start.add_argument("--zone", action="append", default=[], metavar="ZONE", help="machines in this zone")
-    kind = start.add_mutually_exclusive_group()
-    kind.add_argument("--spot", action="store_true", help="spot machines only")
-    kind.add_argument("--ordinary", action="store_true", help="all but spot machines")
-    start.add_argument("--older", type=_span, metavar="S", help="machines rented longer ago than this many seconds")
+    pricing_group = start.add_mutually_exclusive_group()
+    pricing_group.add_argument("--spot", action="store_true", help="spot machines only")
+    pricing_group.add_argument("--ordinary", action="store_true", help="all but spot machines")
+    start.add_argument(
+        "--older", type=_parse_seconds, metavar="S", help="machines rented longer ago than this many seconds"
+    )
     start.add_argument("--all", action="store_true", help="all machines there are now: replace the fleet")
     start.add_argument("--reason", default="", metavar="TEXT", help="why; shown in `drain status` and the log")
-    start.add_argument("--grace", type=_span, metavar="S", help="how long to wait for tasks that can't move or save")
-    start.add_argument("--deadline", type=_span, metavar="S", help="until when, in seconds (default: 3600)")
+    start.add_argument(
+        "--grace", type=_parse_seconds, metavar="S", help="how long to wait for tasks that can't move or save"
+    )
+    start.add_argument("--deadline", type=_parse_seconds, metavar="S", help="until when, in seconds (default: 3600)")
     start.add_argument(
         "--then", choices=("force", "give-up"), default="give-up", help="at the deadline (default: give-up)"
     )
     start.add_argument("--no-replace", action="store_true", help="rent nothing in their place")
     start.add_argument("--wait", action="store_true", help="show progress until the end; exit 1 if some are left")
-    common(start, _start)
+    add_common_arguments(start, _start)
     status = verbs.add_parser("status", help="how drains stand, what they wait for, and what each team's budget says")
     status.add_argument("name", nargs="?", metavar="NAME", help="this one alone")
-    common(status, _status)
+    add_common_arguments(status, _status)
     stop = verbs.add_parser("stop", help="end a drain where it stands; its machines may be used again")
     stop.add_argument("name", metavar="NAME")
-    common(stop, _stop)
+    add_common_arguments(stop, _stop)
 
 
-def _span(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -68,10 +72,10 @@
 
 
 def _start(args: argparse.Namespace) -> int:
-    chosen = args.machine or args.type or args.zone or args.spot or args.ordinary or args.older
-    if bool(chosen) == args.all:
+    has_selector = args.machine or args.type or args.zone or args.spot or args.ordinary or args.older
+    if bool(has_selector) == args.all:
         raise SettingsError("drain: name machines, a type, a zone, a kind or an age; or say --all")
-    ask = {
+    request = {
         "name": args.name,
         "reason": args.reason,
         "machines": args.machine,
@@ -84,16 +88,16 @@
         "force": args.then == "force",
         "replace": not args.no_replace,
     }
-    answer = post(args.at, "/drains", {"verb": "start", "ask": ask})
+    answer = post_command(args.at, "/drains", {"verb": "start", "ask": request})
     if args.json:
         print_json(answer)
     else:
         _print_drain(answer["drain"])
-    return _watch(args.at, args.name) if args.wait else 0
+    return _print_progress(args.at, args.name) if args.wait else 0
 
 
 def _status(args: argparse.Namespace) -> int:
-    answer = post(args.at, "/drains", {"verb": "status"})
+    answer = post_command(args.at, "/drains", {"verb": "status"})
     if args.name is not None:
         rows = [row for row in answer["drains"] + answer["ended"] if row["name"] == args.name]
         if not rows:
@@ -102,12 +106,12 @@
     if args.json:
         print_json(answer)
     else:
-        _print_all(answer)
+        _print_status(answer)
     return 0
 
 
 def _stop(args: argparse.Namespace) -> int:
-    answer = post(args.at, "/drains", {"verb": "stop", "name": args.name})
+    answer = post_command(args.at, "/drains", {"verb": "stop", "name": args.name})
     if args.json:
         print_json(answer)
     else:
@@ -115,36 +119,36 @@
     return 0
 
 
-def _watch(at: str, name: str) -> int:
+def _print_progress(address: str, name: str) -> int:
     """A line for each change until the drain has ended."""
-    said = ""
+    last_line = ""
     while True:
-        answer = post(at, "/drains", {"verb": "status"})
+        answer = post_command(address, "/drains", {"verb": "status"})
         row = next((r for r in answer["drains"] + answer["ended"] if r["name"] == name), None)
         if row is None:
             print(f"roseweir: {name} has ended long ago", file=sys.stderr)
             return 1
-        line = f"{row['machines_gone']}/{row['machines_chosen']} gone, {_steps(row)}"
+        line = f"{row['machines_gone']}/{row['machines_chosen']} gone, {_format_state_counts(row)}"
         if row["waits_for"]:
             line += f"; waits for {row['waits_for']}"
         if row["expected_end_in_s"] is not None:
             line += f"; about {row['expected_end_in_s']:.0f} s more"
-        if line != said:
-            said = line
+        if line != last_line:
+            last_line = line
             print(line, flush=True)
         if row["ended_s_ago"] is not None:
             print(row["state"])
             return 0 if row["state"] == "done" else 1
-        time.sleep(LOOK)
+        time.sleep(STATUS_POLL_INTERVAL_S)
 
 
-def _steps(row: dict[str, Any]) -> str:
+def _format_state_counts(row: dict[str, Any]) -> str:
     return ", ".join(f"{count} {step}" for step, count in row["machines"].items()) or "none left"
 
 
 def _print_drain(row: dict[str, Any]) -> None:
     print(f"{row['name']:20} {row['state']}" + (f" ({row['reason']})" if row["reason"] else ""))
-    print(f"  machines           {row['machines_gone']} of {row['machines_chosen']} gone, {_steps(row)}")
+    print(f"  machines           {row['machines_gone']} of {row['machines_chosen']} gone, {_format_state_counts(row)}")
     if row["waits_for"]:
         since = "" if row["no_step_for_s"] is None else f", no step for {row['no_step_for_s']:.0f} s"
         print(f"  waits for          {row['waits_for']}{since}")
@@ -153,7 +157,7 @@
         print(f"  expected end       {end}; deadline in {row['deadline_in_s']:.0f} s, then {row['then']}")
 
 
-def _print_all(answer: dict[str, Any]) -> None:
+def _print_status(answer: dict[str, Any]) -> None:
     if not answer["on"]:
         print("no drains, and nothing is replaced by itself")
         return
@@ -163,25 +167,27 @@
         _print_drain(row)
     for row in answer["ended"]:
         print(f"{row['name']:20} {row['state']}, {row['ended_s_ago']:.0f} s ago")
-    own = answer["own_reasons"]
-    if own is not None:
+    auto_replacement = answer["own_reasons"]
+    if auto_replacement is not None:
         print(
-            f"replaced today       {own['replaced_today']} of {own['machines_a_day']}, "
-            f"{own['spent_today']} of {own['money_a_day']} spent"
+            f"replaced today       {auto_replacement['replaced_today']} of {auto_replacement['machines_a_day']}, "
+            f"{auto_replacement['spent_today']} of {auto_replacement['money_a_day']} spent"
         )
-        for reason, steps in own["machines"].items():
+        for reason, steps in auto_replacement["machines"].items():
             print(f"  {reason:18} " + ", ".join(f"{count} {step}" for step, count in steps.items()))
-        for brake in own["brakes"]:
-            print(f"  {brake['reason']} stopped for {brake['type']}, {brake['lifts_in_s']} s more: {brake['why']}")
+        for breaker in auto_replacement["brakes"]:
+            print(
+                f"  {breaker['reason']} stopped for {breaker['type']}, {breaker['lifts_in_s']} s more: {breaker['why']}"
+            )
     for row in answer["types"]:
         print(
             f"type {row['type']:15} {row['missing']} missing of {row['may_be_missing']}, "
             f"{row['ready_to_replace']} ready{', sold out' if row['sold_out'] else ''}"
         )
     for row in answer["budgets"]:
-        by = ", ".join(f"{count} {cause}" for cause, count in row["by"].items())
-        of = f" {row['class']}" if row["class"] else ""
+        cause_counts = ", ".join(f"{count} {cause}" for cause, count in row["by"].items())
+        job_class_suffix = f" {row['class']}" if row["class"] else ""
         print(
-            f"team {row['team']}{of}: {row['down']} of {row['may_be_down']} tasks down, {row['running']} run"
-            + (f" ({by})" if by else "")
+            f"team {row['team']}{job_class_suffix}: {row['down']} of {row['may_be_down']} tasks down, "
+            f"{row['running']} run" + (f" ({cause_counts})" if cause_counts else "")
         )
--- a/roseweir/drain/model.py
+++ b/roseweir/drain/model.py
@@ -7,18 +7,18 @@
 import msgspec
 
 from roseweir.clock import NEVER, seconds
-from roseweir.placement.model import Machine
+from roseweir.scheduler.model import Machine
 
 # Drains of one fleet at once, and ended ones that are still told of.
-ACTIVE_MOST, ENDED_KEPT = 32, 16
+MAX_ACTIVE_DRAINS, MAX_ENDED_DRAINS = 32, 16
 # Machines that one drain may name, so that it fits a value of 8 KiB.
-NAMED_MOST = 400
-_NAME = re.compile(r"[a-z0-9][a-z0-9.-]{0,39}")
+MAX_NAMED_MACHINES = 400
+_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9.-]{0,39}")
 # What the command line takes for something else than a drain's name.
-RESERVED = ("start", "status", "stop")
+RESERVED_NAMES = ("start", "status", "stop")
 
 
-class Ask(msgspec.Struct, omit_defaults=True):
+class DrainRequest(msgspec.Struct, omit_defaults=True, rename={"min_age_s": "older_s"}):
     """What an operator asks for. Without machines, types, zones, kind or age it is all there are now."""
 
     name: str
@@ -27,90 +27,116 @@
     types: list[str] = []
     zones: list[str] = []
     spot: bool | None = None
-    older_s: float | None = None
+    min_age_s: float | None = None
     grace_s: float | None = None
     deadline_s: float | None = None
     force: bool = False
     replace: bool = True
 
 
-class Drain(msgspec.Struct, omit_defaults=True):
+class Drain(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "request": "ask",
+        "requested_at_ms": "asked_ms",
+        "last_machine": "upto",
+        "selected_count": "total",
+        "remaining_count": "left",
+        "ended_at_ms": "ended_ms",
+    },
+):
     """An intention that was answered: kept until it has ended, and for a while after."""
 
-    ask: Ask
-    asked_ms: int  # by the wall clock
+    request: DrainRequest
+    requested_at_ms: int  # by the wall clock
     deadline_ms: int
     grace_s: float
     # Names are given in the order of creation: machines up to this one were there. What replaces them comes later.
-    upto: str
-    total: int = 0  # machines chosen when it was asked for
+    last_machine: str
+    selected_count: int = 0  # machines chosen when it was asked for
     outcome: str = ""  # how it ended; "": it goes on
-    left: int = 0  # machines that it did not empty
-    ended_ms: int = 0
+    remaining_count: int = 0  # machines that it did not empty
+    ended_at_ms: int = 0
 
     @property
     def name(self) -> str:
-        return self.ask.name
+        return self.request.name
 
     @property
     def grace(self) -> timedelta:
         return seconds(self.grace_s)
 
     def selects(self, machine: Machine, now: datetime, wall_ms: int) -> bool:
-        ask = self.ask
-        if ask.machines:
-            return machine.name in ask.machines
-        if machine.name > self.upto:
+        request = self.request
+        if request.machines:
+            return machine.name in request.machines
+        if machine.name > self.last_machine:
             return False
-        if ask.types and machine.type.name not in ask.types:
+        if request.types and machine.machine_type.name not in request.types:
             return False
-        if ask.zones and machine.zone not in ask.zones:
+        if request.zones and machine.zone not in request.zones:
             return False
-        if ask.spot is not None and machine.spot != ask.spot:
+        if request.spot is not None and machine.is_spot != request.spot:
             return False
-        if ask.older_s is not None:
+        if request.min_age_s is not None:
             # As old as that when it was asked for: otherwise machines would go on joining it.
-            age = age_of(machine, now)
-            return age is not None and age >= seconds(ask.older_s + (wall_ms - self.asked_ms) / 1000)
+            age = machine_age(machine, now)
+            return age is not None and age >= seconds(request.min_age_s + (wall_ms - self.requested_at_ms) / 1000)
         return True
 
-    def is_late(self, wall_ms: int) -> bool:
+    def is_past_deadline(self, wall_ms: int) -> bool:
         return wall_ms >= self.deadline_ms
 
 
-def age_of(machine: Machine, now: datetime) -> timedelta | None:
+def machine_age(machine: Machine, now: datetime) -> timedelta | None:
     """Since its rental, as far as the list or its own rental has told."""
-    return None if machine.rented_at == NEVER else now - machine.rented_at
+    return None if machine.scaled_out_at == NEVER else now - machine.scaled_out_at
 
 
-class Refused(Exception):
+class DrainRejected(Exception):
     """The drain is not taken, with the reason."""
 
 
-class NotNow(Exception):
+class DrainUnavailable(Exception):
     """The leader can't decide or record it now: ask again, by the same name."""
 
 
-def check(ask: Ask, known_types: Any, known_zones: Any) -> None:
+def validate_request(request: DrainRequest, known_types: Any, known_zones: Any) -> None:
     """Refuse what makes no sense whatever the fleet does."""
-    if not _NAME.fullmatch(ask.name) or ask.name in RESERVED or ask.name.startswith("replace-"):
-        raise Refused(
-            f"name `{ask.name}`: 1 to 40 of a-z, 0-9, `-`, `.`; not {', '.join(RESERVED)}, nor beginning with replace-"
+    if (
+        not _NAME_PATTERN.fullmatch(request.name)
+        or request.name in RESERVED_NAMES
+        or request.name.startswith("replace-")
+    ):
+        raise DrainRejected(
+            f"name `{request.name}`: 1 to 40 of a-z, 0-9, `-`, `.`; "
+            f"not {', '.join(RESERVED_NAMES)}, nor beginning with replace-"
         )
-    if len(ask.machines) > NAMED_MOST:
-        raise Refused(
-            f"{len(ask.machines)} machines named, at most {NAMED_MOST}: name a zone or a type, or several drains"
+    if len(request.machines) > MAX_NAMED_MACHINES:
+        raise DrainRejected(
+            f"{len(request.machines)} machines named, at most {MAX_NAMED_MACHINES}: "
+            "name a zone or a type, or several drains"
         )
-    if ask.machines and (ask.types or ask.zones or ask.spot is not None or ask.older_s is not None):
-        raise Refused("machines are named, so type, zone, kind and age say nothing")
-    for what, names, known in (("type", ask.types, known_types), ("zone", ask.zones, known_zones)):
-        for name in names:
-            if name not in known:
-                raise Refused(f"unknown {what} `{name}`, expected one of {', '.join(sorted(known))}")
-    for what, value in (("older", ask.older_s), ("grace", ask.grace_s), ("deadline", ask.deadline_s)):
+    if request.machines and (
+        request.types or request.zones or request.spot is not None or request.min_age_s is not None
+    ):
+        raise DrainRejected("machines are named, so type, zone, kind and age say nothing")
+    for field_name, requested, known_names in (
+        ("type", request.types, known_types),
+        ("zone", request.zones, known_zones),
+    ):
+        for name in requested:
+            if name not in known_names:
+                raise DrainRejected(f"unknown {field_name} `{name}`, expected one of {', '.join(sorted(known_names))}")
+    for field_name, value in (
+        ("older", request.min_age_s),
+        ("grace", request.grace_s),
+        ("deadline", request.deadline_s),
+    ):
         if value is not None and not 0 <= value < 1e8:
-            raise Refused(f"{what}: {value} is no span of seconds")
-    if ask.deadline_s == 0:
-        raise Refused("a deadline of 0 leaves no time")
-    if len(ask.reason) > 200:
-        raise Refused("a reason has 200 characters at most")
+            raise DrainRejected(f"{field_name}: {value} is no span of seconds")
+    if request.deadline_s == 0:
+        raise DrainRejected("a deadline of 0 leaves no time")
+    if len(request.reason) > 200:
+        raise DrainRejected("a reason has 200 characters at most")
--- a/roseweir/drain/settings.py
+++ b/roseweir/drain/settings.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from roseweir.calendars import Calendar
-from roseweir.forms import SettingsError, read_form, read_number, read_text
+from roseweir.sexp import SettingsError, read_form, read_number, read_string
 
 
-class Budget(msgspec.Struct, frozen=True):
+class DisruptionBudget(msgspec.Struct, frozen=True):
     """How much of a team's (or a class of its) may be down at once, and how often. Each team has its own, always."""
 
     team: str | None = None
@@ -22,31 +22,31 @@
     replicas_least: int | None = None  # that stay up of each service
 
     @property
-    def is_nothing(self) -> bool:
+    def forbids_all(self) -> bool:
         """It never lets anything be stopped."""
         return 0 in (self.share, self.tasks, self.per_minute, self.per_hour)
 
     @property
-    def name(self) -> str:
+    def description(self) -> str:
         return " ".join(filter(None, (self.team and f"team {self.team}", self.job_class and f"class {self.job_class}")))
 
 
-DEFAULT_BUDGET = Budget(share=0.1)
+DEFAULT_BUDGET = DisruptionBudget(share=0.1)
 
 
-class Quiet(msgspec.Struct, frozen=True):
+class QuietHours(msgspec.Struct, frozen=True):
     """Hours of every day, in local time, in which nothing is stopped; they may pass midnight."""
 
-    begins: time
-    ends: time
+    starts_at: time
+    ends_at: time
 
     def covers(self, at: time) -> bool:
-        if self.begins <= self.ends:
-            return self.begins <= at < self.ends
-        return at >= self.begins or at < self.ends
+        if self.starts_at <= self.ends_at:
+            return self.starts_at <= at < self.ends_at
+        return at >= self.starts_at or at < self.ends_at
 
 
-class OwnReasons(msgspec.Struct):
+class AutoReplacementSettings(msgspec.Struct):
     """For what the service replaces machines by itself; None: it does not."""
 
     older: timedelta | None = None
@@ -69,112 +69,122 @@
     soon: timedelta = timedelta(seconds=60)  # what should end by then is waited for
     grace: timedelta = timedelta(minutes=5)  # what cannot move or save is waited for as long
     deadline: timedelta = timedelta(hours=1)  # of a drain that names none
-    budgets: list[Budget] = msgspec.field(default_factory=list)
-    quiet: list[Quiet] = msgspec.field(default_factory=list)
-    own: OwnReasons | None = None
+    budgets: list[DisruptionBudget] = msgspec.field(default_factory=list)
+    quiet_hours: list[QuietHours] = msgspec.field(default_factory=list)
+    auto_replacement: AutoReplacementSettings | None = None
     calendar: Calendar = msgspec.field(default_factory=Calendar)
 
-    def row(self, team: str, job_class: str) -> int:
+    def budget_index(self, team: str, job_class: str) -> int:
         """The budget that a class of a team's is under: the one that says the most; -1: the default."""
-        best, found = -1, -1
-        for number, budget in enumerate(self.budgets):
+        best_rank, best_index = -1, -1
+        for index, budget in enumerate(self.budgets):
             if budget.team in (None, team) and budget.job_class in (None, job_class):
                 rank = (budget.team is not None) * 2 + (budget.job_class is not None)
-                if rank > best:
-                    best, found = rank, number
-        return found
+                if rank > best_rank:
+                    best_rank, best_index = rank, index
+        return best_index
 
-    def budget(self, row: int) -> Budget:
-        return self.budgets[row] if row >= 0 else DEFAULT_BUDGET
+    def budget_at(self, index: int) -> DisruptionBudget:
+        return self.budgets[index] if index >= 0 else DEFAULT_BUDGET
 
-    def is_quiet(self, wall: datetime) -> bool:
+    def is_quiet(self, wall_time: datetime) -> bool:
         """Known busy events and the daily hours; a holiday has none of these."""
-        local = wall.astimezone(self.calendar.zone)
-        event = self.calendar.event_at(local)
+        local_time = wall_time.astimezone(self.calendar.zone)
+        event = self.calendar.event_at(local_time)
         if event is not None:
-            return event.factor > 1
-        if self.calendar.is_holiday(date(local.year, local.month, local.day)):
+            return event.demand_factor > 1
+        if self.calendar.is_holiday(date(local_time.year, local_time.month, local_time.day)):
             return False
-        return any(quiet.covers(local.time()) for quiet in self.quiet)
+        return any(quiet.covers(local_time.time()) for quiet in self.quiet_hours)
 
 
-_SPANS = {"soon", "grace", "deadline"}
-_BUDGET_COUNTS = {"tasks", "gangs", "per-minute", "per-hour", "replicas-least"}
-_BUDGET_TEXTS = {"team": "team", "class": "job_class"}
-_REASON_SPANS = {"replace-older": "older", "brake": "brake", "brake-most": "brake_most"}
-_REASON_COUNTS = {"replace-failing": "failing", "replace-lapsing": "lapsing", "machines-a-day": "machines_a_day"}
-_REASON_NUMBERS = {"replace-slow": "slow", "money-a-day": "money_a_day"}
-_REASON_SHARES = {"replace-spot": "spot_life", "brake-share": "brake_share"}
+_DURATION_NAMES = {"soon", "grace", "deadline"}
+_BUDGET_COUNT_NAMES = {"tasks", "gangs", "per-minute", "per-hour", "replicas-least"}
+_BUDGET_TEXT_FIELDS = {"team": "team", "class": "job_class"}
+_REPLACEMENT_DURATION_FIELDS = {"replace-older": "older", "brake": "brake", "brake-most": "brake_most"}
+_REPLACEMENT_COUNT_FIELDS = {
+    "replace-failing": "failing",
+    "replace-lapsing": "lapsing",
+    "machines-a-day": "machines_a_day",
+}
+_REPLACEMENT_NUMBER_FIELDS = {"replace-slow": "slow", "money-a-day": "money_a_day"}
+_REPLACEMENT_SHARE_FIELDS = {"replace-spot": "spot_life", "brake-share": "brake_share"}
 
 
-def parse_disruption(found: DrainSettings, entries: list[Any]) -> None:
+def parse_disruption(settings: DrainSettings, entries: list[Any]) -> None:
     """Read the entries of `(disruption (hole 0.1) (soon 60) ... (budget ...) (quiet ...))`."""
     for entry in entries:
         name, args = read_form(entry)
         if name in ("hole", "hole-gpus"):
-            share = _share(name, args)
+            share = _read_share(name, args)
             if share == 0:
                 raise SettingsError(f"`{name}` must be above 0")
-            setattr(found, name.replace("-", "_"), share)
-        elif name in _SPANS:
-            setattr(found, name, timedelta(seconds=read_number(name, args, above_zero=name == "deadline")))
+            setattr(settings, name.replace("-", "_"), share)
+        elif name in _DURATION_NAMES:
+            setattr(settings, name, timedelta(seconds=read_number(name, args, must_be_positive=name == "deadline")))
         elif name == "budget":
-            found.budgets.append(_budget(args))
+            settings.budgets.append(_parse_budget(args))
         elif name == "quiet":
-            found.quiet.append(_quiet(args))
+            settings.quiet_hours.append(_parse_quiet_hours(args))
         else:
             raise SettingsError(f"unknown name `{name}` in `disruption`")
-    for number, budget in enumerate(found.budgets):
-        if any((b.team, b.job_class) == (budget.team, budget.job_class) for b in found.budgets[:number]):
-            raise SettingsError(f"two `budget` forms for the same {budget.name or 'default'}")
+    for index, budget in enumerate(settings.budgets):
+        if any((b.team, b.job_class) == (budget.team, budget.job_class) for b in settings.budgets[:index]):
+            raise SettingsError(f"two `budget` forms for the same {budget.description or 'default'}")
 
 
-def parse_replacement(entries: list[Any]) -> OwnReasons:
+def parse_replacement(entries: list[Any]) -> AutoReplacementSettings:
     """Read the entries of `(replacement (replace-older 86400) ...)`."""
-    found = OwnReasons()
+    settings = AutoReplacementSettings()
     for entry in entries:
         name, args = read_form(entry)
         value: object
-        if name in _REASON_SPANS:
-            field, value = _REASON_SPANS[name], timedelta(seconds=read_number(name, args, above_zero=True))
-        elif name in _REASON_COUNTS:
-            field, value = _REASON_COUNTS[name], _count(name, args, above_zero=name != "machines-a-day")
-        elif name in _REASON_NUMBERS:
-            field, value = _REASON_NUMBERS[name], read_number(name, args, above_zero=name == "replace-slow")
+        if name in _REPLACEMENT_DURATION_FIELDS:
+            field, value = (
+                _REPLACEMENT_DURATION_FIELDS[name],
+                timedelta(seconds=read_number(name, args, must_be_positive=True)),
+            )
+        elif name in _REPLACEMENT_COUNT_FIELDS:
+            field, value = _REPLACEMENT_COUNT_FIELDS[name], _read_count(name, args, above_zero=name != "machines-a-day")
+        elif name in _REPLACEMENT_NUMBER_FIELDS:
+            field, value = (
+                _REPLACEMENT_NUMBER_FIELDS[name],
+                read_number(name, args, must_be_positive=name == "replace-slow"),
+            )
             if name == "replace-slow" and value <= 1:
                 raise SettingsError("`replace-slow` must be above 1: times as slow as its kind")
-        elif name in _REASON_SHARES:
-            field, value = _REASON_SHARES[name], _share(name, args)
+        elif name in _REPLACEMENT_SHARE_FIELDS:
+            field, value = _REPLACEMENT_SHARE_FIELDS[name], _read_share(name, args)
         else:
             raise SettingsError(f"unknown name `{name}` in `replacement`")
-        setattr(found, field, value)
-    return found
+        setattr(settings, field, value)
+    return settings
 
 
-def _share(name: str, args: list[Any]) -> float:
+def _read_share(name: str, args: list[Any]) -> float:
     value = read_number(name, args)
     if value > 1:
         raise SettingsError(f"`{name}` must be at most 1")
     return value
 
 
-def _count(name: str, args: list[Any], above_zero: bool = False) -> int:
+def _read_count(name: str, args: list[Any], above_zero: bool = False) -> int:
     value = read_number(name, args, above_zero)
     if value != int(value):
         raise SettingsError(f"`{name}` must be a whole number")
     return int(value)
 
 
-def _budget(entries: list[Any]) -> Budget:
+def _parse_budget(entries: list[Any]) -> DisruptionBudget:
     fields: dict[str, Any] = {}
     for entry in entries:
         name, args = read_form(entry)
-        if name in _BUDGET_TEXTS:
-            fields[_BUDGET_TEXTS[name]] = read_text(name, args)
+        if name in _BUDGET_TEXT_FIELDS:
+            fields[_BUDGET_TEXT_FIELDS[name]] = read_string(name, args)
         elif name == "share":
-            fields["share"] = _share(name, args)
-        elif name in _BUDGET_COUNTS:
-            fields[name.replace("-", "_")] = _count(name, args)
+            fields["share"] = _read_share(name, args)
+        elif name in _BUDGET_COUNT_NAMES:
+            fields[name.replace("-", "_")] = _read_count(name, args)
         else:
             raise SettingsError(f"unknown name `{name}` in `budget`")
     if fields.keys() <= {"team", "job_class"}:
@@ -182,16 +192,16 @@
     if "share" not in fields and "tasks" not in fields:
         # What is counted in gangs, replicas or a minute has the default share beside it.
         fields["share"] = DEFAULT_BUDGET.share
-    return Budget(**fields)
+    return DisruptionBudget(**fields)
 
 
-def _quiet(entries: list[Any]) -> Quiet:
+def _parse_quiet_hours(entries: list[Any]) -> QuietHours:
     times: dict[str, time] = {}
     for entry in entries:
         name, args = read_form(entry)
         if name not in ("from", "to"):
             raise SettingsError(f"unknown name `{name}` in `quiet`")
-        text = read_text(name, args)
+        text = read_string(name, args)
         try:
             times[name] = time.fromisoformat(text)
         except ValueError:
@@ -200,4 +210,4 @@
             raise SettingsError(f"`{name}` in `quiet` is local time and takes no offset")
     if len(times) < 2 or times["from"] == times["to"]:
         raise SettingsError("a `quiet` needs `from` and `to`, which differ")
-    return Quiet(times["from"], times["to"])
+    return QuietHours(times["from"], times["to"])
--- /dev/null
+++ b/roseweir/drain/surge_pool.py
@@ -0,0 +1,299 @@
+"""What may be missing of each type of machines while some are replaced, and what is rented for it. Pure.
+
+The *hole* of a type: machines that were cordoned without a replacement, and those gone since whose replacement is not
+in place. While the type can be had, replacements come first (*surge*): a machine is cordoned once one rented for it
+is in place, so the hole stays what it was. While the type is sold out, machines are given back first (*gap*), and the
+hole is at most a stated share of the type, one machine at least. The same holds while nothing waits for machines of
+its pool: what goes then is not missed. A gap closes when a machine of the type that was rented after this leader
+began is in place, whoever asked for it; or when nothing has waited for machines of its pool for a while.
+
+A machine is in place when its worker has reported and it holds an image, or when nothing came to be fetched for a
+moment.
+
+After a take-over the gaps of the last leader are known; what it had rented and was not up yet closes none: a machine
+too many may be rented then, which goes back as idle.
+"""
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+
+from roseweir.cloud.scale_out import LATE_BOOT_FACTOR, MAX_MACHINES_PER_REQUEST, MachineOffer, MachineRequest
+from roseweir.limits.rules import fetch_tag
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import Machine
+
+# An offer that was refused counts as sold out for so long after the last refusal.
+SOLD_OUT_DURATION = timedelta(seconds=60)
+# A machine without work for so long has nothing to fetch.
+MIN_IDLE_IN_PLACE = timedelta(seconds=5)
+# Nothing has waited for machines of a pool for so long: what is missing there is not needed.
+DEMAND_TIMEOUT = timedelta(seconds=30)
+# Shares of what others need too: changes of the state service a second, and sockets.
+MAX_WRITE_RATE_SHARE, MAX_SOCKET_SHARE = 0.1, 0.1
+
+
+@dataclass(slots=True)
+class Cordon:
+    """A machine that is being drained."""
+
+    owner: str
+    machine_type: str  # its type
+    offer: MachineOffer
+    cordoned_at_ms: int  # by the wall clock
+    needs_replacement: bool
+    has_replacement: bool = False  # a replacement was in place before it
+
+
+class SurgePool:
+    def __init__(
+        self,
+        cluster_state: ClusterState,
+        max_missing_share: float,
+        started_at: datetime,
+        max_missing_gpu_share: float | None = None,
+    ) -> None:
+        self.cluster_state = cluster_state
+        self.max_missing_share = max_missing_share
+        self.max_missing_gpu_share = max_missing_share if max_missing_gpu_share is None else max_missing_gpu_share
+        self.started_at = started_at
+        self.gaps: dict[str, deque[datetime]] = {}
+        self.ready_replacements: dict[str, set[str]] = {}  # replacements in place that no machine has gone for yet
+        self.sold_out_until: dict[MachineOffer, datetime] = {}  # until when an offer counts as sold out
+        self.provisioning_times: dict[str, timedelta] = {}  # from rental to being in place, as measured last
+        self._counted_machines: set[str] = set()
+        self._last_waiting: dict[bool, datetime] = {}  # when work last waited, by whether it needs GPUs
+
+    # -- what happens -------------------------------------------------------------------------
+
+    def update(
+        self, waiting_needs_gpus: Iterable[bool], refused_offers: dict[MachineOffer, datetime], now: datetime
+    ) -> None:
+        """`waiting`: for each job that found no room, whether it needs GPUs."""
+        for needs_gpus in waiting_needs_gpus:
+            self._last_waiting[needs_gpus] = now
+        for offer, until in refused_offers.items():
+            if until > now:
+                self.sold_out_until[offer] = now + SOLD_OUT_DURATION
+        machines = self.cluster_state.machines
+        for machine in machines.values():
+            if (
+                machine.name not in self._counted_machines
+                and machine.scaled_out_at >= self.started_at
+                and self._is_in_place(machine, now)
+            ):
+                self._counted_machines.add(machine.name)
+                self._record_arrival(machine, now)
+        self._counted_machines &= machines.keys()
+        for machine_type, names in self.ready_replacements.items():
+            self.ready_replacements[machine_type] = {
+                n
+                for n in names
+                if n in machines
+                and not machines[n].is_marked_for_release
+                and n not in self.cluster_state.drain_by_machine
+            }
+        for machine_type, gaps in self.gaps.items():
+            while gaps and now - gaps[0] > DEMAND_TIMEOUT and not self._is_needed(machine_type, now):
+                gaps.popleft()
+
+    def _is_in_place(self, machine: Machine, now: datetime) -> bool:
+        if (
+            not machine.has_acknowledged_term
+            or machine.is_booting
+            or machine.is_marked_for_release
+            or machine.name in self.cluster_state.drain_by_machine
+        ):
+            return False
+        return bool(machine.image_cache) or (not machine.placements and now - machine.idle_since > MIN_IDLE_IN_PLACE)
+
+    def _record_arrival(self, machine: Machine, now: datetime) -> None:
+        machine_type = machine.machine_type.name
+        self.provisioning_times[machine_type] = now - machine.scaled_out_at
+        gaps = self.gaps.get(machine_type)
+        if gaps:
+            gaps.popleft()
+        elif machine.is_surge:
+            self.ready_replacements.setdefault(machine_type, set()).add(machine.name)
+
+    def _is_needed(self, machine_type: str, now: datetime) -> bool:
+        catalog_entry = self.cluster_state.catalog.get(machine_type)
+        last_waiting = self._last_waiting.get(catalog_entry is not None and catalog_entry.gpus > 0)
+        return last_waiting is not None and now - last_waiting <= DEMAND_TIMEOUT
+
+    def record_departure(self, cordon: Cordon, now: datetime) -> None:
+        """A machine that was drained has left."""
+        if cordon.needs_replacement and not cordon.has_replacement:
+            self.gaps.setdefault(cordon.machine_type, deque()).append(now)
+
+    def provisioning_time(self, machine_type: str) -> timedelta:
+        """From rental to being in place: as measured last, or by the catalog."""
+        catalog_entry = self.cluster_state.catalog.get(machine_type)
+        return self.provisioning_times.get(
+            machine_type, timedelta(0) if catalog_entry is None else catalog_entry.boot_duration
+        )
+
+    # -- how many -----------------------------------------------------------------------------
+
+    def max_missing(self, machine_type: str) -> int:
+        """The largest hole, and the largest wave, of a type."""
+        running_count = sum(
+            1
+            for m in self.cluster_state.machines.values()
+            if m.machine_type.name == machine_type and not m.is_booting and not m.is_marked_for_release
+        )
+        catalog_entry = self.cluster_state.catalog.get(machine_type)
+        return max(
+            1,
+            int(
+                (
+                    self.max_missing_gpu_share
+                    if catalog_entry is not None and catalog_entry.gpus > 0
+                    else self.max_missing_share
+                )
+                * running_count
+            ),
+        )
+
+    def missing_count(self, machine_type: str, cordons: Iterable[Cordon]) -> int:
+        cordoned_count = sum(
+            1 for c in cordons if c.machine_type == machine_type and c.needs_replacement and not c.has_replacement
+        )
+        return cordoned_count + len(self.gaps.get(machine_type, ()))
+
+    def is_sold_out(self, machine_type: str, spot: bool, now: datetime) -> bool:
+        catalog_entry = self.cluster_state.catalog.get(machine_type)
+        return catalog_entry is not None and all(
+            self.sold_out_until.get((machine_type, zone, spot), now) > now for zone in catalog_entry.zones
+        )
+
+    def cordon_capacity(
+        self, machine_type: str, spot: bool, needs_replacement: bool, cordons: Iterable[Cordon], now: datetime
+    ) -> int:
+        """How many more machines of a type may be cordoned now. Nothing has to come first that nobody needs."""
+        same_type = [c for c in cordons if c.machine_type == machine_type]
+        max_missing = self.max_missing(machine_type)
+        if not needs_replacement:
+            return max_missing - sum(not c.needs_replacement for c in same_type)
+        ready_count = len(self.ready_replacements.get(machine_type, ()))
+        if self._is_needed(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+            return ready_count
+        return max(ready_count, max_missing - self.missing_count(machine_type, same_type))
+
+    def reserve_replacement(self, machine_type: str) -> bool:
+        """Whether a replacement stands ready for a machine that is cordoned now; it counts for that one."""
+        ready = self.ready_replacements.get(machine_type)
+        if not ready:
+            return False
+        ready.remove(min(ready))
+        return True
+
+    def release_replacement(self, machine_type: str) -> None:
+        """It was not cordoned after all: the replacement that stood ready for it still does, whichever it was."""
+        counted = [
+            n
+            for n in self._counted_machines
+            if n in self.cluster_state.machines and n not in self.cluster_state.drain_by_machine
+        ]
+        ready = {
+            n
+            for n in counted
+            if self.cluster_state.machines[n].machine_type.name == machine_type
+            and self.cluster_state.machines[n].is_surge
+        }
+        ready -= self.ready_replacements.get(machine_type, set())
+        if ready:
+            self.ready_replacements.setdefault(machine_type, set()).add(min(ready))
+
+    def max_cordons_per_step(self) -> int:
+        """Machines that may be begun with in one step: each changes a page of the record and the list of steps."""
+        return max(1, int(self.cluster_state.settings.params.kv_store.max_writes_per_s * MAX_WRITE_RATE_SHARE))
+
+    # -- what to rent -------------------------------------------------------------------------
+
+    def plan_rentals(
+        self,
+        due_machines: dict[str, list[Machine]],
+        refused_offers: dict[MachineOffer, datetime],
+        other_wants: list[MachineRequest],
+        now: datetime,
+    ) -> list[MachineRequest]:
+        """Replacements for what is missing, and for what is due next where they come first. `due`: by type."""
+        wants: list[MachineRequest] = []
+        taken_offers = {(w.type_name, w.zone, w.is_spot) for w in other_wants}
+        image_fetches = self._affordable_image_fetches(now)
+        max_sockets = max(4, int(self.cluster_state.settings.params.process_limits.max_sockets * MAX_SOCKET_SHARE))
+        provisioning = self._provisioning_counts(now)
+        max_calls = max(1, int(self.cluster_state.settings.params.cloud.max_requests_per_s / 2))
+        for machine_type in sorted(self.gaps.keys() | due_machines.keys()):
+            machines = due_machines.get(machine_type, [])
+            spot = sum(m.is_spot for m in machines) * 2 > len(machines)
+            surge_count = 0
+            if machines and self._is_needed(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+                surge_count = max(
+                    0,
+                    min(self.max_missing(machine_type), len(machines))
+                    - len(self.ready_replacements.get(machine_type, ())),
+                )
+            provisioning_count = provisioning.get(machine_type, 0) + sum(
+                w.count for w in other_wants if w.type_name == machine_type
+            )
+            missing_count = min(len(self.gaps.get(machine_type, ())) + surge_count, max_sockets) - provisioning_count
+            for offer in self._candidate_offers(machine_type, machines, spot):
+                if missing_count <= 0 or len(wants) >= max_calls:
+                    break
+                if offer in taken_offers or refused_offers.get(offer, now) > now or image_fetches.get(offer[1], 1) <= 0:
+                    continue
+                count = min(
+                    missing_count, MAX_MACHINES_PER_REQUEST, image_fetches.get(offer[1], MAX_MACHINES_PER_REQUEST)
+                )
+                wants.append(MachineRequest(*offer, count, is_surge=True))
+                missing_count -= count
+                image_fetches[offer[1]] = image_fetches.get(offer[1], count) - count
+        return wants
+
+    def _provisioning_counts(self, now: datetime) -> dict[str, int]:
+        """Machines of each type that boot and are not late, or are up and not in place."""
+        counts: dict[str, int] = {}
+        for machine in self.cluster_state.machines.values():
+            if (
+                machine.is_marked_for_release
+                or machine.name in self._counted_machines
+                or machine.scaled_out_at < self.started_at
+            ):
+                continue
+            if (
+                machine.is_booting
+                and now - machine.scaled_out_at > machine.machine_type.boot_duration * LATE_BOOT_FACTOR
+            ):
+                continue
+            counts[machine.machine_type.name] = counts.get(machine.machine_type.name, 0) + 1
+        return counts
+
+    def _candidate_offers(self, machine_type: str, machines: list[Machine], spot: bool) -> list[MachineOffer]:
+        """Where the machines that go are, most of them first; then the type's other zones."""
+        machines_by_zone: dict[str, int] = {}
+        for machine in machines:
+            machines_by_zone[machine.zone] = machines_by_zone.get(machine.zone, 0) + 1
+        catalog_entry = self.cluster_state.catalog.get(machine_type)
+        if catalog_entry is None:
+            return []
+        zone_order = sorted(catalog_entry.zones, key=lambda zone: (-machines_by_zone.get(zone, 0), zone))
+        pricings = (spot, not spot) if self.gaps.get(machine_type) else (spot,)
+        return [(machine_type, zone, each) for each in pricings for zone in zone_order]
+
+    def _affordable_image_fetches(self, now: datetime) -> dict[str, int]:
+        """New machines whose first images each zone's bucket pays for soon, others' fetches beside them."""
+        image_sizes_gb = [run.spec.image_gb for run in self.cluster_state.jobs.values() if run.spec.image_gb > 0]
+        if not image_sizes_gb:
+            return {}
+        typical_size_gb = sorted(image_sizes_gb)[len(image_sizes_gb) // 2]
+        fetches_by_zone: dict[str, int] = {}
+        for zone in self.cluster_state.settings.params.zones:
+            limit = self.cluster_state.limits.by_tag.get(fetch_tag(zone))
+            if limit is not None:
+                fetches_by_zone[zone] = max(
+                    1, int(limit.bucket.capacity_in(limit.bucket.window, now) / typical_size_gb)
+                )
+        return fetches_by_zone
--- a/roseweir/forecast/cli.py
+++ b/roseweir/forecast/cli.py
@@ -8,29 +8,33 @@
 from pathlib import Path
 from typing import Any
 
-from roseweir.forms import SettingsError
-from roseweir.tuning import load_tuning
+from roseweir.operator_config import load_operator_config
+from roseweir.sexp import SettingsError
 
-KINDS = ("weekday-evenings", "sundays", "holiday", "surge", "moved", "guests")
+LOAD_SCENARIOS = ("weekday-evenings", "sundays", "holiday", "surge", "moved", "guests")
 POLICIES = ("none", "reserve", "ahead", "best")
-EXTRAS = "requirements-forecast.txt"
+EXTRA_REQUIREMENTS_FILE = "requirements-forecast.txt"
 
 
-def add_commands(commands: Any, add_ask: Callable[[argparse.ArgumentParser], None]) -> None:
+def add_commands(commands: Any, add_query_arguments: Callable[[argparse.ArgumentParser], None]) -> None:
     """The subcommands of `forecast`. `add_ask` gives one the arguments of a question to a controller."""
     parser = commands.add_parser("forecast", help="what demand is expected, and what renting ahead makes of it")
     tools = parser.add_subparsers(required=True, metavar="TOOL")
     show = tools.add_parser("show", help="what a leader expects next, why, and what it holds ready")
-    add_ask(show)
-    draw = tools.add_parser("draw", help="draw load with known bursts, for `compare`")
-    draw.add_argument("--kind", required=True, choices=KINDS, help="which weeks")
-    draw.add_argument("--weeks", type=_from_one, default=6, metavar="N", help="how many (default 6)")
-    draw.add_argument("--seed", type=int, default=1, metavar="S", help="the same seed draws the same load (default 1)")
-    draw.add_argument(
-        "--start", type=_day, default=date(2026, 3, 30), metavar="DAY", help="first day, local (2026-03-30, a Monday)"
+    add_query_arguments(show)
+    rng = tools.add_parser("draw", help="draw load with known bursts, for `compare`")
+    rng.add_argument("--kind", required=True, choices=LOAD_SCENARIOS, help="which weeks")
+    rng.add_argument("--weeks", type=_positive_int, default=6, metavar="N", help="how many (default 6)")
+    rng.add_argument("--seed", type=int, default=1, metavar="S", help="the same seed draws the same load (default 1)")
+    rng.add_argument(
+        "--start",
+        type=_parse_date,
+        default=date(2026, 3, 30),
+        metavar="DAY",
+        help="first day, local (2026-03-30, a Monday)",
     )
-    draw.add_argument("--out", type=Path, metavar="FILE", help="where to (default: standard output)")
-    draw.set_defaults(run=_draw)
+    rng.add_argument("--out", type=Path, metavar="FILE", help="where to (default: standard output)")
+    rng.set_defaults(run=_run_draw)
     compare = tools.add_parser("compare", help="replay recorded load under each policy, in simulated time")
     compare.add_argument("--load", type=Path, required=True, metavar="FILE", help="JSON Lines of submissions with `at`")
     compare.add_argument("--policy", nargs="+", choices=POLICIES, default=list(POLICIES), help="which (default: all)")
@@ -39,24 +43,26 @@
     compare.add_argument("--catalog", type=Path, metavar="FILE", help="machine types as the cloud lists them")
     compare.add_argument("--time-zone", metavar="ZONE", help="local time, where the tuning has no calendar")
     compare.add_argument(
-        "--capacity", type=_from_one, default=60, metavar="N", help="machines of each type, zone and kind (60)"
+        "--capacity", type=_positive_int, default=60, metavar="N", help="machines of each type, zone and kind (60)"
+    )
+    compare.add_argument(
+        "--days", type=_positive_int, default=7, metavar="N", help="measure the last N days (default 7)"
     )
-    compare.add_argument("--days", type=_from_one, default=7, metavar="N", help="measure the last N days (default 7)")
     compare.add_argument("--seed", type=int, default=1, metavar="S", help="of boot and run times (default 1)")
-    compare.add_argument("--jobs", type=_from_one, default=4, metavar="N", help="replays at once (default 4)")
+    compare.add_argument("--jobs", type=_positive_int, default=4, metavar="N", help="replays at once (default 4)")
     compare.add_argument("--json", action="store_true", help="print one JSON object")
     compare.add_argument("--report", type=Path, metavar="OUT.html", help="write a report with plots")
-    compare.set_defaults(run=_compare)
+    compare.set_defaults(run=_run_compare)
 
 
-def _from_one(text: str) -> int:
+def _positive_int(text: str) -> int:
     value = int(text)
     if value < 1:
         raise argparse.ArgumentTypeError("must be at least 1")
     return value
 
 
-def _day(text: str) -> date:
+def _parse_date(text: str) -> date:
     try:
         return date.fromisoformat(text)
     except ValueError:
@@ -88,8 +94,8 @@
         _print_table([columns, *(tuple(str(e[c]) for c in columns) for e in answer["expected"])])
     if answer["held"]:
         print("held ready:")
-        of_holds = ("pool", "units", "by", "standing", "idle_machines", "renting", "short", "why")
-        _print_table([of_holds, *(tuple(str(h[c]) for c in of_holds) for h in answer["held"])])
+        hold_columns = ("pool", "units", "by", "standing", "idle_machines", "renting", "short", "why")
+        _print_table([hold_columns, *(tuple(str(h[c]) for c in hold_columns) for h in answer["held"])])
 
 
 def _print_table(rows: list[tuple[str, ...]]) -> None:
@@ -98,21 +104,21 @@
         print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-def _missing(e: ImportError, tool: str) -> SettingsError:
-    return SettingsError(f"forecast {tool} needs `{e.name}`: install {EXTRAS}")
+def _missing_library_error(e: ImportError, tool: str) -> SettingsError:
+    return SettingsError(f"forecast {tool} needs `{e.name}`: install {EXTRA_REQUIREMENTS_FILE}")
 
 
-def _draw(args: argparse.Namespace) -> int:
+def _run_draw(args: argparse.Namespace) -> int:
     try:
         import orjson
 
-        from roseweir.forecast.tools.draw import KINDS as KNOWN
-        from roseweir.forecast.tools.draw import draw
+        from roseweir.forecast.tools.load_generator import LOAD_SCENARIOS as KNOWN
+        from roseweir.forecast.tools.load_generator import generate_load
     except ImportError as e:
-        raise _missing(e, "draw") from e
+        raise _missing_library_error(e, "draw") from e
 
     def lines() -> Iterator[bytes]:
-        for value in draw(KNOWN[args.kind], args.weeks, args.seed, args.start):
+        for value in generate_load(KNOWN[args.kind], args.weeks, args.seed, args.start):
             yield orjson.dumps(value) + b"\n"
 
     if args.out is None:
@@ -127,48 +133,51 @@
     return 0
 
 
-class _Teller:
+class _ProgressLogger:
     """Progress on standard error, with the seconds since it began."""
 
     def __init__(self) -> None:
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
     def __call__(self, text: str) -> None:
-        print(f"[{time.monotonic() - self._began:6.1f} s] {text}", file=sys.stderr, flush=True)
+        print(f"[{time.monotonic() - self._started_at:6.1f} s] {text}", file=sys.stderr, flush=True)
 
 
-def _compare(args: argparse.Namespace) -> int:
+def _run_compare(args: argparse.Namespace) -> int:
     try:
         from roseweir.calendars import parse_calendar
-        from roseweir.forecast.settings import AheadSettings
-        from roseweir.forecast.tools.compare import Case, begin_of_measure, compare
-        from roseweir.forecast.tools.load import read_load
-        from roseweir.forecast.tools.site import load_site
+        from roseweir.forecast.settings import PredictiveScalingSettings
+        from roseweir.forecast.tools.policy_comparison import ReplayCase, compare, measurement_start
+        from roseweir.forecast.tools.recorded_load import read_load
+        from roseweir.forecast.tools.simulated_provider import load_provider
 
         if args.report is not None:
-            from roseweir.forecast.tools.report import write_report
+            from roseweir.forecast.tools.html_report import write_report
     except ImportError as e:
-        raise _missing(e, "compare") from e
+        raise _missing_library_error(e, "compare") from e
     import logging
 
     import orjson
     import sexpdata
 
     logging.getLogger("roseweir").setLevel(logging.ERROR)
-    tuning = load_tuning(args.tuning)
-    ahead = tuning.ahead or AheadSettings()
+    operator_config = load_operator_config(args.tuning)
+    scaling_settings = operator_config.predictive_scaling or PredictiveScalingSettings()
     if args.time_zone is not None:
-        if tuning.ahead is not None and tuning.ahead.calendar.time_zone != "UTC":
+        if (
+            operator_config.predictive_scaling is not None
+            and operator_config.predictive_scaling.calendar.time_zone != "UTC"
+        ):
             raise SettingsError("--time-zone: the tuning's calendar has one already")
-        ahead.calendar.time_zone = parse_calendar([[sexpdata.Symbol("time-zone"), args.time_zone]]).time_zone
-    tell = _Teller()
+        scaling_settings.calendar.time_zone = parse_calendar([[sexpdata.Symbol("time-zone"), args.time_zone]]).time_zone
+    log_progress = _ProgressLogger()
     load = read_load(args.load)
-    site = load_site(args.config, args.catalog, args.capacity, (arrival.spec.team for arrival in load))
-    zone = ahead.calendar.zone
-    begin = begin_of_measure(load, args.days, zone)
-    tell(f"{len(load)} jobs read; the last {args.days} days are measured")
-    case = Case(site, tuning, ahead, load, begin, args.seed)
-    results, bursts = compare(case, args.policy, args.jobs, tell)
+    site = load_provider(args.config, args.catalog, args.capacity, (arrival.spec.team for arrival in load))
+    zone = scaling_settings.calendar.zone
+    begin = measurement_start(load, args.days, zone)
+    log_progress(f"{len(load)} jobs read; the last {args.days} days are measured")
+    case = ReplayCase(site, operator_config, scaling_settings, load, begin, args.seed)
+    results, bursts = compare(case, args.policy, args.jobs, log_progress)
     answer = {"policies": {r.policy: r.figures | ({} if r.size is None else {"size": r.size}) for r in results}}
     if args.report is not None:
         title = f"Renting ahead: {args.load.name}, last {args.days} days"
@@ -176,16 +185,21 @@
             write_report(args.report, results, bursts, zone, title)
         except OSError as e:
             raise SettingsError(f"{args.report}: {e.strerror or e}") from e
-        tell(f"report in {args.report}")
+        log_progress(f"report in {args.report}")
     if args.json:
         print(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
         return 0
     columns = ("policy", "burst mean s", "burst p95 s", "mean s", "p95 s", "idle machine-h", "machine-h", "cost")
     rows: list[tuple[str, ...]] = [columns]
     for result in results:
-        f = result.figures
-        numbers = [f["burst"]["wait_mean_s"], f["burst"]["wait_p95_s"], f["wait_mean_s"], f["wait_p95_s"]]
-        numbers += [f["idle_machine_h"], f["machine_h"], f["cost"]]
+        figures = result.figures
+        numbers = [
+            figures["burst"]["wait_mean_s"],
+            figures["burst"]["wait_p95_s"],
+            figures["wait_mean_s"],
+            figures["wait_p95_s"],
+        ]
+        numbers += [figures["idle_machine_h"], figures["machine_h"], figures["cost"]]
         rows.append((result.policy, *(f"{number:.1f}" for number in numbers)))
     _print_table(rows)
     return 0
--- /dev/null
+++ b/roseweir/forecast/predictive_scaler.py
@@ -0,0 +1,264 @@
+"""The leader's dealings with demand: count it as it is accepted, keep it, and say what to have ready."""
+
+import logging
+from collections.abc import Callable
+from datetime import datetime, timedelta
+from typing import Any, TypeVar
+
+from roseweir import clock
+from roseweir.clock import NEVER, monotonic_now, sleep
+from roseweir.cloud.scale_out import MachineOffer, MachineRequest
+from roseweir.forecast.capacity_plan import CapacityHold, CapacityPlan
+from roseweir.forecast.history_store import DemandHistoryStore, LeadershipLost
+from roseweir.forecast.scaling_planner import ScalingPlanner
+from roseweir.forecast.settings import PredictiveScalingSettings
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import JobRun
+
+log = logging.getLogger(__name__)
+
+ROLL_INTERVAL = timedelta(seconds=1)
+# The open hour's block is written this often, and twice when the hour is over: 57 changes an hour at most. What a
+# take-over loses of a slot leaves enough of it watched for its count to be used.
+SAVE_INTERVAL = timedelta(seconds=65)
+LOG_INTERVAL = timedelta(seconds=60)
+# News that comes further apart than this leaves the time between unknown.
+MAX_WATCH_GAP = timedelta(seconds=5)
+# How far `describe` looks ahead.
+DESCRIBED_HORIZON = timedelta(hours=2)
+
+
+Result = TypeVar("Result")
+
+
+class PredictiveScaler:
+    def __init__(
+        self,
+        settings: PredictiveScalingSettings,
+        cluster_state: ClusterState,
+        kv_store: KeyValueStoreClient,
+        leader_key_version: int,
+        step_down: Callable[[str], None],
+    ) -> None:
+        self.settings = settings
+        self.cluster_state = cluster_state
+        self.planner = ScalingPlanner(settings, cluster_state)
+        self.history = self.planner.history
+        self.store = DemandHistoryStore(kv_store, self.history, leader_key_version)
+        self._step_down = step_down
+        self.is_loaded = False
+        self.failure = ""  # the fault that stopped it
+        # Jobs and ends that came before the history was read, in their order.
+        self._pending_changes: list[tuple[JobRun, int] | str] = []
+        self._active_job_ids: set[str] = set()
+        self._watched_revision = 0
+        self._watched_until = NEVER
+        # Time that was watched before the history was read: (from, to) of the wall clock.
+        self._pending_watch_spans: list[tuple[float, float]] = []
+
+    # -- what the leader learns ---------------------------------------------------------------
+
+    def _run_guarded(self, action: Callable[[], Result], default: Result) -> Result:
+        """A fault in here must not end the term: renting ahead stops, and everything else goes on."""
+        if self.failure:
+            return default
+        try:
+            return action()
+        except Exception as e:
+            self._fail(e)
+            return default
+
+    def _fail(self, error: Exception) -> None:
+        self.failure = f"{type(error).__name__}: {error}"
+        log.exception("renting ahead has stopped for this term")
+
+    def record_accepted_job(self, run: JobRun, revision: int) -> None:
+        """A job that is accepted, and the revision that its acceptance made."""
+        self._run_guarded(lambda: self._record_accepted_job(run, revision), None)
+
+    def record_ended_job(self, job_id: str) -> None:
+        self._run_guarded(lambda: self._record_ended_job(job_id), None)
+
+    def record_watch_progress(self, revision: int, sent_at: datetime, includes_ends: bool = True) -> None:
+        """Every job accepted up to this revision has been learned. `whole`: those that ended since, too."""
+        self._run_guarded(lambda: self._record_watch_progress(revision, sent_at, includes_ends), None)
+
+    def plan(
+        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], now: datetime
+    ) -> tuple[list[MachineRequest], dict[str, str]]:
+        """For the cloud's desk: what else to rent, and the machines to keep ready."""
+        empty_plan: tuple[list[MachineRequest], dict[str, str]] = ([], {})
+        return self._run_guarded(lambda: self._plan(wants, refused, now), empty_plan)
+
+    def _record_accepted_job(self, run: JobRun, revision: int) -> None:
+        if run.final_state or run.spec.id in self._active_job_ids:
+            return
+        self._active_job_ids.add(run.spec.id)
+        if self.is_loaded:
+            self._count(run, revision)
+        else:
+            self._pending_changes.append((run, revision))
+
+    def _record_ended_job(self, job_id: str) -> None:
+        if job_id not in self._active_job_ids:
+            return
+        self._active_job_ids.discard(job_id)
+        if self.is_loaded:
+            self.history.record_ended_job(job_id, _wall_s())
+        else:
+            self._pending_changes.append(job_id)
+
+    def _record_watch_progress(self, revision: int, sent_at: datetime, includes_ends: bool) -> None:
+        now, wall_s = monotonic_now(), _wall_s()
+        if includes_ends and self._watched_until != NEVER and sent_at - self._watched_until <= MAX_WATCH_GAP:
+            span = (wall_s - (now - self._watched_until).total_seconds(), wall_s - (now - sent_at).total_seconds())
+            if self.is_loaded:
+                self.history.advance_to(wall_s)
+                self.history.mark_watched(*span)
+            elif span[1] > span[0]:
+                self._pending_watch_spans.append(span)
+        self._watched_until = max(self._watched_until, sent_at)
+        self._watched_revision = max(self._watched_revision, revision)
+
+    def _count(self, run: JobRun, revision: int) -> None:
+        self.history.record_accepted_job(
+            self.planner.demand_of(run, _wall_s()), is_recount=revision <= self.history.counted_revision
+        )
+
+    # -- routine ------------------------------------------------------------------------------
+
+    async def run(self) -> None:
+        try:
+            await self._run()
+        except Exception as e:
+            self._fail(e)
+
+    async def _run(self) -> None:
+        await self.store.load(_wall_s())
+        self._apply_pending_changes()
+        saved_at = logged_at = monotonic_now()
+        while not self.failure:
+            await sleep(ROLL_INTERVAL)
+            self.history.advance_to(_wall_s())
+            now = monotonic_now()
+            if now - saved_at >= SAVE_INTERVAL:
+                saved_at = now
+                self.history.counted_revision = max(self.history.counted_revision, self._watched_revision)
+                try:
+                    await self.store.save()
+                except LeadershipLost as e:
+                    self._step_down(str(e))
+                    return
+            if now - logged_at >= LOG_INTERVAL:
+                logged_at = now
+                self._log_holds()
+
+    def _apply_pending_changes(self) -> None:
+        wall_s = _wall_s()
+        self.history.advance_to(wall_s)
+        pending_changes, self._pending_changes = self._pending_changes, []
+        for change in pending_changes:
+            if isinstance(change, str):
+                self.history.record_ended_job(change, wall_s)
+            else:
+                self._count(*change)
+        for span in self._pending_watch_spans:
+            self.history.mark_watched(*span)
+        self._pending_watch_spans.clear()
+        self.is_loaded = True
+        days = self.planner.forecast.watched_days(wall_s)
+        log.info("demand history: %d days known, %d series", days, len(self.history.series))
+
+    def _plan(
+        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], now: datetime
+    ) -> tuple[list[MachineRequest], dict[str, str]]:
+        if not self.is_loaded:
+            return [], {}
+        capacity_plan = self.planner.plan(wants, refused, _wall_s(), now)
+        return capacity_plan.wants, capacity_plan.kept_machines
+
+    # -- for operators ------------------------------------------------------------------------
+
+    def _log_holds(self) -> None:
+        capacity_plan = self.planner.capacity_plan
+        if not capacity_plan.holds:
+            log.info("nothing is held ahead: %s", self.planner.forecast.no_forecast_reason() or "no demand is expected")
+        for hold in capacity_plan.holds:
+            log.info("ahead: %s", _format_hold(hold))
+
+    def summary(self) -> dict[str, Any]:
+        """For `status`: how many machines are held ahead, and why."""
+        capacity_plan = CapacityPlan() if self.failure else self.planner.capacity_plan
+        return {
+            "machines_ahead": len(capacity_plan.kept_machines),
+            "ahead": [f"stopped: {self.failure}"]
+            if self.failure
+            else [_format_hold(hold) for hold in capacity_plan.holds],
+        }
+
+    def describe(self) -> dict[str, Any]:
+        """For `forecast show`: what is expected, why, what is held, and what is known."""
+        return self._run_guarded(self._describe, {"loaded": False, "broken": self.failure})
+
+    def _describe(self) -> dict[str, Any]:
+        wall_s = _wall_s()
+        forecast, capacity_plan, history = self.planner.forecast, self.planner.capacity_plan, self.history
+        now_slot = history.slot_of(wall_s)
+        expected = []
+        for slot in range(now_slot, now_slot + round(DESCRIBED_HORIZON / self.settings.slot)) if self.is_loaded else ():
+            for pool, expected_demand in forecast.expected_demand(slot).items():
+                if expected_demand.high_units <= 0:
+                    continue
+                factor, why = forecast.present_level(pool, expected_demand.high_units, now_slot)
+                expected.append(
+                    {
+                        "at": forecast.local_time(slot).isoformat(timespec="minutes"),
+                        "pool": str(pool),
+                        "low": round(expected_demand.low_units, 1),
+                        "middle": round(expected_demand.median_units, 1),
+                        "high": round(expected_demand.high_units, 1),
+                        "level": round(factor, 2),
+                        "why": expected_demand.reason + (f", {why}" if why else ""),
+                    }
+                )
+        return {
+            "loaded": self.is_loaded,
+            "why_none": forecast.no_forecast_reason() if self.is_loaded else "the history is being read",
+            "days_known": forecast.watched_days(wall_s) if self.is_loaded else 0,
+            "series": len(history.series),
+            "keys_most": self.store.max_keys,
+            "writes": self.store.write_count,
+            "unreadable_keys": self.store.invalid_block_count,
+            "quantile": round(self.settings.quantile, 3),
+            "expected": expected,
+            "held": [
+                {
+                    "pool": str(hold.need.pool),
+                    "units": round(hold.need.units, 1),
+                    "by": forecast.local_time(history.slot_of(hold.need.needed_at)).isoformat(timespec="minutes"),
+                    "standing": round(hold.available_units, 1),
+                    "idle_machines": hold.idle_machines,
+                    "renting": hold.ordered_machines,
+                    "short": round(hold.missing_units, 1),
+                    "why": hold.need.reason,
+                }
+                for hold in capacity_plan.holds
+            ],
+            "price_an_hour": round(capacity_plan.price_per_hour, 2),
+        }
+
+
+def _format_hold(hold: CapacityHold) -> str:
+    need = hold.need
+    text = f"{need.units:.3g} units of {need.pool}, {hold.available_units:.3g} there"
+    text += f", {hold.idle_machines} machines idle for it"
+    if hold.ordered_machines:
+        text += f", renting {hold.ordered_machines}"
+    if hold.missing_units > 1e-6:
+        text += f", {hold.missing_units:.3g} short (ceiling or no capacity)"
+    return f"{text}: {need.reason}"
+
+
+def _wall_s() -> float:
+    return clock.utc_now().timestamp()
--- /dev/null
+++ b/roseweir/forecast/scaling_planner.py
@@ -0,0 +1,117 @@
+"""History, forecast and plan together, as a leader and a replay use them. Pure."""
+
+import math
+from collections.abc import Callable
+from datetime import datetime
+
+from roseweir.clock import ZERO
+from roseweir.cloud.scale_out import MachineOffer, MachineRequest, time_budget, units_per_task
+from roseweir.forecast.capacity_plan import CapacityPlan, lead_time_s, plan_capacity, representative_job
+from roseweir.forecast.demand_history import Demand, DemandHistory, Pool, SeriesKey, TaskShape
+from roseweir.forecast.forecaster import CapacityNeed, DemandForecaster, find_best_effort_teams
+from roseweir.forecast.settings import PredictiveScalingSettings
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import JobRun
+from roseweir.scheduler.scheduling_pass import max_concurrent_tasks
+from roseweir.submissions.jobs import SERVICE, JobSpec
+
+# Needs change with the slots; looking at them more often than this only costs.
+FORECAST_INTERVAL_S = 10.0
+# Each refusal of the last minutes moves orders this much further ahead, up to so much.
+EXTRA_LEAD_PER_REFUSAL_S, REFUSAL_MEMORY_S, MAX_EXTRA_LEAD_S = 12.0, 600.0, 120.0
+
+NeedSource = Callable[[float, dict[Pool, float]], list[CapacityNeed]]
+
+
+class ScalingPlanner:
+    def __init__(self, settings: PredictiveScalingSettings, cluster_state: ClusterState) -> None:
+        self.settings = settings
+        self.cluster_state = cluster_state
+        best_effort_teams = find_best_effort_teams(cluster_state.teams.values())
+        self.history = DemandHistory(settings.slot_s, settings.weeks, settings.series_most, best_effort_teams)
+        self.forecast = DemandForecaster(settings, cluster_state.teams, self.history, best_effort_teams)
+        # Where needs come from: the forecast, or what a replay compares it with.
+        self.need_source: NeedSource = self.forecast.needs
+        self.needs: list[CapacityNeed] = []
+        self.capacity_plan = CapacityPlan()
+        self._forecast_at = -math.inf
+        self._refused_at: list[float] = []
+
+    def demand_of(self, run: JobRun, now: float) -> Demand:
+        """What a job asks for at once: all that its team's limit allows, or what meets a loose deadline."""
+        job_spec, cluster_state = run.spec, self.cluster_state
+        max_tasks = (
+            job_spec.task_count
+            if job_spec.is_admitted_as_unit
+            else min(job_spec.task_count, max(1, max_concurrent_tasks(cluster_state, job_spec)))
+        )
+        estimate_s = max(1.0, cluster_state.estimate_runtime(job_spec).total_seconds())
+        unit_seconds = job_spec.task_count * units_per_task(job_spec) * estimate_s
+        concurrent_units = max_tasks * units_per_task(job_spec)
+        if job_spec.deadline_s is not None and not job_spec.is_admitted_as_unit:
+            remaining_s = max(estimate_s, time_budget(cluster_state, run, ZERO).total_seconds())
+            concurrent_units = min(concurrent_units, max(units_per_task(job_spec), unit_seconds / remaining_s))
+        duration_s = (
+            math.inf
+            if job_spec.job_type == SERVICE
+            else unit_seconds / concurrent_units
+            if concurrent_units > 0
+            else estimate_s
+        )
+        key = SeriesKey(self._pool(job_spec), job_spec.job_class, job_spec.team)
+        shape = TaskShape(job_spec.cpus, job_spec.gpus, job_spec.memory_gb, job_spec.image_gb)
+        # Clocks differ by a bounded skew: nothing was accepted later than now.
+        accepted_at = min(job_spec.accepted_ms / 1000, now)
+        return Demand(
+            job_spec.id, key, shape, accepted_at, duration_s, concurrent_units, unit_seconds, job_spec.task_count
+        )
+
+    def _pool(self, job_spec: JobSpec) -> Pool:
+        fitting_types = [
+            machine_type.name
+            for machine_type in self.cluster_state.catalog.values()
+            if job_spec.fits_machine_type(machine_type)
+        ]
+        candidate_types = [
+            machine_type.name
+            for machine_type in self.cluster_state.catalog.values()
+            if (machine_type.gpus > 0) == (job_spec.gpus > 0)
+        ]
+        types = None if set(fitting_types) >= set(candidate_types) else tuple(sorted(fitting_types))
+        return Pool(job_spec.gpus > 0, types, job_spec.zone, job_spec.allows_spot)
+
+    def lead_times_s(self, now: float) -> dict[Pool, float]:
+        """How long before it is needed a machine has to be ordered, by pool."""
+        self._refused_at = [at for at in self._refused_at if now - at < REFUSAL_MEMORY_S]
+        extra_lead_s = min(MAX_EXTRA_LEAD_S, EXTRA_LEAD_PER_REFUSAL_S * len(self._refused_at))
+        lead_times_s: dict[Pool, float] = {}
+        for pool, shape in self.forecast.task_shapes().items():
+            job_spec = representative_job(CapacityNeed(pool, shape, 0.0, now, ""))
+            lead_times_s[pool] = (
+                lead_time_s(
+                    job_spec,
+                    shape.image_gb,
+                    self.cluster_state.catalog,
+                    self.history.boot_factors,
+                    self.history.fetch_factors,
+                )
+                + extra_lead_s
+            )
+        return lead_times_s
+
+    def plan(
+        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], wall_s: float, now: datetime
+    ) -> CapacityPlan:
+        """What joins the second's rentals. `wall`: seconds since 1970; `now`: the steady clock."""
+        self.history.advance_to(wall_s)
+        self.history.record_times(self.cluster_state.boot_ratios, self.cluster_state.image_fetch_ratios)
+        if wall_s - self._forecast_at >= FORECAST_INTERVAL_S or wall_s < self._forecast_at:
+            self._forecast_at = wall_s
+            self.needs = self.need_source(wall_s, self.lead_times_s(wall_s))
+        self.capacity_plan = plan_capacity(self.cluster_state, self.needs, wants, refused, self.settings, now)
+        is_short = any(hold.missing_units > 0 for hold in self.capacity_plan.holds) and any(
+            until > now for until in refused.values()
+        )
+        if is_short and (not self._refused_at or wall_s - self._refused_at[-1] >= EXTRA_LEAD_PER_REFUSAL_S):
+            self._refused_at.append(wall_s)
+        return self.capacity_plan
--- a/roseweir/forecast/settings.py
+++ b/roseweir/forecast/settings.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from roseweir.calendars import Calendar
-from roseweir.forms import SettingsError, read_form, read_number
+from roseweir.sexp import SettingsError, read_form, read_number
 
 DAY = timedelta(days=1)
 HOUR = timedelta(hours=1)
 
 
-class AheadSettings(msgspec.Struct):
+class PredictiveScalingSettings(msgspec.Struct):
     """Renting ahead. docs/forecast.md gives the reason for each default."""
 
     slot: timedelta = timedelta(minutes=5)
@@ -42,49 +42,49 @@
         return self.wait_cost / (self.wait_cost + self.idle_cost)
 
 
-_SPANS = {"level-window", "absent-after"}
-_ABOVE_ZERO = {"wait-cost", "idle-cost", "level-most", "peak-most"}
-_FROM_ZERO = {"machines-most", "money-most"}
-_SHARES = {"fade", "known-share", "guest-share"}
-_COUNTS = {"weeks": (1, 26), "least-weeks": (1, 26), "series-most": (8, 200)}
+_DURATION_FIELDS = {"level-window", "absent-after"}
+_POSITIVE_FIELDS = {"wait-cost", "idle-cost", "level-most", "peak-most"}
+_NON_NEGATIVE_FIELDS = {"machines-most", "money-most"}
+_SHARE_FIELDS = {"fade", "known-share", "guest-share"}
+_COUNT_FIELD_BOUNDS = {"weeks": (1, 26), "least-weeks": (1, 26), "series-most": (8, 200)}
 
 
-def parse_ahead(entries: list[Any]) -> AheadSettings:
+def parse_predictive_scaling(entries: list[Any]) -> PredictiveScalingSettings:
     """Read the entries of `(renting-ahead (slot 300) (weeks 8) ...)`."""
-    found = AheadSettings()
+    settings = PredictiveScalingSettings()
     for entry in entries:
         name, args = read_form(entry)
         value: object
         if name == "slot":
-            value = timedelta(seconds=_slot(read_number(name, args, above_zero=True)))
-        elif name in _SPANS:
-            value = timedelta(seconds=read_number(name, args, above_zero=True))
-        elif name in _ABOVE_ZERO or name in _FROM_ZERO:
-            value = read_number(name, args, above_zero=name in _ABOVE_ZERO)
-        elif name in _SHARES:
+            value = timedelta(seconds=_read_slot_s(read_number(name, args, must_be_positive=True)))
+        elif name in _DURATION_FIELDS:
+            value = timedelta(seconds=read_number(name, args, must_be_positive=True))
+        elif name in _POSITIVE_FIELDS or name in _NON_NEGATIVE_FIELDS:
+            value = read_number(name, args, must_be_positive=name in _POSITIVE_FIELDS)
+        elif name in _SHARE_FIELDS:
             value = read_number(name, args)
             if value > 1:
                 raise SettingsError(f"`{name}` must be at most 1")
-        elif name in _COUNTS:
-            value = _count(name, read_number(name, args, above_zero=True))
+        elif name in _COUNT_FIELD_BOUNDS:
+            value = _read_count(name, read_number(name, args, must_be_positive=True))
         else:
             raise SettingsError(f"unknown name `{name}` in `renting-ahead`")
-        setattr(found, name.replace("-", "_"), value)
-    if found.least_weeks > found.weeks:
+        setattr(settings, name.replace("-", "_"), value)
+    if settings.least_weeks > settings.weeks:
         raise SettingsError("`least-weeks` must be at most `weeks`")
-    if found.absent_after < found.slot:
+    if settings.absent_after < settings.slot:
         raise SettingsError("`absent-after` must be at least a `slot`")
-    return found
+    return settings
 
 
-def _slot(value: float) -> int:
+def _read_slot_s(value: float) -> int:
     if value != int(value) or value < 60 or 3600 % int(value):
         raise SettingsError("`slot` must be a whole number of seconds from 60 that divides an hour")
     return int(value)
 
 
-def _count(name: str, value: float) -> int:
-    least, most = _COUNTS[name]
-    if value != int(value) or not least <= value <= most:
-        raise SettingsError(f"`{name}` must be a whole number from {least} to {most}")
+def _read_count(name: str, value: float) -> int:
+    minimum, maximum = _COUNT_FIELD_BOUNDS[name]
+    if value != int(value) or not minimum <= value <= maximum:
+        raise SettingsError(f"`{name}` must be a whole number from {minimum} to {maximum}")
     return int(value)
--- a/roseweir/forecast/tools/report.py
+++ b/roseweir/forecast/tools/html_report.py
@@ -12,13 +12,13 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import FuncFormatter
 
-from roseweir.forecast.tools.compare import Burst, Result
+from roseweir.forecast.tools.policy_comparison import Burst, PolicyResult
 
 matplotlib.rcParams["svg.hashsalt"] = "roseweir"  # the same figures make the same file
-COLOURS = {"none": "#9a3b3b", "reserve": "#8a7a2f", "ahead": "#2f6f8a", "best": "#5a8a4a"}
+POLICY_COLOURS = {"none": "#9a3b3b", "reserve": "#8a7a2f", "ahead": "#2f6f8a", "best": "#5a8a4a"}
 
 
-def write_report(path: Path, results: list[Result], bursts: list[Burst], zone: tzinfo, title: str) -> None:
+def write_report(path: Path, results: list[PolicyResult], bursts: list[Burst], zone: tzinfo, title: str) -> None:
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined, trim_blocks=True)
     template = environment.from_string(files(__package__).joinpath("report.html.j2").read_text())
     page = template.render(
@@ -26,29 +26,36 @@
         results=results,
         bursts=bursts,
         zone=str(zone),
-        demand=_svg(_demand(results, zone)),
-        waits=_svg(_waits(results)),
-        by_burst=_svg(_by_burst(results, bursts)),
+        demand=_render_svg(_plot_demand(results, zone)),
+        waits=_render_svg(_plot_waits(results)),
+        by_burst=_render_svg(_plot_bursts(results, bursts)),
     )
     path.write_text(page)
 
 
-def _svg(figure: Figure) -> Any:
+def _render_svg(figure: Figure) -> Any:
     out = StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None}, bbox_inches="tight")
     text = out.getvalue()
     return markupsafe.Markup(text[text.index("<svg") :])
 
 
-def _demand(results: list[Result], zone: tzinfo) -> Figure:
+def _plot_demand(results: list[PolicyResult], zone: tzinfo) -> Figure:
     """CPUs offered, standing and held, policy by policy."""
     figure = Figure(figsize=(11, 2.1 * len(results)))
     axes = figure.subplots(len(results), 1, sharex=True, squeeze=False)
     for row, result in zip(axes[:, 0], results, strict=True):
-        times = [datetime.fromtimestamp(at, UTC).astimezone(zone) for at, *_ in result.outcome.course]
-        offered, standing, held = ([point[n] for point in result.outcome.course] for n in (1, 2, 3))
+        times = [datetime.fromtimestamp(at, UTC).astimezone(zone) for at, *_ in result.outcome.timeline]
+        offered, standing, held = ([point[n] for point in result.outcome.timeline] for n in (1, 2, 3))
         row.fill_between(times, offered, color="#c9c9c9", label="asked for at once", step="post")
-        row.plot(times, standing, color=COLOURS[result.policy], linewidth=0.9, label="standing", drawstyle="steps-post")
+        row.plot(
+            times,
+            standing,
+            color=POLICY_COLOURS[result.policy],
+            linewidth=0.9,
+            label="standing",
+            drawstyle="steps-post",
+        )
         if any(held):
             row.plot(times, held, color="#444444", linewidth=0.6, linestyle=":", label="to stand ready")
         row.set_ylabel("CPUs")
@@ -58,15 +65,15 @@
     return figure
 
 
-def _waits(results: list[Result]) -> Figure:
+def _plot_waits(results: list[PolicyResult]) -> Figure:
     """How large a part of the tasks waited longer than so long."""
     figure = Figure(figsize=(7, 3.2))
     axes = figure.subplots()
     for result in results:
-        waits = sorted(max(0.1, start.wait) for start in result.outcome.starts)
+        waits = sorted(max(0.1, start.wait_s) for start in result.outcome.starts)
         if waits:
             shares = [1 - n / len(waits) for n in range(len(waits))]
-            axes.plot(waits, shares, color=COLOURS[result.policy], label=result.policy)
+            axes.plot(waits, shares, color=POLICY_COLOURS[result.policy], label=result.policy)
     axes.set_xscale("log")
     axes.set_xlabel("wait (s)")
     axes.set_ylabel("part of the tasks that wait longer")
@@ -75,14 +82,14 @@
     return figure
 
 
-def _by_burst(results: list[Result], bursts: list[Burst]) -> Figure:
+def _plot_bursts(results: list[PolicyResult], bursts: list[Burst]) -> Figure:
     figure = Figure(figsize=(11, 3.2))
     axes = figure.subplots()
     width = 0.8 / max(1, len(results))
     for number, result in enumerate(results):
         heights = [result.figures["by_burst"][burst.name]["wait_p95_s"] for burst in bursts]
         places = [n + number * width for n in range(len(bursts))]
-        axes.bar(places, heights, width, color=COLOURS[result.policy], label=result.policy)
+        axes.bar(places, heights, width, color=POLICY_COLOURS[result.policy], label=result.policy)
     axes.set_xticks(
         [n + 0.4 - width / 2 for n in range(len(bursts))], [b.name for b in bursts], rotation=30, ha="right"
     )
--- a/roseweir/forecast/tools/load.py
+++ b/roseweir/forecast/tools/recorded_load.py
@@ -10,17 +10,17 @@
 import msgspec
 import orjson
 
-from roseweir.forms import SettingsError
+from roseweir.sexp import SettingsError
 from roseweir.submissions.jobs import JobSpec
 from roseweir.submissions.messages import Submission
 
 
 class Arrival(NamedTuple):
-    at: float  # seconds since 1970
+    arrived_at: float  # seconds since 1970
     spec: JobSpec
 
 
-def schema() -> Any:
+def load_schema() -> Any:
     return orjson.loads(files(__package__).joinpath("load.schema.json").read_bytes())
 
 
@@ -32,19 +32,19 @@
     arrivals: dict[str, Arrival] = {}
     try:
         with path.open("rb") as file:
-            for arrival in _lines(path, file):
+            for arrival in _read_lines(path, file):
                 known = arrivals.get(arrival.spec.id)
-                if known is None or arrival.at < known.at:
+                if known is None or arrival.arrived_at < known.arrived_at:
                     arrivals[arrival.spec.id] = arrival
     except OSError as e:
         raise SettingsError(f"{path}: {e.strerror or e}") from e
     if not arrivals:
         raise SettingsError(f"{path}: no submissions in it")
-    return sorted(arrivals.values(), key=lambda a: (a.at, a.spec.id))
+    return sorted(arrivals.values(), key=lambda a: (a.arrived_at, a.spec.id))
 
 
-def _lines(path: Path, file: Any) -> Iterator[Arrival]:
-    check = fastjsonschema.compile(schema())
+def _read_lines(path: Path, file: Any) -> Iterator[Arrival]:
+    check = fastjsonschema.compile(load_schema())
     for number, line in enumerate(file, 1):
         if not line.strip():
             continue
--- /dev/null
+++ b/roseweir/forecast/tools/replay.py
@@ -0,0 +1,419 @@
+"""Recorded load in simulated time, against a stand-in provider, with the service's own planning code.
+
+The board, the planning passes, rental, give-back and renting ahead are those that a leader runs. What is left
+out: reports, records and failures, so orders reach machines at once. Weeks before the measured one are only
+counted, as a leader would have counted them. Boot times and run times are drawn by machine and by task, so
+every policy meets the same ones.
+"""
+
+import math
+from collections import OrderedDict, deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from datetime import datetime
+from functools import partial
+from heapq import heappop, heappush
+from typing import Any
+
+import numpy as np
+
+from roseweir.clock import MONOTONIC_ORIGIN, seconds
+from roseweir.cloud.controller import OVERFLOW_DURATION
+from roseweir.cloud.scale_out import OFFER_RETRY_INTERVAL, MachineOffer, MachineRequest, plan_scale_in, plan_scale_out
+from roseweir.forecast.demand_history import Pool
+from roseweir.forecast.scaling_planner import ScalingPlanner
+from roseweir.forecast.settings import PredictiveScalingSettings
+from roseweir.forecast.tools.recorded_load import Arrival
+from roseweir.forecast.tools.simulated_provider import SimulatedProvider
+from roseweir.limits.rules import renew_class_limits, renew_fetch_limits
+from roseweir.operator_config import OperatorConfig
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import MAX_RATIO_SAMPLES
+from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
+from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
+from roseweir.submissions.jobs import GANG, SERVICE, completed_job
+from roseweir.workers import messages as wire
+
+# Rental decides every second while something is under way, else this often.
+BUSY_DECISION_INTERVAL_S, IDLE_DECISION_INTERVAL_S = 1.0, 10.0
+LIMIT_RENEWAL_INTERVAL_S = 1.0
+# Boots, as multiples of the catalog's figure: mostly within these, a few several times as long.
+BOOT_FACTOR_RANGE, SLOW_BOOT_FACTOR, SLOW_BOOT_PROBABILITY = (0.6, 1.5), 3.0, 0.03
+# Images come a third faster or slower than the catalog's rate.
+FETCH_FACTOR_RANGE = (0.75, 1.5)
+RUN_TIME_SPREAD = 0.25
+MIN_CHARGED_S = 60.0
+
+
+@dataclass
+class TaskStart:
+    """A task's first start."""
+
+    job_class: str
+    submitted_at: float
+    wait_s: float
+
+
+@dataclass
+class ReplayOutcome:
+    starts: list[TaskStart] = field(default_factory=list)
+    idle_machine_hours: float = 0.0
+    machine_hours: float = 0.0
+    prewarmed_machine_hours: float = 0.0  # of them, kept or rented ahead while idle
+    cost: float = 0.0
+    unfinished_jobs: int = 0
+    refusals: int = 0
+    # (seconds since 1970, units offered, units standing, units held ahead), a row a slot
+    timeline: list[tuple[float, float, float, float]] = field(default_factory=list)
+    # machine-hours held ahead by local day
+    prewarmed_hours_by_day: dict[str, float] = field(default_factory=dict)
+    longest_wait: float = 0.0
+
+
+class Replay:
+    def __init__(
+        self,
+        provider: SimulatedProvider,
+        operator_config: OperatorConfig,
+        scaling_settings: PredictiveScalingSettings,
+        arrivals: list[Arrival],
+        measure_from: float,
+        seed: int,
+        is_scaling_ahead: bool,
+        progress: Callable[[float], None] = lambda share: None,
+    ) -> None:
+        self.provider = provider
+        self.settings = scaling_settings
+        self.arrivals = arrivals
+        self.measured_from = measure_from
+        self.ends_at = arrivals[-1].arrived_at
+        self.seed = seed
+        self.is_scaling_ahead = is_scaling_ahead
+        self.progress = progress
+        self.operator_config = operator_config
+        self.cluster_state = ClusterState(provider.settings, operator_config, 1, self._monotonic_at(self.measured_from))
+        self.cluster_state.catalog = dict(provider.catalog)
+        self.planner = ScalingPlanner(scaling_settings, self.cluster_state)
+        self.outcome = ReplayOutcome()
+        self.refused_until: dict[MachineOffer, datetime] = {}
+        self.last_pass = SchedulingPassResult()
+        self._events: list[tuple[float, int, Callable[[float], None]]] = []
+        self._event_count = 0
+        self._rented_at: dict[str, float] = {}
+        self._up_since: dict[str, float] = {}
+        self._idle_since: dict[str, float] = {}
+        self._image_ready_at: dict[tuple[str, str], float] = {}
+        self._started_indices: dict[str, set[int]] = {}
+        self._run_time_factors: OrderedDict[str, Any] = OrderedDict()
+        self._remaining_s: dict[tuple[str, int], float] = {}
+        self._stopping: set[tuple[str, int, int]] = set()
+        self._arrival_index: dict[str, int] = {}
+        self._machine_count = 0
+        self._limits_renewed_at = -math.inf
+        self._recorded_slot = -1
+        self._prewarmed_counted_at = -math.inf
+
+    def _monotonic_at(self, at: float) -> datetime:
+        # The board's clock must begin well after its NEVER.
+        return MONOTONIC_ORIGIN + seconds(at - self.measured_from)
+
+    def _schedule(self, at: float, act: Callable[[float], None]) -> None:
+        self._event_count += 1
+        heappush(self._events, (at, self._event_count, act))
+
+    # -- the course of time -------------------------------------------------------------------
+
+    def run(self) -> ReplayOutcome:
+        history = self.planner.history
+        index = 0
+        while index < len(self.arrivals) and self.arrivals[index].arrived_at < self.measured_from:
+            arrival = self.arrivals[index]
+            run = JobRun(arrival.spec, 0, bytearray())
+            history.record_accepted_job(self.planner.demand_of(run, arrival.arrived_at))
+            index += 1
+        history.advance_to(self.measured_from)
+        first_arrival_at = self.arrivals[0].arrived_at
+        for slot in range(history.slot_of(first_arrival_at), history.slot_of(self.measured_from)):
+            if history.has_slot(slot):
+                history.covered_s[slot % history.slot_count] = history.slot_s
+        at = next_decision_at = self.measured_from
+        watched_until = self.measured_from
+        # A while longer than the load, so that what was asked for last can end.
+        close = self.ends_at + 6 * 3600
+        while True:
+            next_at = min(self._events[0][0] if self._events else math.inf, next_decision_at)
+            if index < len(self.arrivals):
+                next_at = min(next_at, self.arrivals[index].arrived_at)
+            elif not self.cluster_state.jobs and at > self.ends_at:
+                break
+            if next_at > close:
+                break
+            at = next_at
+            history.advance_to(at)
+            history.mark_watched(watched_until, at)
+            watched_until = at
+            while self._events and self._events[0][0] <= at:
+                heappop(self._events)[2](at)
+            while index < len(self.arrivals) and self.arrivals[index].arrived_at <= at:
+                self._accept_arrival(index, at)
+                index += 1
+            if self.cluster_state.needs_scheduling or at >= next_decision_at:
+                self._run_scheduling_pass(at)
+            if at >= next_decision_at:
+                self._scale(at)
+                busy = self.last_pass.unplaced or any(m.is_booting for m in self.cluster_state.machines.values())
+                next_decision_at = at + (BUSY_DECISION_INTERVAL_S if busy else IDLE_DECISION_INTERVAL_S)
+            self._record_timeline(at)
+        self._finish_replay(at)
+        return self.outcome
+
+    def _accept_arrival(self, index: int, at: float) -> None:
+        spec = self.arrivals[index].spec
+        run = self.cluster_state.add_job(spec, index)
+        self._arrival_index[spec.id] = index
+        self.planner.history.record_accepted_job(self.planner.demand_of(run, at))
+
+    def _run_scheduling_pass(self, at: float) -> None:
+        now, cluster_state = self._monotonic_at(at), self.cluster_state
+        for machine in cluster_state.machines.values():
+            if not machine.is_booting:
+                machine.last_heartbeat_at = now
+        if at - self._limits_renewed_at >= LIMIT_RENEWAL_INTERVAL_S:
+            self._limits_renewed_at = at
+            up = [
+                (m.zone, m.machine_type)
+                for m in cluster_state.machines.values()
+                if m.has_acknowledged_term and not m.is_marked_for_release
+            ]
+            renew_fetch_limits(cluster_state.limits, up, cluster_state.operator_config, now)
+            renew_class_limits(cluster_state.limits, cluster_state.operator_config, now)
+            cluster_state.limits.remove_expired(now)
+        cluster_state.needs_scheduling = False
+        waiting = any(run.pending_count > 0 for run in cluster_state.jobs.values())
+        self.last_pass = run_scheduling_pass(cluster_state, now) if waiting else SchedulingPassResult()
+        for placement in cluster_state.planned_placements:
+            if placement.run.placements.get(placement.index) is placement and placement.phase == PlacementPhase.PLANNED:
+                placement.phase = PlacementPhase.CONFIRMED
+                self._start_task(placement, at)
+        cluster_state.planned_placements.clear()
+        cluster_state.urgent_stop_machines.clear()
+        cluster_state.dirty_machines.clear()
+        cluster_state.dirty_jobs.clear()
+        for run in list(cluster_state.jobs.values()):
+            for placement in list(run.placements.values()):
+                if placement.stop_requested_at is not None:
+                    self._stop_task(placement, at)
+
+    # -- machines -----------------------------------------------------------------------------
+
+    def _scale(self, at: float) -> None:
+        now, cluster_state = self._monotonic_at(at), self.cluster_state
+        wants, exhausted = plan_scale_out(cluster_state, self.last_pass, self.refused_until, round(at * 1000), now)
+        if exhausted:
+            cluster_state.overflow_until = now + OVERFLOW_DURATION
+        kept_machines: dict[str, str] = {}
+        if self.is_scaling_ahead:
+            capacity_plan = self.planner.plan(wants, self.refused_until, at, now)
+            wants += capacity_plan.wants
+            kept_machines = capacity_plan.kept_machines
+            self._count_prewarmed(kept_machines, at)
+        for want in wants:
+            self._scale_out(want, at)
+        for machine, _ in plan_scale_in(cluster_state, self.last_pass, now, kept_machines):
+            machine.is_marked_for_release = True
+            if not machine.placements:
+                self._release_machine(machine, at)
+
+    def _count_prewarmed(self, kept_machines: dict[str, str], at: float) -> None:
+        if self._prewarmed_counted_at > -math.inf:
+            hours = (at - self._prewarmed_counted_at) / 3600 * len(kept_machines)
+            self.outcome.prewarmed_machine_hours += hours
+            day = self.planner.forecast.local_time(self.planner.history.slot_of(at)).date().isoformat()
+            self.outcome.prewarmed_hours_by_day[day] = self.outcome.prewarmed_hours_by_day.get(day, 0.0) + hours
+        self._prewarmed_counted_at = at
+
+    def _scale_out(self, want: MachineRequest, at: float) -> None:
+        offer = (want.type_name, want.zone, want.is_spot)
+        cluster_state, now = self.cluster_state, self._monotonic_at(at)
+        machine_type = cluster_state.catalog[want.type_name]
+        rented_count = sum((m.machine_type.name, m.zone, m.is_spot) == offer for m in cluster_state.machines.values())
+        count = min(want.count, self.provider.machines_per_offer - rented_count)
+        if count < want.count:
+            self.refused_until[offer] = now + OFFER_RETRY_INTERVAL
+            self.outcome.refusals += 1
+        if count > 0:
+            cluster_state.obtained_instance_pools.add(offer)
+        for _ in range(count):
+            self._machine_count += 1
+            name = f"i-{self._machine_count:06d}"
+            machine = Machine(
+                name, machine_type, want.zone, want.is_spot, known_since=now, scaled_out_at=now, is_autoscaled=True
+            )
+            machine.is_booting = True
+            cluster_state.machines[name] = machine
+            self._rented_at[name] = at
+            rng = np.random.default_rng([self.seed, 1, self._machine_count])
+            factor = rng.uniform(*BOOT_FACTOR_RANGE) * (
+                SLOW_BOOT_FACTOR if rng.random() < SLOW_BOOT_PROBABILITY else 1.0
+            )
+            self._schedule(at + machine_type.boot_s * float(factor), partial(self._boot_completed, machine))
+
+    def _boot_completed(self, machine: Machine, at: float) -> None:
+        if machine.name not in self.cluster_state.machines:
+            return
+        heartbeat = wire.Heartbeat(
+            machine.name,
+            "10.0.0.1:1",
+            machine.machine_type.name,
+            machine.zone,
+            machine.is_spot,
+            1,
+            1,
+            self.cluster_state.term,
+            [],
+        )
+        self.cluster_state.apply_heartbeat(heartbeat, self._monotonic_at(at))
+        self._up_since[machine.name] = self._idle_since[machine.name] = at
+        self.cluster_state.needs_scheduling = True
+
+    def _release_machine(self, machine: Machine, at: float) -> None:
+        name = machine.name
+        self.cluster_state.forget_machine(name, self._monotonic_at(at), "released")
+        del self.cluster_state.released_machines[name]
+        self._charge(machine, self._rented_at.pop(name), at)
+        self._up_since.pop(name, None)
+        if name in self._idle_since:
+            self._count_idle(name, at)
+
+    def _charge(self, machine: Machine, rented: float, at: float) -> None:
+        hours = max(MIN_CHARGED_S, at - rented) / 3600
+        self.outcome.machine_hours += hours
+        self.outcome.cost += hours * (
+            machine.machine_type.spot_price if machine.is_spot else machine.machine_type.price
+        )
+
+    def _count_idle(self, name: str, at: float) -> None:
+        self.outcome.idle_machine_hours += (at - self._idle_since.pop(name)) / 3600
+
+    def _finish_replay(self, at: float) -> None:
+        for machine in list(self.cluster_state.machines.values()):
+            self._release_machine(machine, at)
+        self.outcome.unfinished_jobs = sum(run.spec.job_type != SERVICE for run in self.cluster_state.jobs.values())
+
+    # -- tasks --------------------------------------------------------------------------------
+
+    def _start_task(self, placement: Placement, at: float) -> None:
+        machine, spec = placement.machine, placement.run.spec
+        if machine.name in self._idle_since:
+            self._count_idle(machine.name, at)
+        key = (machine.name, spec.image)
+        if spec.image and not (spec.image in machine.image_cache and key in self._image_ready_at):
+            rng = np.random.default_rng([self.seed, 3, int(machine.name[2:]), len(machine.image_cache)])
+            factor = float(rng.uniform(*FETCH_FACTOR_RANGE))
+            fetch = spec.image_gb / max(machine.machine_type.fetch_gb_per_s, 0.01) * factor
+            times = self.cluster_state.image_fetch_ratios.setdefault(
+                machine.machine_type.name, deque(maxlen=MAX_RATIO_SAMPLES)
+            )
+            times.append((self._monotonic_at(at + fetch), factor))
+            self._image_ready_at[key] = max(self._image_ready_at.get(key, 0.0), at + fetch)
+            machine.record_image_use(spec.image, spec.image_gb)
+        begins = max(at, self._image_ready_at.get(key, at))
+        if spec.job_type == GANG:
+            mates = placement.run.placements.values()
+            begins = max(begins, *(self._image_ready_at.get((m.machine.name, spec.image), at) for m in mates))
+        placement.state = wire.RUNNING
+        placement.running_since = self._monotonic_at(begins)
+        started_indices = self._started_indices.setdefault(spec.id, set())
+        if placement.index not in started_indices:
+            started_indices.add(placement.index)
+            submitted = spec.accepted_ms / 1000
+            self.outcome.starts.append(TaskStart(spec.job_class, submitted, begins - submitted))
+        remaining_s = self._remaining_s.get((spec.id, placement.index))
+        ends = begins + (self._run_time(placement) if remaining_s is None else remaining_s)
+        if spec.job_type != SERVICE:
+            self._schedule(ends, lambda then: self._complete_task(placement, then))
+
+    def _run_time(self, placement: Placement) -> float:
+        spec = placement.run.spec
+        factors = self._run_time_factors.get(spec.id)
+        if factors is None:
+            rng = np.random.default_rng([self.seed, 2, self._arrival_index[spec.id]])
+            # A gang runs as fast as its slowest.
+            size = 1 if spec.job_type == GANG else spec.task_count
+            factors = self._run_time_factors[spec.id] = rng.lognormal(0.0, RUN_TIME_SPREAD, size)
+            if len(self._run_time_factors) > 2000:
+                self._run_time_factors.popitem(last=False)
+        return max(1.0, spec.estimated_duration_s * float(factors[0 if spec.job_type == GANG else placement.index]))
+
+    def _complete_task(self, placement: Placement, at: float) -> None:
+        run, machine = placement.run, placement.machine
+        if run.placements.get(placement.index) is not placement or placement.stop_requested_at is not None:
+            return
+        now = self._monotonic_at(at)
+        self.cluster_state.heartbeat_reconciler.complete_placement(placement, now)
+        run.failure_count = 0
+        self._mark_idle_if_empty(machine, at)
+        run.uncommitted_completions.clear()
+        if run.spec.job_type == GANG:
+            for mate in list(run.placements.values()):
+                self.cluster_state.remove_placement(mate, now)
+                self._mark_idle_if_empty(mate.machine, at)
+        if run.is_complete and not run.final_state:
+            self.cluster_state.end_job(run.spec.id, completed_job(run.spec, "done"), now)
+            self._started_indices.pop(run.spec.id, None)
+            self.planner.history.record_ended_job(run.spec.id, at)
+
+    def _mark_idle_if_empty(self, machine: Machine, at: float) -> None:
+        if not machine.placements and machine.name in self._up_since and machine.name not in self._idle_since:
+            self._idle_since[machine.name] = at
+
+    def _stop_task(self, placement: Placement, at: float) -> None:
+        """A task that makes way saves, if it can, and goes."""
+        spec = placement.run.spec
+        key = (spec.id, placement.index, placement.attempt)
+        if key in self._stopping:
+            return
+        self._stopping.add(key)
+        if spec.checkpoint_interval_s > 0 and placement.running_since is not None:
+            ran = (self._monotonic_at(at) - placement.running_since).total_seconds()
+            before = self._remaining_s.get((spec.id, placement.index)) or self._run_time(placement)
+            self._remaining_s[spec.id, placement.index] = max(1.0, before - max(0.0, ran))
+        self._schedule(
+            at + (spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else 0.0),
+            lambda then: self._remove_stopped_task(placement, then),
+        )
+
+    def _remove_stopped_task(self, placement: Placement, at: float) -> None:
+        self._stopping.discard((placement.run.spec.id, placement.index, placement.attempt))
+        if placement.run.placements.get(placement.index) is placement:
+            self.cluster_state.remove_placement(placement, self._monotonic_at(at))
+            self._mark_idle_if_empty(placement.machine, at)
+
+    # -- what is drawn ------------------------------------------------------------------------
+
+    def _record_timeline(self, at: float) -> None:
+        slot = self.planner.history.slot_of(at)
+        if slot == self._recorded_slot:
+            return
+        self._recorded_slot = slot
+        history = self.planner.history
+        offered = sum(peak for key, _, peak, _ in history.loads(slot - 1) if not key.pool.gpus)
+        there = sum(m.machine_type.cpus for m in self.cluster_state.machines.values() if m.machine_type.gpus <= 0)
+        held = sum(need.units for need in self.planner.needs if not need.pool.gpus) if self.is_scaling_ahead else 0.0
+        self.outcome.timeline.append(((slot - 1) * float(history.slot_s), offered, there, held))
+        if self.ends_at > self.measured_from:
+            self.progress(min(1.0, (at - self.measured_from) / (self.ends_at - self.measured_from)))
+
+
+def actual_peaks(replay: Replay) -> dict[int, dict[Pool, float]]:
+    """What each pool will have been asked for in each slot of the measured time: a forecast that knows the future."""
+    planner = ScalingPlanner(replay.settings, replay.cluster_state)
+    found: dict[int, dict[Pool, float]] = {}
+    for arrival in replay.arrivals:
+        run = JobRun(arrival.spec, 0, bytearray())
+        planner.history.record_accepted_job(planner.demand_of(run, arrival.arrived_at))
+    planner.history.advance_to(replay.ends_at)
+    for slot in range(planner.history.slot_of(replay.measured_from), planner.history.slot_of(replay.ends_at) + 1):
+        if planner.history.has_slot(slot):
+            found[slot] = planner.forecast.past_demand(slot)
+    return found
--- a/roseweir/http/__init__.py
+++ b/roseweir/http/__init__.py
@@ -1,16 +1,16 @@
 """HTTP/1.1 over asyncio streams and h11: one small server, one small client."""
 
 from roseweir.http.client import Client, Connect, Reply, Transport, Unreachable, connect
-from roseweir.http.server import Line, Listener, Request, Response, json_response, serve
+from roseweir.http.server import Listener, Request, Response, ServerConnection, json_response, serve
 
 __all__ = [
     "Client",
     "Connect",
-    "Line",
     "Listener",
     "Reply",
     "Request",
     "Response",
+    "ServerConnection",
     "Transport",
     "Unreachable",
     "connect",
--- a/roseweir/http/client.py
+++ b/roseweir/http/client.py
@@ -16,8 +16,8 @@
     `connected`: the other side took the connection, so something runs there.
     """
 
-    def __init__(self, what: str, connected: bool = False) -> None:
-        super().__init__(what)
+    def __init__(self, message: str, connected: bool = False) -> None:
+        super().__init__(message)
         self.connected = connected
 
 
@@ -34,91 +34,93 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _PooledConnection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    peer: h11.Connection
+    h11_connection: h11.Connection
 
 
 Transport = Callable[..., Awaitable[Reply]]
 Connect = Callable[[str, int], Transport]
 
 
-def connect(address: str, pool: int) -> Transport:
+def connect(address: str, pool_size: int) -> Transport:
     """The way out to an address. Tests put their own in its place."""
-    return Client(address, pool).request
+    return Client(address, pool_size).request
 
 
 class Client:
     """Requests to one host and port. Connections idle in a small pool and are dropped on any doubt."""
 
-    def __init__(self, address: str, pool: int = 4) -> None:
+    def __init__(self, address: str, pool_size: int = 4) -> None:
         host, _, port = address.rpartition(":")
         self.host, self.port = host, int(port)
-        self._pool: list[_Line] = []
-        self._keep = pool
+        self._idle_connections: list[_PooledConnection] = []
+        self._max_idle_connections = pool_size
 
-    async def request(self, method: str, path: str, body: object = None, *, patience: timedelta) -> Reply:
-        raw = b"" if body is None else orjson.dumps(body)
-        line: _Line | None = None
+    async def request(self, method: str, path: str, body: object = None, *, timeout: timedelta) -> Reply:
+        payload = b"" if body is None else orjson.dumps(body)
+        connection: _PooledConnection | None = None
         try:
-            async with asyncio.timeout(patience.total_seconds()):
-                line = await self._line()
-                reply, keep = await self._exchange(line, method, path, raw)
+            async with asyncio.timeout(timeout.total_seconds()):
+                connection = await self._acquire_connection()
+                reply, is_reusable = await self._exchange(connection, method, path, payload)
         except (OSError, TimeoutError, h11.ProtocolError, EOFError) as e:
-            if line is not None:
-                line.writer.transport.abort()
-            what = f"{method} {self.host}:{self.port}{path}: {type(e).__name__} {e}"
-            raise Unreachable(what, connected=line is not None) from e
+            if connection is not None:
+                connection.writer.transport.abort()
+            message = f"{method} {self.host}:{self.port}{path}: {type(e).__name__} {e}"
+            raise Unreachable(message, connected=connection is not None) from e
         except asyncio.CancelledError:
-            if line is not None:
-                line.writer.transport.abort()
+            if connection is not None:
+                connection.writer.transport.abort()
             raise
-        if keep and len(self._pool) < self._keep:
-            line.peer.start_next_cycle()
-            self._pool.append(line)
+        if is_reusable and len(self._idle_connections) < self._max_idle_connections:
+            connection.h11_connection.start_next_cycle()
+            self._idle_connections.append(connection)
         else:
-            line.writer.close()
+            connection.writer.close()
         return reply
 
-    async def _line(self) -> _Line:
-        while self._pool:
-            line = self._pool.pop()
-            if not line.reader.at_eof() and not line.writer.is_closing():
-                return line
-            line.writer.transport.abort()
+    async def _acquire_connection(self) -> _PooledConnection:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if not connection.reader.at_eof() and not connection.writer.is_closing():
+                return connection
+            connection.writer.transport.abort()
         reader, writer = await asyncio.open_connection(self.host, self.port)
         # What is asked for by a right that may end leaves in the step that has looked at the clock.
         writer.transport.set_write_buffer_limits(high=0)
-        return _Line(reader, writer, h11.Connection(h11.CLIENT))
-
-    async def _exchange(self, line: _Line, method: str, path: str, raw: bytes) -> tuple[Reply, bool]:
-        peer = line.peer
-        headers = [("host", f"{self.host}:{self.port}"), ("content-length", str(len(raw)))]
-        if raw:
+        return _PooledConnection(reader, writer, h11.Connection(h11.CLIENT))
+
+    async def _exchange(
+        self, connection: _PooledConnection, method: str, path: str, payload: bytes
+    ) -> tuple[Reply, bool]:
+        h11_connection = connection.h11_connection
+        headers = [("host", f"{self.host}:{self.port}"), ("content-length", str(len(payload)))]
+        if payload:
             headers.append(("content-type", "application/json"))
-        out = peer.send(h11.Request(method=method, target=path, headers=headers)) or b""
-        if raw:
-            out += peer.send(h11.Data(data=raw)) or b""
-        out += peer.send(h11.EndOfMessage()) or b""
-        line.writer.write(out)
-        await line.writer.drain()
+        outgoing = h11_connection.send(h11.Request(method=method, target=path, headers=headers)) or b""
+        if payload:
+            outgoing += h11_connection.send(h11.Data(data=payload)) or b""
+        outgoing += h11_connection.send(h11.EndOfMessage()) or b""
+        connection.writer.write(outgoing)
+        await connection.writer.drain()
         status = 0
         parts: list[bytes] = []
         while True:
-            event = peer.next_event()
+            event = h11_connection.next_event()
             if event is h11.NEED_DATA:
-                peer.receive_data(await line.reader.read(65536))
+                h11_connection.receive_data(await connection.reader.read(65536))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                keep = peer.our_state is h11.DONE and peer.their_state is h11.DONE
-                return Reply(status, b"".join(parts)), keep
+                is_reusable = h11_connection.our_state is h11.DONE and h11_connection.their_state is h11.DONE
+                return Reply(status, b"".join(parts)), is_reusable
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("closed early")
 
     def close(self) -> None:
-        while self._pool:
-            self._pool.pop().writer.transport.abort()
+        while self._idle_connections:
+            self._idle_connections.pop().writer.transport.abort()
--- a/roseweir/limits/__init__.py
+++ b/roseweir/limits/__init__.py
@@ -1,6 +1,6 @@
 """Startup limits: leased token buckets that gate starts. See docs/design.md."""
 
-from roseweir.limits.bucket import Bucket
-from roseweir.limits.limits import Limit, Limits, Start
+from roseweir.limits.bucket import TokenBucket
+from roseweir.limits.startup_limits import StartupLimit, StartupLimits, TaskStart
 
-__all__ = ["Bucket", "Limit", "Limits", "Start"]
+__all__ = ["StartupLimit", "StartupLimits", "TaskStart", "TokenBucket"]
