--- a/roseweir/limits/bucket.py
+++ b/roseweir/limits/bucket.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """Holds between -burst and capacity tokens; capacity tokens come in each window.
 
     A draw of cost c passes if tokens + burst >= min(c, draw_cap), and that much is debited.
@@ -17,12 +17,12 @@
     burst: float
     draw_cap: float
     tokens: float
-    at: datetime
+    refilled_at: datetime
 
     @classmethod
     def full(
         cls, now: datetime, capacity: float, window: timedelta, burst: float = 0.0, draw_cap: float = 0.0
-    ) -> "Bucket":
+    ) -> "TokenBucket":
         return cls(capacity, window, burst, draw_cap, capacity, now)
 
     def resize(self, capacity: float, now: datetime) -> None:
@@ -35,25 +35,25 @@
         self.tokens = self._clamp(self.tokens)
 
     def refill(self, now: datetime) -> None:
-        if now > self.at:
-            self.tokens = self._clamp(self.tokens + self.capacity * ((now - self.at) / self.window))
-            self.at = now
+        if now > self.refilled_at:
+            self.tokens = self._clamp(self.tokens + self.capacity * ((now - self.refilled_at) / self.window))
+            self.refilled_at = now
 
-    def covers(self, cost: float, now: datetime) -> bool:
+    def can_pay(self, cost: float, now: datetime) -> bool:
         self.refill(now)
-        return self.tokens + self.burst + 1e-9 >= self._draw(cost)
+        return self.tokens + self.burst + 1e-9 >= self._capped_draw(cost)
 
     def debit(self, cost: float, now: datetime) -> None:
         self.refill(now)
-        self.tokens = self._clamp(self.tokens - self._draw(cost))
+        self.tokens = self._clamp(self.tokens - self._capped_draw(cost))
 
     def capacity_in(self, horizon: timedelta, now: datetime) -> float:
         """What the bucket can pay within the horizon, its debt allowance included."""
         self.refill(now)
-        ahead = self.tokens + self.capacity * (horizon / self.window)
-        return min(max(ahead, -self.burst), self.capacity) + self.burst
+        available = self.tokens + self.capacity * (horizon / self.window)
+        return min(max(available, -self.burst), self.capacity) + self.burst
 
-    def _draw(self, cost: float) -> float:
+    def _capped_draw(self, cost: float) -> float:
         cost = max(0.0, cost)
         return min(cost, self.draw_cap) if self.draw_cap > 0 else cost
 
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable
 from datetime import datetime
 
-from roseweir.limits.bucket import Bucket
-from roseweir.limits.limits import Limit, Limits, MachineView, Rule, Start
+from roseweir.limits.bucket import TokenBucket
 from roseweir.limits.settings import ClassLimit, LimitSettings
+from roseweir.limits.startup_limits import LimitRule, MachineView, StartupLimit, StartupLimits, TaskStart
 from roseweir.submissions.jobs import GANG, JobSpec, MachineType
 
 
@@ -14,29 +14,35 @@
 
 
 def renew_fetch_limits(
-    limits: Limits, machines: Iterable[tuple[str, MachineType]], tuning: LimitSettings, now: datetime
+    limits: StartupLimits, machines: Iterable[tuple[str, MachineType]], limit_settings: LimitSettings, now: datetime
 ) -> None:
     """Uncached image fetches, per zone: cost in GB, rate by what the zone's machines can pull."""
     rates: dict[str, float] = {}
-    for zone, kind in machines:
-        rates[zone] = rates.get(zone, 0.0) + kind.fetch_gb_per_s
+    for zone, machine_type in machines:
+        rates[zone] = rates.get(zone, 0.0) + machine_type.fetch_gb_per_s
     for zone, rate in rates.items():
-        capacity = rate * tuning.fetch_share * tuning.fetch_window.total_seconds()
-        limit = limits.put(
-            Limit(
+        capacity = rate * limit_settings.fetch_share * limit_settings.fetch_window.total_seconds()
+        limit = limits.install_or_renew(
+            StartupLimit(
                 tag=fetch_tag(zone),
-                matches=_uncached_in(zone),
+                matches=_uncached_fetch_rule(zone),
                 cost=lambda start: start.job.image_gb,
-                bucket=Bucket.full(now, capacity, tuning.fetch_window, tuning.fetch_burst_gb, tuning.fetch_draw_cap_gb),
-                expires=now + tuning.lease,
-                job_only=False,
+                bucket=TokenBucket.full(
+                    now,
+                    capacity,
+                    limit_settings.fetch_window,
+                    limit_settings.fetch_burst_gb,
+                    limit_settings.fetch_draw_cap_gb,
+                ),
+                expires_at=now + limit_settings.lease,
+                is_job_only=False,
             )
         )
         if abs(limit.bucket.capacity - capacity) > 1e-9:
             limit.bucket.resize(capacity, now)
 
 
-def _uncached_in(zone: str) -> Rule:
+def _uncached_fetch_rule(zone: str) -> LimitRule:
     def matches(job: JobSpec, machine: MachineView | None) -> bool:
         if not job.image or job.image_gb <= 0:
             return False
@@ -51,46 +57,53 @@
     return f"restart:{job_id}"
 
 
-def renew_restart_limit(limits: Limits, job_id: str, tuning: LimitSettings, now: datetime) -> None:
+def renew_restart_limit(limits: StartupLimits, job_id: str, limit_settings: LimitSettings, now: datetime) -> None:
     """A job that failed repeatedly restarts one task a window, or its gang as a whole (the sum makes one)."""
-    limits.put(
-        Limit(
+    limits.install_or_renew(
+        StartupLimit(
             tag=restart_tag(job_id),
             matches=lambda job, machine: job.id == job_id,
-            cost=lambda start: start.tasks / start.job.tasks if start.job.kind == GANG else float(start.tasks),
-            bucket=Bucket.full(now, 1.0, tuning.restart_window),
-            expires=now + tuning.lease,
-            job_only=True,
+            cost=lambda start: (
+                start.task_count / start.job.task_count if start.job.job_type == GANG else float(start.task_count)
+            ),
+            bucket=TokenBucket.full(now, 1.0, limit_settings.restart_window),
+            expires_at=now + limit_settings.lease,
+            is_job_only=True,
         )
     )
 
 
-def renew_class_limits(limits: Limits, tuning: LimitSettings, now: datetime) -> None:
-    for own in tuning.class_limits:
-        limits.put(
-            Limit(
-                tag=f"class:{own.name}",
-                matches=_class_rule(own),
-                cost=_per_task,
-                bucket=Bucket.full(now, own.count, own.window, own.burst, own.draw_cap),
-                expires=now + tuning.lease,
-                job_only=own.machine_type is None and own.zone is None,
+def renew_class_limits(limits: StartupLimits, limit_settings: LimitSettings, now: datetime) -> None:
+    for class_limit in limit_settings.class_limits:
+        limits.install_or_renew(
+            StartupLimit(
+                tag=f"class:{class_limit.name}",
+                matches=_class_rule(class_limit),
+                cost=_cost_per_task,
+                bucket=TokenBucket.full(
+                    now, class_limit.count, class_limit.window, class_limit.burst, class_limit.draw_cap
+                ),
+                expires_at=now + limit_settings.lease,
+                is_job_only=class_limit.machine_type is None and class_limit.zone is None,
             )
         )
 
 
-def _per_task(start: Start) -> float:
-    return float(start.tasks)
+def _cost_per_task(start: TaskStart) -> float:
+    return float(start.task_count)
 
 
-def _class_rule(own: ClassLimit) -> Callable[[JobSpec, MachineView | None], bool]:
+def _class_rule(class_limit: ClassLimit) -> Callable[[JobSpec, MachineView | None], bool]:
     def matches(job: JobSpec, machine: MachineView | None) -> bool:
-        if own.job_class is not None and job.job_class != own.job_class:
+        if class_limit.job_class is not None and job.job_class != class_limit.job_class:
             return False
-        if own.team is not None and job.team != own.team:
+        if class_limit.team is not None and job.team != class_limit.team:
             return False
         if machine is None:
             return True
-        return own.machine_type in (None, machine.type_name) and own.zone in (None, machine.zone)
+        return class_limit.machine_type in (None, machine.machine_type_name) and class_limit.zone in (
+            None,
+            machine.zone,
+        )
 
     return matches
--- a/roseweir/limits/settings.py
+++ b/roseweir/limits/settings.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from roseweir.clock import seconds
-from roseweir.forms import SettingsError, read_form, read_number, read_text
+from roseweir.sexp import SettingsError, read_form, read_number, read_string
 
 
 class ClassLimit(msgspec.Struct):
@@ -41,28 +41,30 @@
     class_limits: list[ClassLimit] = []
 
 
-_SPANS = {"fetch-window", "restart-window", "lease", "ban-window", "lookahead"}
-_NUMBERS = {"fetch-share", "fetch-burst-gb", "fetch-draw-cap-gb"}
-_COUNTS = {"failure-count"}
-_LIMIT_TEXTS = {"name", "job-class", "team", "machine-type", "zone"}
-_LIMIT_NUMBERS = {"count", "burst", "draw-cap"}
+_DURATION_NAMES = {"fetch-window", "restart-window", "lease", "ban-window", "lookahead"}
+_NUMBER_NAMES = {"fetch-share", "fetch-burst-gb", "fetch-draw-cap-gb"}
+_COUNT_NAMES = {"failure-count"}
+_LIMIT_TEXT_NAMES = {"name", "job-class", "team", "machine-type", "zone"}
+_LIMIT_NUMBER_NAMES = {"count", "burst", "draw-cap"}
 
 
-def parse_limits(found: LimitSettings, entries: list[Any]) -> None:
+def parse_limits(limit_settings: LimitSettings, entries: list[Any]) -> None:
     """Read the entries of `(startup-limits (fetch-share 1.0) ... (limit (name "x") ...))`."""
     for entry in entries:
         name, args = read_form(entry)
         if name == "limit":
-            found.class_limits.append(_class_limit(args))
-        elif name in _SPANS:
-            setattr(found, name.replace("-", "_"), seconds(read_number(name, args, above_zero=True)))
-        elif name in _NUMBERS:
-            setattr(found, name.replace("-", "_"), read_number(name, args, above_zero=name == "fetch-share"))
-        elif name in _COUNTS:
-            count = read_number(name, args, above_zero=True)
+            limit_settings.class_limits.append(_class_limit(args))
+        elif name in _DURATION_NAMES:
+            setattr(limit_settings, name.replace("-", "_"), seconds(read_number(name, args, must_be_positive=True)))
+        elif name in _NUMBER_NAMES:
+            setattr(
+                limit_settings, name.replace("-", "_"), read_number(name, args, must_be_positive=name == "fetch-share")
+            )
+        elif name in _COUNT_NAMES:
+            count = read_number(name, args, must_be_positive=True)
             if count != int(count):
                 raise SettingsError(f"`{name}` must be a whole number")
-            setattr(found, name.replace("-", "_"), int(count))
+            setattr(limit_settings, name.replace("-", "_"), int(count))
         else:
             raise SettingsError(f"unknown name `{name}` in `startup-limits`")
 
@@ -71,15 +73,15 @@
     fields: dict[str, Any] = {}
     for entry in entries:
         name, args = read_form(entry)
-        if name in _LIMIT_TEXTS:
-            fields[name.replace("-", "_")] = read_text(name, args)
-        elif name in _LIMIT_NUMBERS:
-            fields[name.replace("-", "_")] = read_number(name, args, above_zero=name == "count")
+        if name in _LIMIT_TEXT_NAMES:
+            fields[name.replace("-", "_")] = read_string(name, args)
+        elif name in _LIMIT_NUMBER_NAMES:
+            fields[name.replace("-", "_")] = read_number(name, args, must_be_positive=name == "count")
         elif name == "window":
-            fields["window"] = seconds(read_number(name, args, above_zero=True))
+            fields["window"] = seconds(read_number(name, args, must_be_positive=True))
         else:
             raise SettingsError(f"unknown name `{name}` in `limit`")
-    for needed in ("name", "count", "window"):
-        if needed not in fields:
-            raise SettingsError(f"a `limit` needs `{needed}`")
+    for required in ("name", "count", "window"):
+        if required not in fields:
+            raise SettingsError(f"a `limit` needs `{required}`")
     return ClassLimit(**fields)
--- a/roseweir/membership/messages.py
+++ b/roseweir/membership/messages.py
@@ -3,12 +3,12 @@
 import msgspec
 
 
-class AskTold(msgspec.Struct):
+class AcknowledgedCancellationsQuery(msgspec.Struct):
     since_s: float
 
 
-class Told(msgspec.Struct):
+class AcknowledgedCancellations(msgspec.Struct, rename={"job_ids": "cancelled"}):
     """The latest term known, and the jobs whose users were told of a cancel in that time; null: not known that far."""
 
     term: int
-    cancelled: list[str] | None = None
+    job_ids: list[str] | None = None
--- a/roseweir/bell.py
+++ b/roseweir/notifier.py
@@ -9,32 +9,32 @@
 from datetime import timedelta
 
 
-class Bell:
+class Notifier:
     def __init__(self) -> None:
-        self._waiting: dict[str, set[asyncio.Future[None]]] = {}
+        self._waiters: dict[str, set[asyncio.Future[None]]] = {}
 
-    def ring(self, names: Iterable[str]) -> None:
-        for name in names:
-            for future in self._waiting.pop(name, ()):
-                _wake(future)
+    def notify(self, topics: Iterable[str]) -> None:
+        for topic in topics:
+            for future in self._waiters.pop(topic, ()):
+                _resolve(future)
 
-    async def wait(self, name: str, span: timedelta) -> None:
+    async def wait(self, topic: str, timeout: timedelta) -> None:
         """Until the name is rung, but no longer than that."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[None] = loop.create_future()
-        timer = loop.call_later(span.total_seconds(), _wake, future)
-        self._waiting.setdefault(name, set()).add(future)
+        timer = loop.call_later(timeout.total_seconds(), _resolve, future)
+        self._waiters.setdefault(topic, set()).add(future)
         try:
             await future
         finally:
             timer.cancel()
-            waiting = self._waiting.get(name)
-            if waiting is not None:
-                waiting.discard(future)
-                if not waiting:
-                    del self._waiting[name]
+            waiters = self._waiters.get(topic)
+            if waiters is not None:
+                waiters.discard(future)
+                if not waiters:
+                    del self._waiters[topic]
 
 
-def _wake(future: "asyncio.Future[None]") -> None:
+def _resolve(future: "asyncio.Future[None]") -> None:
     if not future.done():
         future.set_result(None)
--- a/roseweir/packing/settings.py
+++ b/roseweir/rebalancing/settings.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from roseweir.forms import SettingsError, read_form, read_number, read_text
+from roseweir.sexp import SettingsError, read_form, read_number, read_string
 
 
-class PackingSettings(msgspec.Struct):
+class RebalancingSettings(msgspec.Struct):
     """docs/packing.md gives the reason for each default."""
 
     # Places of large tasks are spared as tasks are placed, and replicas are moved where large tasks fit nowhere: "on",
@@ -17,26 +17,26 @@
     move: str = "auto"
     after: timedelta = timedelta(seconds=10)  # how long a job waits before others are moved for it
     again: timedelta = timedelta(minutes=5)  # a replica that was moved stays for so long
-    at_once: int = 8  # replicas that may be on their way
+    max_concurrent_moves: int = 8  # replicas that may be on their way
 
 
-def parse_packing(entries: list[Any]) -> PackingSettings:
+def parse_rebalancing(entries: list[Any]) -> RebalancingSettings:
     """Read the entries of `(packing (choose "on") (move "on") (after 10) (again 300) (at-once 4))`."""
-    found = PackingSettings()
+    settings = RebalancingSettings()
     for entry in entries:
         name, args = read_form(entry)
         if name in ("choose", "move"):
-            text = read_text(name, args)
+            text = read_string(name, args)
             if text not in ("on", "off", "auto"):
                 raise SettingsError(f'`{name}` in `packing` is "on", "off" or "auto"')
-            setattr(found, name, text)
+            setattr(settings, name, text)
         elif name in ("after", "again"):
-            setattr(found, name, timedelta(seconds=read_number(name, args)))
+            setattr(settings, name, timedelta(seconds=read_number(name, args)))
         elif name == "at-once":
-            value = read_number(name, args, above_zero=True)
+            value = read_number(name, args, must_be_positive=True)
             if value != int(value):
                 raise SettingsError("`at-once` must be a whole number")
-            found.at_once = int(value)
+            settings.max_concurrent_moves = int(value)
         else:
             raise SettingsError(f"unknown name `{name}` in `packing`")
-    return found
+    return settings
--- /dev/null
+++ b/roseweir/scheduler/cluster_state.py
@@ -0,0 +1,608 @@
+"""The leader's board: takes in reports, tells what orders to answer, knows what may be where.
+
+Pure: no I/O, and the current instant is always an argument.
+"""
+
+import logging
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+from typing import Any
+
+import msgspec
+
+from roseweir.clock import NEVER, ZERO, seconds
+from roseweir.limits import StartupLimits
+from roseweir.operator_config import OperatorConfig
+from roseweir.scheduler.headroom import Headroom
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler, has_stable_replica
+from roseweir.scheduler.lifecycle_events import DowntimeCause, TaskLifecycleListener
+from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase, new_job_run
+from roseweir.scheduler.placement_policy import PlacementPolicy
+from roseweir.scheduler.starvation import JobSizeHistogram
+from roseweir.settings import Settings
+from roseweir.submissions.jobs import (
+    GANG,
+    SERVICE,
+    CompletedJob,
+    JobSpec,
+    MachineType,
+    decode_job_spec,
+    decode_partial_job_spec,
+)
+from roseweir.workers import messages as wire
+
+log = logging.getLogger(__name__)
+
+# Steady clocks drift apart by up to 0.05%; twice that on every span measured on another machine's clock.
+CLOCK_DRIFT_FACTOR = 1.001
+# Messages may sit in buffers for a moment after they came in, before they are stamped here.
+RECEIVE_DELAY_ALLOWANCE = timedelta(milliseconds=500)
+# For how long boots tell how long the next ones may take.
+BOOT_HISTORY_WINDOW = timedelta(minutes=3)
+# Phases in which a machine may have heard of a task.
+POSSIBLY_STARTED_PHASES = (PlacementPhase.SENT, PlacementPhase.CONFIRMED, PlacementPhase.RECOVERED)
+# By how much a worker's report may be later than two of its intervals: one that is with this leader, and one in
+# search of it, which gives up on an answer after 4 s and tries the next node a second later.
+HEARTBEAT_TOLERANCE, LEADER_SEARCH_TOLERANCE = timedelta(seconds=0.75), timedelta(seconds=5)
+# By how much two of its reports may be late before nothing is started on it.
+HEARTBEAT_DELAY_ALLOWANCE = timedelta(seconds=1.5)
+# A machine that was given back is told from one unknown for so long, and so many: copies of its reports come late.
+RELEASED_MACHINE_RETENTION, MAX_RELEASED_MACHINES = timedelta(hours=1), 20_000
+# An aim for starting within so long leaves time to wait for a machine to come clear.
+MIN_RELAXED_WAIT_TARGET = timedelta(seconds=120)
+# Why a step of a chain, or a job that awaits others, is held until it is released.
+WAITING_FOR_WORKFLOW_STEPS, WAITING_FOR_DEPENDENCIES = "the steps that it follows", "the jobs that it awaits"
+
+
+@dataclass(slots=True)
+class TeamUsage:
+    cpus: float = 0.0
+    gpus: float = 0.0
+
+
+class ClusterState:
+    def __init__(self, settings: Settings, operator_config: OperatorConfig, term: int, now: datetime) -> None:
+        self.settings = settings
+        self.operator_config = operator_config
+        self.term = term
+        self.term_started_at = now
+        workers = settings.params.workers
+        self.max_lease_duration = workers.lease_duration * CLOCK_DRIFT_FACTOR + RECEIVE_DELAY_ALLOWANCE
+        # A machine that is reached has reported in this time, with some of it for what delays a report.
+        self.max_heartbeat_age = workers.heartbeat_interval * 2 + HEARTBEAT_DELAY_ALLOWANCE
+        # Until when a machine that has not shown our term may still obey an earlier leader: that
+        # leader answers reports for `holdover` after it last knew of every cancel, at most, and the
+        # last lease that it renewed runs from a report sent by then.
+        self.stale_cancellation_window = stale_cancellation_window(settings)
+        self.previous_leader_lease_expiry = (
+            now + self.stale_cancellation_window * CLOCK_DRIFT_FACTOR + self.max_lease_duration
+        )
+        self.teams = {team.name: team for team in settings.params.teams}
+        self.catalog: dict[str, MachineType] = {}
+        self.jobs: dict[str, JobRun] = {}
+        self.machines: dict[str, Machine] = {}
+        self.released_machines: dict[str, datetime] = {}
+        self.usage_by_team: dict[str, TeamUsage] = {}
+        self.limits = StartupLimits(operator_config.ban_window, operator_config.lookahead)
+        # The instant at which the time of day was 0, as far as known: jobs' acceptance is told by it.
+        self.wall_clock_epoch: datetime | None = None
+        self.job_sizes = JobSizeHistogram()
+        # Zones whose tokens for fetches are left to a job that has waited long, in this pass.
+        self.fetch_reserved_zones: set[str] = set()
+        self.runtime_ratios: dict[str, float] = {}
+        # The least that a waiting task takes, of those without and those with GPUs, since the last pass.
+        self.min_waiting_cpus = self.min_waiting_gpus = 0.0
+        self.highest_gpu_priority = 1 << 30  # the highest rank of GPU work seen: lower numbers come first
+        self.max_task_gpus = 0.0  # GPUs of the largest task seen
+        self.max_gang_tasks = 1  # tasks of the largest GPU gang seen
+        self.max_cpus_per_gpu = 0.0  # CPUs that GPU jobs bring along for each GPU, the most seen
+        # While no more machines can be had for CPU-only work, it may spill onto the CPUs of idle GPUs.
+        self.overflow_until = NEVER
+        # Images of classes whose aims are about starting soon.
+        self.low_latency_images: set[str] = set()
+        # Spilled work keeps whole machines clear, for so many starts of the largest GPU task or gang. Where all classes
+        # may wait for longer than most tasks take, the machines that come clear by themselves do for the second.
+        self._max_wait_by_class: dict[str | None, timedelta] = {}
+        for objective in settings.params.objectives:
+            if objective.objective_type == "wait" and objective.threshold is not None:
+                self._max_wait_by_class[objective.job_class] = min(
+                    objective.threshold, self._max_wait_by_class.get(objective.job_class, objective.threshold)
+                )
+        self._min_gpu_wait_target = ZERO  # the shortest such aim of classes with GPUs seen; zero: not known
+        # Room for classes that must start at once.
+        self.headroom = Headroom.from_objectives(settings.params.objectives)
+        self._low_latency_classes = {
+            objective.job_class for objective in settings.params.objectives if objective.objective_type == "wait"
+        }
+        # Kinds of machines (type, zone, spot) that were rented by this leader or one on record.
+        self.obtained_instance_pools: set[tuple[str, str, bool]] = set()
+        # Zones most of whose machines are heard, and since when.
+        self.zone_responsive_since: dict[str, datetime] = {}
+        # How long machines of a type took to come up lately, as a multiple of the catalog's figure.
+        self.boot_ratios: dict[str, deque[tuple[datetime, float]]] = {}
+        # How long images took to come, as a multiple of what the catalog's rate says, by type of machine.
+        self.image_fetch_ratios: dict[str, deque[tuple[datetime, float]]] = {}
+        self._attempt_counter = 0
+        # What the recorder has to write, and what the planner should look at again.
+        self.planned_placements: list[Placement] = []
+        self.dirty_machines: set[str] = set()
+        self.dirty_jobs: set[str] = set()
+        self.needs_scheduling = True
+        # Jobs have come or gone: whose work fits its team's guarantee has to be told anew.
+        self.needs_quota_update = True
+        # For jobs of which kind nobody could be stopped lately: for how many tasks, and when.
+        self.failed_preemptions: dict[tuple[object, ...], tuple[int, datetime]] = {}
+        # Machines that are being drained, and by which drain: nothing new starts on them.
+        self.drain_by_machine: dict[str, str] = {}
+        # Slack of jobs that have to be done by some instant and may come late, in milliseconds: they come first among
+        # their team's jobs of the same rank, and machines are asked for in that time.
+        self.slack_ms_by_job: dict[str, int] = {}
+        self._slack_by_source: dict[str, dict[str, int]] = {}
+        # Machines that are kept for some jobs while tasks are moved: their ids, by machine.
+        self.reserved_machines: dict[str, set[str]] = {}
+        # Who knows about sizes of GPU tasks, if anybody does, and whether it is asked without services that take GPUs.
+        self.placement_chooser: PlacementPolicy | None = None
+        self.is_chooser_always_enabled = False
+        self.has_gpu_services = False  # some have been seen: their replicas do not end, so what they break stays broken
+        # Who keeps account of tasks' ups and downs, if anybody does.
+        self.lifecycle_listener: TaskLifecycleListener | None = None
+        # Called as a task has ended in an error of its own, before any other pass.
+        self.on_task_failed: Callable[[JobRun], None] = lambda run: None
+        self.heartbeat_reconciler = HeartbeatReconciler(self)
+        # Direct halts that should not wait for the next report: machine names.
+        self.urgent_stop_machines: set[str] = set()
+
+    # -- jobs ---------------------------------------------------------------------------------
+
+    def add_job(self, spec: JobSpec, version: int) -> JobRun:
+        run = self.jobs.get(spec.id)
+        if run is None:
+            run = self.jobs[spec.id] = new_job_run(spec, version)
+            self.job_sizes.record(spec)
+            if spec.job_type == SERVICE and spec.gpus > 0:
+                self.has_gpu_services = True
+            if spec.workflow_id:
+                # Until whoever keeps its chain lets it go.
+                run.hold_reason = WAITING_FOR_WORKFLOW_STEPS
+            elif spec.dependencies:
+                # Until all of them are durably done (`dependencies/reconciler.py`).
+                run.hold_reason = WAITING_FOR_DEPENDENCIES
+            self.needs_quota_update = True
+            if spec.gpus > 0:
+                self.min_waiting_gpus = min(self.min_waiting_gpus, spec.gpus)
+                self.max_cpus_per_gpu = max(self.max_cpus_per_gpu, spec.cpus / spec.gpus)
+                self.max_task_gpus = max(self.max_task_gpus, spec.gpus)
+                self.highest_gpu_priority = min(self.highest_gpu_priority, spec.priority)
+                wait_target = self._max_wait_by_class.get(spec.job_class)
+                if wait_target is not None:
+                    self._min_gpu_wait_target = min(wait_target, self._min_gpu_wait_target or wait_target)
+                if spec.job_type == GANG:
+                    self.max_gang_tasks = max(self.max_gang_tasks, spec.task_count)
+            else:
+                self.min_waiting_cpus = min(self.min_waiting_cpus, spec.cpus)
+            if spec.job_class in self._low_latency_classes and spec.image:
+                self.low_latency_images.add(spec.image)
+            self.headroom.observe_job(spec, self.catalog.values())
+            self.needs_scheduling = True
+        return run
+
+    def add_stored_job(self, job_id: str, stored_value: object, version: int) -> JobRun:
+        """A live job as it is recorded. One whose record can't be read stays known, and says so: nothing of it starts,
+        and what runs of it counts. It ended every leader's term in turn otherwise, and with it everybody's service."""
+        try:
+            return self.add_job(decode_job_spec(stored_value), version)
+        except (msgspec.ValidationError, TypeError, ValueError) as e:
+            run = self.add_job(decode_partial_job_spec(job_id, stored_value), version)
+            if not run.hold_reason:
+                log.error("the record of job %s can't be read, it is held: %s", job_id, e)
+            run.hold_reason = f"its record to be readable: {e}"
+            return run
+
+    def hold_job(self, run: JobRun, reason: str) -> None:
+        """Nothing of the job starts from here on, and it counts for nothing."""
+        run.hold_reason = reason
+        self.needs_quota_update = True
+
+    def release_job(self, run: JobRun, ready_ms: int) -> None:
+        """A job that was held may start. Its place in the queue and its waits count from `ready_ms`, a time of day."""
+        run.hold_reason = ""
+        run.eligible_from_ms = ready_ms
+        self.needs_quota_update = self.needs_scheduling = True
+
+    def set_effective_priority(self, run: JobRun, priority: int) -> None:
+        """What the job's rank counts for from here on."""
+        run.priority = priority
+        if run.spec.gpus > 0:
+            self.highest_gpu_priority = min(self.highest_gpu_priority, priority)
+        self.needs_scheduling = True
+
+    def set_slack(self, source: str, slack_ms: dict[str, int]) -> None:
+        """What one of those who follow deadlines knows of slack; where several do, the least counts."""
+        if slack_ms == self._slack_by_source.get(source, {}):
+            return
+        self._slack_by_source[source] = slack_ms
+        merged_slack_ms: dict[str, int] = {}
+        for source_slack_ms in self._slack_by_source.values():
+            for job_id, slack in source_slack_ms.items():
+                merged_slack_ms[job_id] = min(slack, merged_slack_ms.get(job_id, slack))
+        self.slack_ms_by_job = merged_slack_ms
+        self.needs_scheduling = True
+
+    @property
+    def active_chooser(self) -> PlacementPolicy | None:
+        return self.placement_chooser if self.is_chooser_always_enabled or self.has_gpu_services else None
+
+    def refresh_service_stability(self, now: datetime) -> None:
+        """A service that was taken for mistaken as it began may run well by now."""
+        for run in self.jobs.values():
+            if run.is_crash_looping and has_stable_replica(run, None, now):
+                run.has_run_stably = True
+
+    @property
+    def reserved_start_count(self) -> int:
+        return 1 if self._min_gpu_wait_target >= MIN_RELAXED_WAIT_TARGET else 2
+
+    def end_job(self, job_id: str, ended: CompletedJob, now: datetime) -> None:
+        """The state service holds that the job is over."""
+        run = self.jobs.get(job_id)
+        if run is None or run.final_state:
+            return
+        run.final_state = ended.state
+        if self.lifecycle_listener is not None:
+            self.lifecycle_listener.job_ended(run)
+        self.needs_quota_update = True
+        run.uncommitted_completions.clear()
+        run.delta_completions.clear()
+        for placement in list(run.placements.values()):
+            self.request_stop(placement, ZERO, now)
+        self._forget_finished_job(run)
+        self.needs_scheduling = True
+
+    def _forget_finished_job(self, run: JobRun) -> None:
+        if run.final_state and not run.placements:
+            self.jobs.pop(run.spec.id, None)
+            self.needs_quota_update = True
+            self.dirty_jobs.discard(run.spec.id)
+
+    def estimate_runtime(self, spec: JobSpec) -> timedelta:
+        """The owner's estimate, corrected by how the class's tasks have turned out."""
+        return spec.estimated_duration * self.runtime_ratios.get(spec.job_class, 1.0)
+
+    def allocate_attempt(self) -> int:
+        """Unique across leaders: the term in front of a counter."""
+        self._attempt_counter += 1
+        return (self.term << 28) | self._attempt_counter
+
+    # -- placements ---------------------------------------------------------------------------
+
+    def add_placement(
+        self,
+        run: JobRun,
+        index: int,
+        machine: Machine,
+        attempt: int,
+        now: datetime,
+        phase: PlacementPhase = PlacementPhase.PLANNED,
+    ) -> Placement:
+        placement = Placement(run, index, machine, attempt, phase, now)
+        spec = run.spec
+        assert index not in run.placements
+        run.placements[index] = placement
+        run.placed_index_bound = max(run.placed_index_bound, index + 1)
+        machine.placements[(spec.id, index)] = placement
+        machine.change_count += 1
+        machine.free_cpus -= spec.cpus
+        machine.free_gpus -= spec.gpus
+        machine.free_memory -= spec.memory_gb
+        if spec.gpus <= 0:
+            machine.cpu_only_cpus += spec.cpus
+        else:
+            machine.gpu_task_count += 1
+        usage = self.usage_by_team.setdefault(spec.team, TeamUsage())
+        usage.cpus += spec.cpus
+        usage.gpus += spec.gpus
+        machine.idle_since = NEVER
+        if phase == PlacementPhase.PLANNED:
+            if spec.job_type == GANG:
+                placement.replacement_number = run.replacement_count
+            self.planned_placements.append(placement)
+            self.dirty_machines.add(machine.name)
+            log.debug("placing %s on %s (%s)", placement.task_name, machine.name, spec.job_class)
+        return placement
+
+    def restore_machine(self, name: str, machine_type: MachineType, zone: str, is_spot: bool, now: datetime) -> Machine:
+        """A machine named in an earlier leader's record."""
+        machine = self.machines.get(name)
+        if machine is None:
+            machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, known_since=now)
+        return machine
+
+    def restore_placement(
+        self, run: JobRun, index: int, machine: Machine, attempt: int, now: datetime, replacement_number: int = 0
+    ) -> Placement:
+        """A task of an earlier leader's record counts as there until proven gone."""
+        placement = self.add_placement(run, index, machine, attempt, now, PlacementPhase.RECOVERED)
+        placement.replacement_number = replacement_number
+        if run.spec.job_type == GANG:
+            run.gang_attempt = max(run.gang_attempt, attempt)
+            run.replacement_count = max(run.replacement_count, replacement_number)
+        if run.final_state:
+            self.request_stop(placement, ZERO, now)
+        return placement
+
+    def remove_placement(self, placement: Placement, now: datetime, cause: DowntimeCause = DowntimeCause.LOST) -> None:
+        """The task is proven gone from its machine. `cause`: why, if it was neither done nor told to stop."""
+        run, machine, spec = placement.run, placement.machine, placement.run.spec
+        if run.placements.get(placement.index) is not placement:
+            return
+        if (
+            self.lifecycle_listener is not None
+            and placement.phase in POSSIBLY_STARTED_PHASES
+            and placement.stop_requested_at is None
+        ):
+            self.lifecycle_listener.lost(placement, cause, now)
+        del run.placements[placement.index]
+        del machine.placements[(spec.id, placement.index)]
+        machine.change_count += 1
+        machine.free_cpus += spec.cpus
+        machine.free_gpus += spec.gpus
+        machine.free_memory += spec.memory_gb
+        if spec.gpus <= 0:
+            machine.cpu_only_cpus -= spec.cpus
+        else:
+            machine.gpu_task_count -= 1
+            if machine.gpu_task_count == 0:
+                machine.gpus_idle_since = now
+        usage = self.usage_by_team[spec.team]
+        usage.cpus -= spec.cpus
+        usage.gpus -= spec.gpus
+        if not machine.placements:
+            machine.idle_since = now
+        if not run.is_completed(placement.index):
+            run.requeue(placement.index)
+        self.dirty_machines.add(machine.name)
+        self.needs_scheduling = True
+        if spec.job_type == GANG and not run.final_state:
+            self._update_gang_after_loss(run, placement)
+        self._forget_finished_job(run)
+
+    def _update_gang_after_loss(self, run: JobRun, lost_placement: Placement) -> None:
+        if not run.placements:
+            run.is_gang_stopping = False
+            run.gang_attempt = 0
+        elif lost_placement.state in (wire.RUNNING, wire.SAVING_CHECKPOINT):
+            # The gang had started: the rest exits by itself, and all must be gone before it restarts.
+            run.is_gang_stopping = True
+
+    def request_stop(
+        self,
+        placement: Placement,
+        grace: timedelta,
+        now: datetime,
+        is_urgent: bool = False,
+        cause: DowntimeCause = DowntimeCause.FAILED,
+    ) -> None:
+        """Ask a task to go; one whose order never went out is taken off at once."""
+        if placement.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED):
+            self.remove_placement(placement, now)
+            return
+        if self.lifecycle_listener is not None and placement.stop_requested_at is None:
+            self.lifecycle_listener.stopped(placement, cause, now)
+        if placement.stop_requested_at is None or grace < placement.stop_grace:
+            placement.stop_requested_at = placement.stop_requested_at or now
+            placement.stop_grace = grace
+            placement.machine.change_count += 1
+        if is_urgent or placement.run.spec.job_type == GANG:
+            self.urgent_stop_machines.add(placement.machine.name)
+
+    def request_graceful_stop(
+        self,
+        placement: Placement,
+        now: datetime,
+        is_urgent: bool = False,
+        cause: DowntimeCause = DowntimeCause.PREEMPTED,
+    ) -> None:
+        """Stop so that progress is kept where it can be. All mates of a gang are told together."""
+        run = placement.run
+        grace = seconds(run.spec.checkpoint_duration_s + 1.0) if run.spec.checkpoint_interval_s > 0 else ZERO
+        gang_placements = list(run.placements.values()) if run.spec.job_type == GANG else [placement]
+        if run.spec.job_type == GANG:
+            run.is_gang_stopping = True
+            grace += self.settings.params.workers.gang_peer_timeout
+        for gang_placement in gang_placements:
+            if gang_placement.stop_requested_at is None:
+                self.request_stop(gang_placement, grace, now, is_urgent, cause)
+
+    def expire_machine(self, machine: Machine, now: datetime, reason: str) -> None:
+        """Everything on the machine is proven gone."""
+        if machine.placements:
+            log.info("machine %s: %s, %d tasks gone", machine.name, reason, len(machine.placements))
+        machine.expired_incarnation = max(machine.expired_incarnation, machine.incarnation)
+        for placement in list(machine.placements.values()):
+            self.remove_placement(placement, now)
+        machine.exits_to_clear.clear()
+        machine.unknown_tasks.clear()
+        machine.has_acknowledged_term = False
+
+    def forget_machine(self, name: str, now: datetime, reason: str) -> None:
+        machine = self.machines.get(name)
+        if machine is not None:
+            self.expire_machine(machine, now, reason)
+            del self.machines[name]
+            self.dirty_machines.add(name)
+        self.released_machines[name] = now
+        self.needs_scheduling = True
+
+    # -- reports ------------------------------------------------------------------------------
+
+    def apply_heartbeat(self, heartbeat: wire.Heartbeat, now: datetime) -> Machine | None:
+        """Take in a worker's heartbeat; None if it is not to be answered with orders.
+
+        How: `scheduler/heartbeat_reconciliation.py`.
+        """
+        return self.heartbeat_reconciler.apply_heartbeat(heartbeat, now)
+
+    def apply_command_response(self, heartbeat: wire.Heartbeat, now: datetime) -> None:
+        """Learn from the answer of a direct command."""
+        self.heartbeat_reconciler.apply_command_response(heartbeat, now)
+
+    # -- answers ------------------------------------------------------------------------------
+
+    def collect_orders(self, machine: Machine, now: datetime, may_start_tasks: bool) -> list[dict[str, Any]]:
+        """What to answer the machine's newest report with. `run` is given only while the lease surely holds."""
+        orders: list[dict[str, Any]] = []
+        for task_name, attempt, cause in machine.exits_to_clear:
+            job_id, _, index_text = task_name.rpartition("/")
+            run = self.jobs.get(job_id)
+            must_keep_exit = (
+                cause == wire.DONE and run is not None and not run.final_state and run.spec.job_type != SERVICE
+            )
+            if (
+                must_keep_exit
+                and run is not None
+                and (int(index_text) in run.uncommitted_completions or not run.is_completed(int(index_text)))
+            ):
+                continue  # completion is recorded before the worker may forget it
+            orders.append(wire.clear_command(task_name, attempt))
+        for task_name, attempt in machine.unknown_tasks:
+            orders.append(wire.stop_command(task_name, attempt, ZERO))
+        for placement in machine.placements.values():
+            if placement.stop_requested_at is not None:
+                if placement.phase in (PlacementPhase.SENT, PlacementPhase.CONFIRMED) and not (
+                    placement.state == wire.SAVING_CHECKPOINT and placement.stop_grace > ZERO
+                ):
+                    orders.append(wire.stop_command(placement.task_name, placement.attempt, placement.stop_grace))
+            elif (
+                placement.phase == PlacementPhase.COMMITTED
+                and may_start_tasks
+                and machine.has_acknowledged_term
+                and not machine.is_suspected
+            ):
+                placement.phase = PlacementPhase.SENT
+                placement.sent_sequence = machine.sequence
+                orders.append(wire.run_command(placement.task_name, placement.attempt))
+        return orders
+
+    def collect_stop_orders(self, machine: Machine) -> list[dict[str, Any]]:
+        """Halts for a direct command: never a `run`, which could arrive arbitrarily late."""
+        return [
+            wire.stop_command(p.task_name, p.attempt, p.stop_grace)
+            for p in machine.placements.values()
+            if p.stop_requested_at is not None
+            and p.phase == PlacementPhase.CONFIRMED
+            and p.state != wire.SAVING_CHECKPOINT
+        ]
+
+    def pending_order_status(self, machine: Machine) -> tuple[bool, bool]:
+        """Whether orders can go out to the machine, and whether some are on their way into the record."""
+        has_planned = False
+        for placement in machine.placements.values():
+            if placement.phase == PlacementPhase.COMMITTED:
+                return True, has_planned
+            if placement.phase == PlacementPhase.PLANNED:
+                has_planned = True
+        return False, has_planned
+
+    def has_room_for_waiting_task(self, machine: Machine) -> bool:
+        """Whether it has room for any task that waits, so that the next pass may give it one."""
+        return machine.free_cpus >= self.min_waiting_cpus - 1e-6 or machine.free_gpus >= self.min_waiting_gpus - 1e-6
+
+    # -- time ---------------------------------------------------------------------------------
+
+    def apply_timeouts(self, now: datetime) -> None:
+        """What time alone proves or asks for."""
+        for machine in list(self.machines.values()):
+            if machine.is_booting:
+                continue
+            if machine.placements:
+                # A machine that showed our term obeys nobody else, so our own last answer counts.
+                # `renewed` is when the report came in, which is after it was sent.
+                lease_expiry = machine.lease_renewed_at + self.max_lease_duration
+                if not machine.has_acknowledged_term:
+                    lease_expiry = max(lease_expiry, self.previous_leader_lease_expiry)
+                if now > lease_expiry:
+                    self.expire_machine(machine, now, "lease ran out")
+            if machine.spot_reclaim_at is not None:
+                self._drain_reclaimed(machine, now)
+        for name in [n for n, at in self.released_machines.items() if now - at > RELEASED_MACHINE_RETENTION]:
+            del self.released_machines[name]
+        while len(self.released_machines) > MAX_RELEASED_MACHINES:
+            del self.released_machines[next(iter(self.released_machines))]
+        self.limits.remove_expired(now)
+
+    def _drain_reclaimed(self, machine: Machine, now: datetime) -> None:
+        for placement in list(machine.placements.values()):
+            if placement.stop_requested_at is not None:
+                continue
+            spec = placement.run.spec
+            if (
+                spec.checkpoint_interval_s > 0
+                or placement.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED)
+                or spec.job_type == SERVICE
+            ):
+                self.request_graceful_stop(placement, now, cause=DowntimeCause.SPOT_NOTICE)
+
+    def log_status(self) -> None:
+        """Tell an operator how the work stands."""
+        phase_counts = [0] * len(PlacementPhase)
+        waiting_count = 0
+        for run in self.jobs.values():
+            waiting_count += run.pending_count
+            for placement in run.placements.values():
+                phase_counts[placement.phase] += 1
+        log.info(
+            "%d jobs, %d tasks wait, %d being recorded, %d to be sent, %d sent, %d seen, %d from records; "
+            "%d machines, %d up, %.0f CPUs and %.0f GPUs free",
+            len(self.jobs),
+            waiting_count,
+            *phase_counts,
+            len(self.machines),
+            sum(m.has_acknowledged_term for m in self.machines.values()),
+            sum(m.free_cpus for m in self.machines.values() if m.has_acknowledged_term),
+            sum(m.free_gpus for m in self.machines.values() if m.has_acknowledged_term),
+        )
+
+    def recent_boot_ratios(self, machine_type: MachineType, now: datetime) -> list[float]:
+        """How long machines of this type took to come up lately, as multiples of the catalog's figure."""
+        return [
+            boot_ratio
+            for observed_at, boot_ratio in self.boot_ratios.get(machine_type.name, ())
+            if now - observed_at < BOOT_HISTORY_WINDOW
+        ]
+
+    def overdue_machines(self, now: datetime) -> list[Machine]:
+        """Machines whose reports should have come, or whose answers seem lost, if these are most of all; else none."""
+        running_machines = [m for m in self.machines.values() if not m.is_booting and m.spot_reclaim_at is None]
+        heartbeat_interval = self.settings.params.workers.heartbeat_interval
+        overdue_machines = [
+            m
+            for m in running_machines
+            if m.is_suspected
+            or self.time_since_heartbeat(m, now)
+            > heartbeat_interval * 2 + (HEARTBEAT_TOLERANCE if m.has_acknowledged_term else LEADER_SEARCH_TOLERANCE)
+        ]
+        return overdue_machines if len(overdue_machines) * 2 > len(running_machines) else []
+
+    def is_heartbeat_current(self, machine: Machine, now: datetime) -> bool:
+        """Whether its last report is no older than usual."""
+        return machine.last_heartbeat_at >= now - self.max_heartbeat_age
+
+    def time_since_heartbeat(self, machine: Machine, now: datetime) -> timedelta:
+        return now - max(machine.last_heartbeat_at, self.term_started_at)
+
+
+def stale_cancellation_window(settings: Settings) -> timedelta:
+    """How long a leader without news of cancels may go on answering reports.
+
+    Another may lead and have accepted a cancel right after our last news. A task that we keep alive
+    ends when its lease does, at most lease_s after our last answer, and has to be gone within
+    cancel_s. Drift on both spans and two seconds for late timers and answers are taken off.
+    """
+    workers = settings.params.workers
+    return max(
+        ZERO,
+        (workers.cancel_timeout - workers.lease_duration * CLOCK_DRIFT_FACTOR) / CLOCK_DRIFT_FACTOR
+        - timedelta(seconds=2),
+    )
--- /dev/null
+++ b/roseweir/scheduler/model.py
@@ -0,0 +1,283 @@
+"""The leader's picture of jobs, machines and the tasks that may be on them."""
+
+from collections import OrderedDict
+from dataclasses import dataclass, field
+from datetime import datetime, timedelta
+from enum import IntEnum
+from heapq import heappop, heappush
+
+from roseweir.clock import NEVER
+from roseweir.submissions.jobs import GANG, SERVICE, TASKS_PER_CHUNK, JobSpec, MachineType
+
+# A job that failed on this many machines and succeeded nowhere is taken for mistaken.
+CRASH_LOOP_MIN_MACHINES = 3
+
+
+class PlacementPhase(IntEnum):
+    PLANNED = 0  # chosen, not yet in the state service
+    COMMITTED = 1  # recorded; the order may go out
+    SENT = 2  # the order went out with an answer to a report
+    CONFIRMED = 3  # the machine reported it
+    RECOVERED = 4  # known from an earlier leader's record only
+
+
+@dataclass(slots=True, eq=False)
+class Placement:
+    """A task that may be on a machine. It counts as there until proven gone."""
+
+    run: "JobRun"
+    index: int
+    machine: "Machine"
+    attempt: int
+    phase: PlacementPhase
+    created_at: datetime
+    state: str = ""
+    sent_sequence: int = 0
+    running_since: datetime | None = None
+    fetching_since: datetime | None = None
+    stop_requested_at: datetime | None = None
+    stop_grace: timedelta = timedelta(0)
+    replacement_number: int = 0  # tells a gang's replacements from the tasks that they replace: the attempt is the same
+    is_in_segment: bool = False  # on its machine's page in the state service, not in a note alone
+
+    @property
+    def task_name(self) -> str:
+        return f"{self.run.spec.id}/{self.index}"
+
+    def expected_end(self, now: datetime, estimate: timedelta) -> datetime:
+        if self.stop_requested_at is not None:
+            return self.stop_requested_at + self.stop_grace
+        started_at = self.running_since or now
+        return max(now, started_at + estimate)
+
+
+@dataclass(slots=True, eq=False)
+class JobRun:
+    """A job with what is known of its tasks."""
+
+    spec: JobSpec
+    version: int
+    completion_bitmap: bytearray
+    # What its rank counts for: its own, or that of a more important job that awaits it (`dependencies/`).
+    priority: int = field(init=False)
+    # The time of day from which it may start, in milliseconds: its acceptance, or the end of what it waited for.
+    eligible_from_ms: int = field(init=False)
+    completed_count: int = 0
+    next_unplaced_index: int = 0
+    placed_index_bound: int = 0  # tasks from this one on were never placed: indices are handed out in ascending order
+    requeued_indices: list[int] = field(default_factory=list)
+    placements: dict[int, Placement] = field(default_factory=dict)
+    # Indices whose completion is not yet in the state service: nobody may hear of it, no `clear`.
+    uncommitted_completions: set[int] = field(default_factory=set)
+    # Indices whose completion is in a note, but not yet in the job's own chunks.
+    delta_completions: set[int] = field(default_factory=set)
+    chunk_versions: dict[int, int] = field(default_factory=dict)
+    attempted_chunks: set[int] = field(default_factory=set)  # written, or perhaps written
+    replacement_count: int = 0  # of the newest replacement in a gang
+    final_state: str = ""  # "", "done" or "cancelled"; only what the state service holds
+    failure_count: int = 0
+    failed_machines: set[str] = field(default_factory=set)
+    has_run_stably: bool = False  # a service whose replicas have run well: what fails is not its own fault
+    gang_attempt: int = 0  # of a gang that is on machines
+    is_gang_stopping: bool = False  # a gang that falls apart: every mate must go before it restarts
+    hold_reason: str = ""  # why nothing of it may start now, whatever room there is
+    is_within_quota: bool = False
+    has_started: bool = False  # a task of it has run, as far as this leader knows
+    preemption_exempt_until: datetime = NEVER  # it is stopped for no other job before
+    starvation_level: int = 0  # how long it has waited counts for this much (`scheduler/starvation.py`)
+    first_waited_at: datetime = NEVER
+    last_preemption_search_at: datetime = NEVER  # when it was last seen to that others make room
+    # Time taken by tasks of an array and their number, by machine: tells slow machines at its end.
+    runtimes_by_machine: dict[str, tuple[timedelta, int]] = field(default_factory=dict)
+
+    def __post_init__(self) -> None:
+        self.priority = self.spec.priority
+        self.eligible_from_ms = self.spec.accepted_ms
+
+    @property
+    def deadline_base_ms(self) -> int:
+        """From when its deadline counts. A step of a chain is due so long after its turn came, any other job so long
+        after its submission, however long it waits for others."""
+        return self.eligible_from_ms if self.spec.workflow_id else self.spec.accepted_ms
+
+    def is_completed(self, index: int) -> bool:
+        return bool(self.completion_bitmap[index >> 3] & (1 << (index & 7)))
+
+    def mark_completed(self, index: int) -> bool:
+        if self.is_completed(index):
+            return False
+        self.completion_bitmap[index >> 3] |= 1 << (index & 7)
+        self.completed_count += 1
+        self.placed_index_bound = max(self.placed_index_bound, index + 1)
+        return True
+
+    @property
+    def is_crash_looping(self) -> bool:
+        """It failed on several machines and succeeded nowhere: the fault is most likely its own."""
+        return (
+            len(self.failed_machines) >= CRASH_LOOP_MIN_MACHINES
+            and self.completed_count == 0
+            and not self.has_run_stably
+        )
+
+    @property
+    def is_complete(self) -> bool:
+        return self.spec.job_type != SERVICE and self.completed_count >= self.spec.task_count
+
+    @property
+    def pending_count(self) -> int:
+        """Tasks that wait for a place."""
+        if self.final_state or self.hold_reason:
+            return 0
+        missing = self.spec.task_count - self.completed_count - len(self.placements)
+        if self.spec.job_type == GANG and self.placements:
+            # Mates of a gang start together; only a gang still gathering takes replacements.
+            is_gathering = not self.is_gang_stopping and all(
+                p.phase != PlacementPhase.RECOVERED and p.state in ("", "pulling", "gathering")
+                for p in self.placements.values()
+            )
+            return missing if is_gathering else 0
+        return missing
+
+    def pop_next_index(self) -> int | None:
+        """The next task without a place."""
+        while self.requeued_indices:
+            index = heappop(self.requeued_indices)
+            if not self.is_completed(index) and index not in self.placements:
+                return index
+        while self.next_unplaced_index < self.spec.task_count:
+            index = self.next_unplaced_index
+            self.next_unplaced_index += 1
+            if not self.is_completed(index) and index not in self.placements:
+                return index
+        return None
+
+    def requeue(self, index: int) -> None:
+        heappush(self.requeued_indices, index)
+
+    def completion_chunk(self, chunk_number: int) -> bytes:
+        chunk_bytes = TASKS_PER_CHUNK // 8
+        return bytes(self.completion_bitmap[chunk_number * chunk_bytes : (chunk_number + 1) * chunk_bytes])
+
+    def count_placed_in_zone(self, zone: str) -> int:
+        return sum(1 for p in self.placements.values() if p.machine.zone == zone)
+
+
+def new_job_run(spec: JobSpec, version: int) -> JobRun:
+    return JobRun(spec, version, bytearray((spec.task_count + 7) // 8))
+
+
+@dataclass(slots=True, eq=False)
+class Machine:
+    """A machine as its reports and the cloud's list show it."""
+
+    name: str
+    machine_type: MachineType
+    zone: str
+    is_spot: bool
+    address: str = ""
+    incarnation: int = 0
+    sequence: int = 0  # of its newest word: a report, or the answer to a direct command or a question
+    heartbeat_sequence: int = 0  # of its newest report in this session: only reports' answers renew its lease
+    expired_incarnation: int = 0  # sessions up to this one have run out
+    has_acknowledged_term: bool = False  # has reported our own term
+    last_heartbeat_at: datetime = NEVER  # when the newest report in our term came in
+    lease_renewed_at: datetime = NEVER  # when the newest report came in whose answer may have renewed its lease
+    unconfirmed_since: datetime = NEVER  # first answer to a word that does not show our term
+    last_answered_heartbeat: tuple[int, int] = (0, 0)  # (session, seq) of the newest report that was answered 200
+    last_answered_at: datetime = NEVER
+    suspected_since: datetime = NEVER  # signs that our answers do not reach it, and no proof since
+    unreachable_since: datetime = NEVER  # and our questions do not either
+    dropped_order_count: int = 0  # orders in a row that it did not take up
+    known_since: datetime = NEVER
+    scaled_out_at: datetime = NEVER
+    is_booting: bool = False
+    is_autoscaled: bool = False  # by a leader of this service, not found standing
+    is_surge: bool = False  # rented to take the place of one that is drained
+    free_cpus: float = 0.0
+    free_gpus: float = 0.0
+    free_memory: float = 0.0
+    cpu_only_cpus: float = 0.0  # CPUs taken by tasks that need no GPU
+    placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
+    exits_to_clear: list[tuple[str, int, str]] = field(default_factory=list)  # to clear: task, attempt, cause
+    unknown_tasks: list[tuple[str, int]] = field(default_factory=list)  # to halt: task, attempt
+    image_cache: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    spot_reclaim_at: datetime | None = None
+    # While it is silent: when it was last asked, whether it took the connection, and how often it did not.
+    last_probe_at: datetime = NEVER
+    is_hung: bool = False
+    missed_probe_count: int = 0
+    is_marked_for_release: bool = False  # its release has been decided; nothing starts here any more
+    failed_job_ids: set[str] = field(default_factory=set)  # jobs that failed here since the last success
+    unhealthy_until: datetime = NEVER
+    slow_array_count: int = 0  # arrays, one after the other, whose tasks took far longer here than elsewhere
+    idle_since: datetime = NEVER
+    gpu_task_count: int = 0
+    gpus_idle_since: datetime = NEVER
+    change_count: int = 0  # how often its tasks, or what they were told, have changed
+    reserved_for_job: str = ""  # the job that others were stopped for here
+    reserved_until: datetime = NEVER
+    _expected_images: frozenset[str] = frozenset()  # images that its tasks need, as of so many changes
+    _expected_images_change_count: int = -1
+
+    def __post_init__(self) -> None:
+        self.free_cpus = self.machine_type.cpus
+        self.free_gpus = self.machine_type.gpus
+        self.free_memory = self.machine_type.memory_gb
+
+    @property
+    def is_suspected(self) -> bool:
+        return self.suspected_since != NEVER
+
+    @property
+    def is_unreachable(self) -> bool:
+        return self.unreachable_since != NEVER
+
+    @property
+    def machine_type_name(self) -> str:
+        return self.machine_type.name
+
+    def has_image(self, image: str) -> bool:
+        """Cached here, or being fetched for another task."""
+        if image in self.image_cache:
+            return True
+        if self._expected_images_change_count != self.change_count:
+            self._expected_images_change_count = self.change_count
+            self._expected_images = frozenset(
+                p.run.spec.image for p in self.placements.values() if p.stop_requested_at is None
+            )
+        return image in self._expected_images
+
+    def record_image_use(self, image: str, size_gb: float) -> None:
+        """Follow the worker's cache: most recently used images, up to its size."""
+        if image in self.image_cache:
+            self.image_cache.move_to_end(image)
+            return
+        self.image_cache[image] = size_gb
+        total_gb = sum(self.image_cache.values())
+        while total_gb > self.machine_type.cache_gb and len(self.image_cache) > 1:
+            total_gb -= self.image_cache.popitem(last=False)[1]
+
+    def count_fitting_tasks(
+        self, spec: JobSpec, cpus_reserved_per_gpu: float, headroom: tuple[float, float] = (0.0, 0.0)
+    ) -> int:
+        """How many tasks of the job fit now.
+
+        CPU-only work leaves each GPU of the machine `reserve` CPUs, which GPU jobs bring along. `kept`: CPUs and GB
+        that are left free.
+        """
+        free_cpus = self.free_cpus - headroom[0]
+        if spec.gpus <= 0 and self.machine_type.gpus > 0 and cpus_reserved_per_gpu > 0:
+            free_cpus = min(
+                free_cpus, self.machine_type.cpus - self.machine_type.gpus * cpus_reserved_per_gpu - self.cpu_only_cpus
+            )
+        return max_fitting_tasks(spec, free_cpus, self.free_gpus, self.free_memory - headroom[1])
+
+
+def max_fitting_tasks(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
+    """How many tasks of the job fit into so much."""
+    max_tasks = 1 << 30
+    for free, required in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory_gb)):
+        if required > 0:
+            max_tasks = min(max_tasks, int((free + 1e-6) / required) if free > 0 else 0)
+    return max_tasks
--- a/roseweir/placement/hearing.py
+++ b/roseweir/scheduler/one_way_partition.py
@@ -12,76 +12,78 @@
 | doubt: orders not taken up twice in a row | an answer may be lost once |
 | doubt: the next tenure, though it was answered a moment ago | its lease ran out: no answer of a whole lease came |
 
-In doubt nothing new is sent to it, and it is asked (`cloud/silence.py`): an answer ends the doubt, two questions in
+In doubt nothing new is sent to it, and it is asked (`cloud/liveness.py`): an answer ends the doubt, two questions in
 vain make it *deaf*. What was not sent yet is planned anew at once, and others are rented in its place. Its tasks run
 until it shows the next tenure, which is the earliest proof that they are gone, or until a lease after our last
 answer. A machine that stays deaf for a lease goes back.
 
 Where most of the leader's machines are in doubt the trouble is the leader's own: they count as overdue, and it asks
-whether another node reaches them (`membership/judge.py`).
+whether another node reaches them (`membership/failure_detector.py`).
 """
 
 from datetime import datetime, timedelta
 
 from roseweir.clock import NEVER
-from roseweir.placement.model import Machine, Phase
+from roseweir.scheduler.model import Machine, PlacementPhase
 from roseweir.workers import messages as wire
 
 # A worker waits so long for an answer (protocol).
-GIVES_UP = timedelta(seconds=4)
+WORKER_ANSWER_TIMEOUT = timedelta(seconds=4)
 # Orders in a row that were not taken up.
-DROPPED = 2
+MAX_DROPPED_ORDERS = 2
 
 
-def answered(machine: Machine, seq: int, now: datetime) -> None:
+def record_answer(machine: Machine, sequence: int, now: datetime) -> None:
     """The report of that tally is answered 200 now."""
-    machine.answered, machine.answered_at = (machine.session, seq), now
+    machine.last_answered_heartbeat, machine.last_answered_at = (machine.incarnation, sequence), now
 
 
-def answered_in_vain(machine: Machine, report: wire.Report, now: datetime) -> None:
+def check_answer_received(machine: Machine, heartbeat: wire.Heartbeat, now: datetime) -> None:
     """What a new report in our term says about the answer to the one before."""
-    session, seq = machine.answered
-    if session == 0:
+    incarnation, sequence = machine.last_answered_heartbeat
+    if incarnation == 0:
         return
-    waited = now - machine.answered_at
-    if report.session > session:
+    time_since_answer = now - machine.last_answered_at
+    if heartbeat.incarnation > incarnation:
         # Its lease ran out although it was answered: a moment ago, or it would have been silent and looked at as such.
-        if waited < GIVES_UP * 2:
-            doubt(machine, now)
-    elif report.seq == max(seq, machine.seq) + 1:
-        if waited < GIVES_UP:
-            proven(machine)
-    elif waited >= GIVES_UP:
-        doubt(machine, now)
+        if time_since_answer < WORKER_ANSWER_TIMEOUT * 2:
+            mark_suspected(machine, now)
+    elif heartbeat.sequence == max(sequence, machine.sequence) + 1:
+        if time_since_answer < WORKER_ANSWER_TIMEOUT:
+            mark_reachable(machine)
+    elif time_since_answer >= WORKER_ANSWER_TIMEOUT:
+        mark_suspected(machine, now)
 
 
-def order_dropped(machine: Machine, now: datetime) -> None:
+def record_dropped_order(machine: Machine, now: datetime) -> None:
     """A report came after the one whose answer held an order, and the order was not taken up."""
-    machine.dropped += 1
-    if machine.dropped >= DROPPED:
-        doubt(machine, now)
+    machine.dropped_order_count += 1
+    if machine.dropped_order_count >= MAX_DROPPED_ORDERS:
+        mark_suspected(machine, now)
 
 
-def doubt(machine: Machine, now: datetime) -> None:
-    if not machine.in_doubt:
-        machine.doubt_since = now
-        machine.misses = 0
+def mark_suspected(machine: Machine, now: datetime) -> None:
+    if not machine.is_suspected:
+        machine.suspected_since = now
+        machine.missed_probe_count = 0
 
 
-def proven(machine: Machine) -> None:
+def mark_reachable(machine: Machine) -> None:
     """An answer of ours reached it."""
-    machine.doubt_since = machine.deaf_since = NEVER
-    machine.dropped = machine.misses = 0
+    machine.suspected_since = machine.unreachable_since = NEVER
+    machine.dropped_order_count = machine.missed_probe_count = 0
 
 
-def found_deaf(machine: Machine, now: datetime) -> bool:
+def mark_unreachable(machine: Machine, now: datetime) -> bool:
     """Our questions do not reach it either. Whether this is news."""
-    if not machine.in_doubt or machine.deaf:
+    if not machine.is_suspected or machine.is_unreachable:
         return False
-    machine.deaf_since = now
+    machine.unreachable_since = now
     return True
 
 
-def unsent(machine: Machine) -> list[tuple[str, int]]:
+def unsent_placement_keys(machine: Machine) -> list[tuple[str, int]]:
     """What has not been sent to it: it can be planned elsewhere at once."""
-    return [key for key, p in machine.placements.items() if p.phase in (Phase.PLANNED, Phase.READY)]
+    return [
+        key for key, p in machine.placements.items() if p.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED)
+    ]
--- a/roseweir/served/largest.py
+++ b/roseweir/service_levels/largest_jobs.py
@@ -15,13 +15,13 @@
 import orjson
 
 # The uppermost part of a class's jobs, and by what power of two sizes are told apart.
-PART, STEP = 0.1, 0.5
+LARGEST_JOBS_FRACTION, SIZE_BUCKET_LOG2_WIDTH = 0.1, 0.5
 # The operators ask that the largest begin within this, in seconds.
-BEGIN_S = 240.0
+MAX_START_DELAY_S = 240.0
 
 
 @dataclass(slots=True)
-class Size:
+class SizeCounts:
     """Jobs of about one size."""
 
     accepted: int = 0
@@ -32,69 +32,69 @@
     cancelled: int = 0
     longest_s: int = 0  # that any of them waited for its beginning
 
-    def add(self, other: "Size") -> None:
+    def add(self, other: "SizeCounts") -> None:
         for each in fields(self):
             mine, theirs = getattr(self, each.name), getattr(other, each.name)
             setattr(self, each.name, max(mine, theirs) if each.name == "longest_s" else mine + theirs)
 
     @property
-    def served(self) -> float:
+    def on_time_fraction(self) -> float:
         """The lesser share of those not cancelled: begun in time of all whose time is over."""
         settled = self.in_time + self.late
         return self.in_time / settled if settled else 1.0
 
 
-def step_of(size: float) -> int:
+def size_bucket(size: float) -> int:
     """Which row a job of this size belongs to."""
-    return floor(log2(max(size, 0.01)) / STEP)
+    return floor(log2(max(size, 0.01)) / SIZE_BUCKET_LOG2_WIDTH)
 
 
 # Class and row.
-Key = tuple[str, int]
+ClassAndBucket = tuple[str, int]
 
 
-def largest(rows: Mapping[Key, Size]) -> dict[str, Size]:
+def sum_largest(rows: Mapping[ClassAndBucket, SizeCounts]) -> dict[str, SizeCounts]:
     """Of each class, those of its largest jobs, summed up."""
-    classes: dict[str, list[tuple[int, Size]]] = {}
+    counts_by_class: dict[str, list[tuple[int, SizeCounts]]] = {}
     for (name, step), size in rows.items():
-        classes.setdefault(name, []).append((step, size))
-    found: dict[str, Size] = {}
-    for name, sizes in sorted(classes.items()):
-        enough = max(1.0, sum(size.accepted for _, size in sizes) * PART)
-        total = Size()
+        counts_by_class.setdefault(name, []).append((step, size))
+    largest_by_class: dict[str, SizeCounts] = {}
+    for name, sizes in sorted(counts_by_class.items()):
+        min_jobs = max(1.0, sum(size.accepted for _, size in sizes) * LARGEST_JOBS_FRACTION)
+        total = SizeCounts()
         for _, size in sorted(sizes, key=lambda each: -each[0]):
             total.add(size)
-            if total.accepted >= enough:
+            if total.accepted >= min_jobs:
                 break
-        found[name] = total
-    return found
+        largest_by_class[name] = total
+    return largest_by_class
 
 
-def encode(rows: Mapping[Key, Size], room: int = 1 << 30) -> list[list[Any]]:
+def encode_counts(rows: Mapping[ClassAndBucket, SizeCounts], max_bytes: int = 1 << 30) -> list[list[Any]]:
     """At most so many bytes, if that can be: of the class with the most rows, its smallest jobs go together."""
-    kept = dict(rows)
+    remaining = dict(rows)
     while True:
-        value = [[name, step, *asdict(size).values()] for (name, step), size in sorted(kept.items())]
-        steps: dict[str, list[int]] = {}
-        for name, step in kept:
-            steps.setdefault(name, []).append(step)
-        most = max(sorted(steps), key=lambda name: len(steps[name]), default="")
-        if not steps or len(steps[most]) < 2 or len(orjson.dumps(value)) <= room:
+        value = [[name, step, *asdict(size).values()] for (name, step), size in sorted(remaining.items())]
+        buckets_by_class: dict[str, list[int]] = {}
+        for name, step in remaining:
+            buckets_by_class.setdefault(name, []).append(step)
+        largest_class = max(sorted(buckets_by_class), key=lambda name: len(buckets_by_class[name]), default="")
+        if not buckets_by_class or len(buckets_by_class[largest_class]) < 2 or len(orjson.dumps(value)) <= max_bytes:
             return value
-        least, next_one = sorted(steps[most])[:2]
-        together = Size()
-        together.add(kept.pop((most, least)))
-        together.add(kept[most, next_one])
-        kept[most, next_one] = together
+        smallest_bucket, next_bucket = sorted(buckets_by_class[largest_class])[:2]
+        merged = SizeCounts()
+        merged.add(remaining.pop((largest_class, smallest_bucket)))
+        merged.add(remaining[largest_class, next_bucket])
+        remaining[largest_class, next_bucket] = merged
 
 
-def decode(value: Iterable[Any]) -> dict[Key, Size]:
+def decode_counts(value: Iterable[Any]) -> dict[ClassAndBucket, SizeCounts]:
     """KeyError, TypeError or ValueError if it is no such record."""
-    return {(str(name), int(step)): Size(*map(int, counts)) for name, step, *counts in value}
+    return {(str(name), int(step)): SizeCounts(*map(int, counts)) for name, step, *counts in value}
 
 
-def described(name: str, size: Size) -> str:
+def format_largest(name: str, size: SizeCounts) -> str:
     """For the log and for `status`."""
-    text = f"{name}, largest: {size.accepted} jobs, {size.begun} begun, {size.in_time} within {BEGIN_S:.0f} s"
+    text = f"{name}, largest: {size.accepted} jobs, {size.begun} begun, {size.in_time} within {MAX_START_DELAY_S:.0f} s"
     text += f", {size.done} done, longest wait {size.longest_s} s"
-    return text + (", UNDER HALF" if size.served < 0.5 else "")
+    return text + (", UNDER HALF" if size.on_time_fraction < 0.5 else "")
--- a/roseweir/settings.py
+++ b/roseweir/settings.py
@@ -1,4 +1,4 @@
-"""What the platform hands over (JSON). What operators set themselves is in `roseweir.tuning`."""
+"""What the platform hands over (JSON). What operators set themselves is in `roseweir.operator_config`."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -9,10 +9,10 @@
 from msgspec import Meta
 
 from roseweir.clock import seconds
-from roseweir.forms import SettingsError
+from roseweir.sexp import SettingsError
 
 Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Address = Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
 
 
@@ -22,144 +22,187 @@
     address: Address
 
 
-class Endpoints(msgspec.Struct):
+class Endpoints(msgspec.Struct, rename={"kv_store": "state"}):
     cloud: Address
-    state: Address
+    kv_store: Address
 
 
-class Team(msgspec.Struct):
+class Team(
+    msgspec.Struct,
+    rename={"guaranteed_cpus": "cpus", "max_cpus": "cpus_max", "guaranteed_gpus": "gpus", "max_gpus": "gpus_max"},
+):
     """Guarantee and limit of a team; 0 means none."""
 
     name: str
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    guaranteed_cpus: NonNegative = 0.0
+    max_cpus: NonNegative = 0.0
+    guaranteed_gpus: NonNegative = 0.0
+    max_gpus: NonNegative = 0.0
 
     @property
-    def guaranteed(self) -> bool:
-        return self.cpus > 0 or self.gpus > 0
+    def has_guarantee(self) -> bool:
+        return self.guaranteed_cpus > 0 or self.guaranteed_gpus > 0
 
 
-class Objective(msgspec.Struct, rename={"job_class": "class"}):
-    kind: str
-    share: float = 0.0
+class ServiceLevelObjective(
+    msgspec.Struct,
+    rename={"objective_type": "kind", "target_share": "share", "threshold_s": "within_s", "job_class": "class"},
+):
+    objective_type: str
+    target_share: float = 0.0
     job_class: str | None = None
-    within_s: float | None = None
+    threshold_s: float | None = None
     times: float | None = None
 
     @property
-    def within(self) -> timedelta | None:
-        return None if self.within_s is None else seconds(self.within_s)
-
-
-class WorkerSettings(msgspec.Struct):
-    report_s: Positive
-    lease_s: Positive
-    gang_wait_s: Positive
-    gang_peer_s: Positive
-    cancel_s: Positive
+    def threshold(self) -> timedelta | None:
+        return None if self.threshold_s is None else seconds(self.threshold_s)
+
+
+class WorkerSettings(
+    msgspec.Struct,
+    rename={
+        "heartbeat_interval_s": "report_s",
+        "lease_duration_s": "lease_s",
+        "gang_start_timeout_s": "gang_wait_s",
+        "gang_peer_timeout_s": "gang_peer_s",
+        "cancel_timeout_s": "cancel_s",
+    },
+):
+    heartbeat_interval_s: Positive
+    lease_duration_s: Positive
+    gang_start_timeout_s: Positive
+    gang_peer_timeout_s: Positive
+    cancel_timeout_s: Positive
 
     @property
-    def report(self) -> timedelta:
-        return seconds(self.report_s)
+    def heartbeat_interval(self) -> timedelta:
+        return seconds(self.heartbeat_interval_s)
 
     @property
-    def lease(self) -> timedelta:
-        return seconds(self.lease_s)
+    def lease_duration(self) -> timedelta:
+        return seconds(self.lease_duration_s)
 
     @property
-    def gang_wait(self) -> timedelta:
-        return seconds(self.gang_wait_s)
+    def gang_start_timeout(self) -> timedelta:
+        return seconds(self.gang_start_timeout_s)
 
     @property
-    def gang_peer(self) -> timedelta:
-        return seconds(self.gang_peer_s)
+    def gang_peer_timeout(self) -> timedelta:
+        return seconds(self.gang_peer_timeout_s)
 
     @property
-    def cancel(self) -> timedelta:
-        return seconds(self.cancel_s)
+    def cancel_timeout(self) -> timedelta:
+        return seconds(self.cancel_timeout_s)
 
 
 # A machine with 30 different jobs on it has to fit a value.
-VALUE_KB_LEAST = 2
+MIN_VALUE_KIB = 2
 # A job's end and the leader's election take two changes that belong together, and a batch a note beside them.
-TXN_OPS_LEAST = 4
-ValueKb = Annotated[float, Meta(ge=VALUE_KB_LEAST)]
-TxnOps = Annotated[int, Meta(ge=TXN_OPS_LEAST)]
-
-
-class NextStateLimits(msgspec.Struct):
+MIN_TXN_OPS = 4
+ValueKib = Annotated[float, Meta(ge=MIN_VALUE_KIB)]
+TxnOps = Annotated[int, Meta(ge=MIN_TXN_OPS)]
+
+
+class AnnouncedStoreLimits(
+    msgspec.Struct,
+    rename={
+        "max_requests_per_s": "rps",
+        "max_writes_per_s": "write_rps",
+        "max_value_kib": "value_kb",
+        "max_txn_ops": "txn_ops",
+    },
+):
     """Limits that the state service will have from some later moment, without notice; None: as now."""
 
-    rps: Positive | None = None
-    write_rps: Positive | None = None
-    value_kb: ValueKb | None = None
-    txn_ops: TxnOps | None = None
-
-
-class StateSettings(msgspec.Struct):
+    max_requests_per_s: Positive | None = None
+    max_writes_per_s: Positive | None = None
+    max_value_kib: ValueKib | None = None
+    max_txn_ops: TxnOps | None = None
+
+
+class KeyValueStoreSettings(
+    msgspec.Struct,
+    rename={
+        "max_requests_per_s": "rps",
+        "max_writes_per_s": "write_rps",
+        "max_value_kib": "value_kb",
+        "max_txn_ops": "txn_ops",
+        "announced_limits": "next",
+    },
+):
     """Limits of the state service: requests and changes a second, KiB of a value, changes of a transaction.
 
     Once read, each is the lower of the one in force and the one to come: what is written always fits both.
     """
 
-    rps: Positive
-    write_rps: Positive
-    value_kb: ValueKb
-    txn_ops: TxnOps
-    next: NextStateLimits | None = None
+    max_requests_per_s: Positive
+    max_writes_per_s: Positive
+    max_value_kib: ValueKib
+    max_txn_ops: TxnOps
+    announced_limits: AnnouncedStoreLimits | None = None
 
     def __post_init__(self) -> None:
-        if self.next is None:
+        if self.announced_limits is None:
             return
-        self.rps = _lower(self.rps, self.next.rps)
-        self.write_rps = _lower(self.write_rps, self.next.write_rps)
-        self.value_kb = _lower(self.value_kb, self.next.value_kb)
-        self.txn_ops = _lower(self.txn_ops, self.next.txn_ops)
+        self.max_requests_per_s = _minimum(self.max_requests_per_s, self.announced_limits.max_requests_per_s)
+        self.max_writes_per_s = _minimum(self.max_writes_per_s, self.announced_limits.max_writes_per_s)
+        self.max_value_kib = _minimum(self.max_value_kib, self.announced_limits.max_value_kib)
+        self.max_txn_ops = _minimum(self.max_txn_ops, self.announced_limits.max_txn_ops)
 
 
 Number = TypeVar("Number", int, float)
 
 
-def _lower(now: Number, later: Number | None) -> Number:
-    return now if later is None else min(now, later)
+def _minimum(current: Number, announced: Number | None) -> Number:
+    return current if announced is None else min(current, announced)
 
 
-class CloudSettings(msgspec.Struct):
-    rps: Positive
-    list_lag_s: NotNegative
+class CloudSettings(msgspec.Struct, rename={"max_requests_per_s": "rps", "listing_lag_s": "list_lag_s"}):
+    max_requests_per_s: Positive
+    listing_lag_s: NonNegative
 
     @property
-    def list_lag(self) -> timedelta:
-        return seconds(self.list_lag_s)
+    def listing_lag(self) -> timedelta:
+        return seconds(self.listing_lag_s)
 
 
-class ProcessLimits(msgspec.Struct):
-    cpu: Positive = 1.0
-    ram_mb: Positive = 256.0
-    sockets: Annotated[int, Meta(ge=16)] = 512
+class ProcessLimits(msgspec.Struct, rename={"cpus": "cpu", "memory_mb": "ram_mb", "max_sockets": "sockets"}):
+    cpus: Positive = 1.0
+    memory_mb: Positive = 256.0
+    max_sockets: Annotated[int, Meta(ge=16)] = 512
 
 
-class Params(msgspec.Struct):
+class ClusterParameters(
+    msgspec.Struct, rename={"kv_store": "state", "process_limits": "limits", "max_clock_skew_ms": "skew_ms"}
+):
     zones: list[str]
     teams: list[Team]
     workers: WorkerSettings
-    state: StateSettings
+    kv_store: KeyValueStoreSettings
     cloud: CloudSettings
-    limits: ProcessLimits
-    objectives: list[Objective] = []
-    skew_ms: NotNegative = 0.0
-
-
-class Settings(msgspec.Struct, rename={"name": "node_name", "zone": "site", "public": "public_addr", "peers": "known"}):
+    process_limits: ProcessLimits
+    objectives: list[ServiceLevelObjective] = []
+    max_clock_skew_ms: NonNegative = 0.0
+
+
+class Settings(
+    msgspec.Struct,
+    rename={
+        "peer_address": "back",
+        "name": "node_name",
+        "zone": "site",
+        "public_address": "public_addr",
+        "peers": "known",
+    },
+):
     name: str
     zone: str
-    public: Address
-    back: Address
+    public_address: Address
+    peer_address: Address
     peers: list[Peer]
     endpoints: Endpoints
-    params: Params
+    params: ClusterParameters
 
 
 def load_settings(path: Path) -> Settings:
@@ -175,7 +218,7 @@
         settings = msgspec.convert(value, Settings)
     except msgspec.ValidationError as e:
         raise SettingsError(f"{path}: {e}") from e
-    for where, address in (("public_addr", settings.public), ("back", settings.back)):
+    for field, address in (("public_addr", settings.public_address), ("back", settings.peer_address)):
         if int(address.rpartition(":")[2]) > 65535:
-            raise SettingsError(f"{path}: port out of range - at `$.{where}`")
+            raise SettingsError(f"{path}: port out of range - at `$.{field}`")
     return settings
--- a/roseweir/forms.py
+++ b/roseweir/sexp.py
@@ -1,6 +1,6 @@
 """S-expressions that operators write: what a form looks like, and how its parts are read.
 
-Each slice declares its own forms with these; `roseweir.tuning` gathers them.
+Each slice declares its own forms with these; `roseweir.operator_config` gathers them.
 """
 
 from typing import Any
@@ -18,15 +18,15 @@
     return value[0].value(), value[1:]
 
 
-def read_text(name: str, args: list[Any]) -> str:
+def read_string(name: str, args: list[Any]) -> str:
     if len(args) != 1 or not isinstance(args[0], str):
         raise SettingsError(f"`{name}` takes one string")
     return args[0]
 
 
-def read_number(name: str, args: list[Any], above_zero: bool = False) -> float:
+def read_number(name: str, args: list[Any], must_be_positive: bool = False) -> float:
     if len(args) != 1 or isinstance(args[0], bool) or not isinstance(args[0], int | float):
         raise SettingsError(f"`{name}` takes one number")
-    if args[0] < 0 or (above_zero and args[0] == 0):
-        raise SettingsError(f"`{name}` must be {'above' if above_zero else 'at least'} 0")
+    if args[0] < 0 or (must_be_positive and args[0] == 0):
+        raise SettingsError(f"`{name}` must be {'above' if must_be_positive else 'at least'} 0")
     return float(args[0])
--- /dev/null
+++ b/roseweir/submissions/completed_jobs.py
@@ -0,0 +1,123 @@
+"""How jobs ended, as far as this node has read it, and reading more of it.
+
+An end never changes, so it is read once, and whoever reads does it for all that wait for their turn: after a start a
+node is asked about many jobs at once, each of which awaits others that it has not heard of. A few are read one by one.
+Many are read by pages of the ended jobs, each from the first name that is still wanted, so that thousands of names
+take tens of requests, and never more requests than names. Pages are short until they prove to hold much of it.
+"""
+
+import asyncio
+from collections.abc import Callable, Collection, MutableMapping
+
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.kv_store.client import MAX_PAGE_KEYS
+from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, decode_completed_job
+from roseweir.submissions.read_budget import ReadBudget, ReadBudgetExhausted
+
+# So many are read one by one.
+MAX_SINGLE_READS = 16
+# Pages read before others that wait to read get their turn, the keys of a short one, and how many wanted names the
+# next page must be expected to hold to be as long as can be.
+MAX_PAGES_PER_TURN, SHORT_PAGE_LIMIT, MIN_EXPECTED_MATCHES = 4, 64, 16
+# Names kept for those who wait; beyond that everybody reads for himself.
+MAX_WANTED = 20_000
+
+
+def key_just_before(job_id: str) -> str:
+    """A text that sorts before a job's id and after every id that sorts before it."""
+    return job_id[:-1] + chr(ord(job_id[-1]) - 1) + "~"
+
+
+class CompletedJobReader:
+    def __init__(
+        self,
+        kv_store: KeyValueStoreClient,
+        known_states: MutableMapping[str, str],
+        remember_state: Callable[[str, str], None],
+        read_budget: ReadBudget,
+    ) -> None:
+        """`known` holds "done" or "cancelled" by job; `remember` adds to it."""
+        self.known_states = known_states
+        self._kv_store = kv_store
+        self._remember_state = remember_state
+        self._read_budget = read_budget
+        # One reads at a time, for all; the others mostly find afterwards what they want.
+        self._read_lock = asyncio.Lock()
+        self._wanted: set[str] = set()
+
+    async def read_states(self, job_ids: Collection[str], requester: str) -> set[str]:
+        """Read the ends of some of these jobs, so that asking again reads more; those found not to have ended.
+
+        RateLimited if there is no request left, Trouble or Unreachable without an answer.
+        """
+        unknown = {name for name in job_ids if name not in self.known_states}
+        if len(self._wanted) + len(unknown) <= MAX_WANTED:
+            self._wanted |= unknown
+        async with self._read_lock:
+            own_unknown = {name for name in unknown if name not in self.known_states}
+            if not own_unknown:
+                return set()
+            to_read = sorted(own_unknown | {name for name in self._wanted if name not in self.known_states})
+            absent_ids = await (
+                self._read_pages(to_read, requester)
+                if len(to_read) > MAX_SINGLE_READS
+                else self._read_each(to_read, requester)
+            )
+            self._wanted = {name for name in self._wanted if name not in self.known_states and name not in absent_ids}
+            # Whoever else wants one that has not ended looks for himself: the live jobs may have changed for him.
+            return absent_ids & own_unknown
+
+    async def _read_each(self, job_ids: list[str], requester: str) -> set[str]:
+        job_ids = self._limit_to_budget(job_ids, requester)
+        entries = await self._kv_store.get_many(COMPLETED_JOB_PREFIX + job_id for job_id in job_ids)
+        absent_ids: set[str] = set()
+        for job_id in job_ids:
+            entry = entries[COMPLETED_JOB_PREFIX + job_id]
+            if entry is None:
+                absent_ids.add(job_id)
+            else:
+                self._remember_state(job_id, decode_completed_job(entry.value).state)
+        return absent_ids
+
+    def _limit_to_budget(self, job_ids: list[str], requester: str) -> list[str]:
+        """As many of the names as there are requests for; RateLimited if there is none."""
+        for count in range(len(job_ids)):
+            try:
+                self._read_budget.spend(requester)
+            except ReadBudgetExhausted:
+                if count == 0:
+                    raise
+                return job_ids[:count]
+        return job_ids
+
+    async def _read_pages(self, job_ids: list[str], requester: str) -> set[str]:
+        absent_ids: set[str] = set()
+        position, limit = 0, SHORT_PAGE_LIMIT
+        for page_number in range(MAX_PAGES_PER_TURN):
+            if position >= len(job_ids):
+                break
+            try:
+                self._read_budget.spend(requester)
+            except ReadBudgetExhausted:
+                if page_number == 0:
+                    raise
+                break
+            page = await self._kv_store.scan_page(
+                COMPLETED_JOB_PREFIX, COMPLETED_JOB_PREFIX + key_just_before(job_ids[position]), limit
+            )
+            stored_by_id = {entry.key.removeprefix(COMPLETED_JOB_PREFIX): entry.value for entry in page.entries}
+            last_job_id = page.entries[-1].key.removeprefix(COMPLETED_JOB_PREFIX) if page.has_more else None
+            page_start = position
+            while position < len(job_ids) and (last_job_id is None or job_ids[position] <= last_job_id):
+                job_id = job_ids[position]
+                position += 1
+                if job_id in stored_by_id:
+                    self._remember_state(job_id, decode_completed_job(stored_by_id[job_id]).state)
+                else:
+                    absent_ids.add(job_id)
+            limit = (
+                MAX_PAGE_KEYS
+                if (position - page_start) * MAX_PAGE_KEYS / limit >= MIN_EXPECTED_MATCHES
+                else SHORT_PAGE_LIMIT
+            )
+        return absent_ids
--- /dev/null
+++ b/roseweir/submissions/dependency_validation.py
@@ -0,0 +1,112 @@
+"""Whether a submission may await the jobs that it names.
+
+It may name jobs that were accepted, in any state, but no service: a service never becomes done, so the job could
+never start. Being accepted is permanent, so whatever this node has ever heard of a job is enough. That one was never
+accepted is concluded only from reads that were sent after the submission came: its live key first, then its ended
+key, which is made in the transaction that takes the live one away.
+"""
+
+from collections.abc import Sequence
+
+import msgspec
+
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.submissions.cancellation_propagation import DependencyIds
+from roseweir.submissions.completed_jobs import MAX_SINGLE_READS, CompletedJobReader
+from roseweir.submissions.jobs import LIVE_JOB_PREFIX
+from roseweir.submissions.live_job_cache import LiveJobCache
+from roseweir.submissions.live_job_index import is_service, stored_dependencies_of
+from roseweir.submissions.read_budget import ReadBudget
+
+# So many names are told to a user who named jobs that can't be awaited.
+MAX_LISTED_JOB_IDS = 5
+
+
+class ValidationResult(msgspec.Struct):
+    """What was found of the jobs that a submission names."""
+
+    never_accepted_ids: list[str] = []
+    service_ids: list[str] = []
+    # What live ones await that the view of the live jobs may lack.
+    dependencies_by_job: DependencyIds = {}
+
+    @property
+    def rejection_reason(self) -> str | None:
+        """Why they can't be awaited, in the user's words, or None."""
+        if self.never_accepted_ids:
+            return f"awaits jobs that were never accepted: {_format_job_ids(self.never_accepted_ids)}"
+        if self.service_ids:
+            return f"awaits services, which are never done: {_format_job_ids(self.service_ids)}"
+        return None
+
+
+def _format_job_ids(job_ids: Sequence[str]) -> str:
+    omitted_count = len(job_ids) - MAX_LISTED_JOB_IDS
+    return ", ".join(job_ids[:MAX_LISTED_JOB_IDS]) + (f" and {omitted_count} more" if omitted_count > 0 else "")
+
+
+class DependencyValidator:
+    def __init__(
+        self,
+        kv_store: KeyValueStoreClient,
+        live_job_cache: LiveJobCache,
+        completed_jobs: CompletedJobReader,
+        read_budget: ReadBudget,
+    ) -> None:
+        self._kv_store = kv_store
+        self._live_job_cache = live_job_cache
+        self._completed_jobs = completed_jobs
+        self._read_budget = read_budget
+
+    async def validate(self, job_ids: Sequence[str], requester: str) -> ValidationResult:
+        """RateLimited, Trouble or Unreachable if it can't be told."""
+        result = ValidationResult()
+        unknown = self._unknown_ids(job_ids)
+        if len(unknown) <= MAX_SINGLE_READS and self._read_budget.try_spend_many(len(unknown)):
+            unknown = await self._read_live_records(unknown, result)
+        elif unknown:
+            await self._live_job_cache.wait_for_refresh()
+            unknown = self._unknown_ids(unknown)
+        result.never_accepted_ids = await self._never_accepted_ids(unknown, requester)
+        result.service_ids = [
+            job_id
+            for job_id in job_ids
+            if job_id in result.service_ids or self._live_job_cache.live_jobs.is_service(job_id)
+        ]
+        return result
+
+    def _unknown_ids(self, job_ids: Sequence[str]) -> list[str]:
+        return [
+            job_id
+            for job_id in job_ids
+            if job_id not in self._completed_jobs.known_states and job_id not in self._live_job_cache.live_jobs
+        ]
+
+    async def _read_live_records(self, job_ids: list[str], result: ValidationResult) -> list[str]:
+        """Read their live keys; those that do not live."""
+        entries = await self._kv_store.get_many(LIVE_JOB_PREFIX + job_id for job_id in job_ids)
+        not_live: list[str] = []
+        for job_id in job_ids:
+            entry = entries[LIVE_JOB_PREFIX + job_id]
+            if entry is None:
+                not_live.append(job_id)
+                continue
+            if is_service(entry.value):
+                result.service_ids.append(job_id)
+            dependencies = stored_dependencies_of(entry.value)
+            if not dependencies.part_count:
+                result.dependencies_by_job[job_id] = dependencies.job_ids
+        return not_live
+
+    async def _never_accepted_ids(self, job_ids: list[str], requester: str) -> list[str]:
+        """Those of some jobs that do not live which have not ended either: none that were ever accepted."""
+        absent_ids: set[str] = set()
+        remaining_ids = set(job_ids)
+        while remaining_ids:
+            absent_ids |= await self._completed_jobs.read_states(remaining_ids, requester)
+            remaining_ids = {
+                job_id
+                for job_id in remaining_ids
+                if job_id not in absent_ids and job_id not in self._completed_jobs.known_states
+            }
+        return [job_id for job_id in job_ids if job_id in absent_ids]
--- a/roseweir/submissions/jobs.py
+++ b/roseweir/submissions/jobs.py
@@ -9,17 +9,17 @@
 from roseweir.clock import seconds
 from roseweir.settings import Team
 
-Kind = Literal["array", "gang", "service"]
-ARRAY: Kind = "array"
-GANG: Kind = "gang"
-SERVICE: Kind = "service"
+JobType = Literal["array", "gang", "service"]
+ARRAY: JobType = "array"
+GANG: JobType = "gang"
+SERVICE: JobType = "service"
 
-LIVE = "live/"
-OVER = "over/"
-DONE_TASKS = "done/"
+LIVE_JOB_PREFIX = "live/"
+COMPLETED_JOB_PREFIX = "over/"
+COMPLETED_TASKS_PREFIX = "done/"
 
 # Bits of finished tasks are kept in chunks, so that 100,000 tasks fit values of any allowed size.
-CHUNK_TASKS = 8192
+TASKS_PER_CHUNK = 8192
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -37,11 +37,13 @@
     zones: tuple[str, ...]
 
     @property
-    def boot(self) -> timedelta:
+    def boot_duration(self) -> timedelta:
         return seconds(self.boot_s)
 
 
-class Awaited(msgspec.Struct, frozen=True, omit_defaults=True):
+class StoredDependencies(
+    msgspec.Struct, frozen=True, omit_defaults=True, rename={"job_ids": "jobs", "part_count": "parts"}
+):
     """The jobs that have to be done before any task of a job starts, as the job's record names them.
 
     So many that the record has no room for them are kept apart: `parts` keys of the state service, whose names hold
@@ -52,80 +54,97 @@
     a job that waits asks for. So the two versions of an upgrade need not agree on a level before this is written.
     """
 
-    jobs: list[str] = []
-    parts: int = 0
+    job_ids: list[str] = []
+    part_count: int = 0
     digest: str = ""
 
     def __bool__(self) -> bool:
-        return bool(self.jobs) or self.parts > 0
-
-
-class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
+        return bool(self.job_ids) or self.part_count > 0
+
+
+class JobSpec(
+    msgspec.Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={
+        "job_type": "kind",
+        "task_count": "tasks",
+        "machine_types": "types",
+        "requires_single_zone": "one_zone",
+        "spread_across_zones": "spread",
+        "allows_spot": "spot",
+        "estimated_duration_s": "estimate_s",
+        "checkpoint_interval_s": "checkpoint_s",
+        "checkpoint_duration_s": "save_s",
+        "workflow_id": "chain",
+        "depends_on": "after",
+    },
+):
     """A job as its user described it, under the names used throughout the service."""
 
     id: str
     job_class: str
     team: str
-    kind: Kind
+    job_type: JobType
     priority: int
-    tasks: int
+    task_count: int
     cpus: float
     gpus: float
     memory_gb: float
     image: str = ""
     image_gb: float = 0.0
-    types: list[str] | None = None
+    machine_types: list[str] | None = None
     zone: str | None = None
-    one_zone: bool = False
-    spread: bool = False
-    spot: bool = False
-    estimate_s: float = 0.0
-    checkpoint_s: float = 0.0
-    save_s: float = 0.0
+    requires_single_zone: bool = False
+    spread_across_zones: bool = False
+    allows_spot: bool = False
+    estimated_duration_s: float = 0.0
+    checkpoint_interval_s: float = 0.0
+    checkpoint_duration_s: float = 0.0
     deadline_s: float | None = None
     accepted_ms: int = 0
     # A step of a chain: which one, and the jobs whose durable end it waits for. Of other jobs, those that they await.
-    chain: str = ""
-    after: list[str] | Awaited = []
+    workflow_id: str = ""
+    depends_on: list[str] | StoredDependencies = []
 
     @property
-    def awaited(self) -> Awaited:
+    def dependencies(self) -> StoredDependencies:
         """The jobs that the submission named; false if there are none. A step of a chain names none here."""
-        return self.after if isinstance(self.after, Awaited) else Awaited()
+        return self.depends_on if isinstance(self.depends_on, StoredDependencies) else StoredDependencies()
 
     @property
-    def estimate(self) -> timedelta:
-        return seconds(self.estimate_s)
+    def estimated_duration(self) -> timedelta:
+        return seconds(self.estimated_duration_s)
 
     @property
-    def size(self) -> float:
+    def total_resource_units(self) -> float:
         """What its tasks take altogether: GPUs for jobs that need them, CPUs for the rest."""
-        return (self.gpus if self.gpus > 0 else self.cpus) * self.tasks
+        return (self.gpus if self.gpus > 0 else self.cpus) * self.task_count
 
     @property
-    def whole(self) -> bool:
+    def is_admitted_as_unit(self) -> bool:
         """Whether all tasks count against the team's limit together."""
-        return self.kind != ARRAY
+        return self.job_type != ARRAY
 
-    def allows(self, kind: MachineType) -> bool:
-        return self.types is None or kind.name in self.types
+    def allows_machine_type(self, machine_type: MachineType) -> bool:
+        return self.machine_types is None or machine_type.name in self.machine_types
 
-    def is_held_by(self, kind: MachineType) -> bool:
+    def image_fits_cache(self, machine_type: MachineType) -> bool:
         """Whether the type's cache can hold the image, which may be weights of tens of GB. 0: the catalog is silent."""
-        return kind.cache_gb <= 0 or self.image_gb <= kind.cache_gb
+        return machine_type.cache_gb <= 0 or self.image_gb <= machine_type.cache_gb
 
-    def fits(self, kind: MachineType) -> bool:
+    def fits_machine_type(self, machine_type: MachineType) -> bool:
         return (
-            self.allows(kind)
-            and self.cpus <= kind.cpus
-            and self.gpus <= kind.gpus
-            and self.memory_gb <= kind.memory_gb
-            and self.is_held_by(kind)
-            and (self.zone is None or self.zone in kind.zones)
+            self.allows_machine_type(machine_type)
+            and self.cpus <= machine_type.cpus
+            and self.gpus <= machine_type.gpus
+            and self.memory_gb <= machine_type.memory_gb
+            and self.image_fits_cache(machine_type)
+            and (self.zone is None or self.zone in machine_type.zones)
         )
 
 
-class Ended(msgspec.Struct, omit_defaults=True):
+class CompletedJob(msgspec.Struct, omit_defaults=True, rename={"task_count": "tasks", "total_resource_units": "size"}):
     """What is kept of a job that is over.
 
     A cancelled job's tasks may still be on machines after a take-over, so what they take of a
@@ -133,71 +152,84 @@
     """
 
     state: Literal["done", "cancelled"]
-    tasks: int
+    task_count: int
     team: str = ""
     job_class: str = ""
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    size: float = 0.0  # CPUs, or GPUs if it needed any, of all its tasks together; 0: ended by an earlier version
+    total_resource_units: float = (
+        0.0  # CPUs, or GPUs if it needed any, of all its tasks together; 0: ended by an earlier version
+    )
 
     def to_spec(self, job_id: str) -> JobSpec:
         return JobSpec(
             id=job_id,
             job_class="",
             team=self.team,
-            kind=ARRAY,
+            job_type=ARRAY,
             priority=3,
-            tasks=self.tasks,
+            task_count=self.task_count,
             cpus=self.cpus,
             gpus=self.gpus,
             memory_gb=self.memory_gb,
         )
 
 
-def ended(spec: JobSpec, state: Literal["done", "cancelled"]) -> Ended:
+def completed_job(spec: JobSpec, state: Literal["done", "cancelled"]) -> CompletedJob:
     if state == "done":
-        return Ended(state, spec.tasks, spec.team, spec.job_class, size=spec.size)
-    return Ended(state, spec.tasks, spec.team, spec.job_class, spec.cpus, spec.gpus, spec.memory_gb, spec.size)
-
-
-def stored(value: msgspec.Struct) -> Any:
+        return CompletedJob(
+            state, spec.task_count, spec.team, spec.job_class, total_resource_units=spec.total_resource_units
+        )
+    return CompletedJob(
+        state,
+        spec.task_count,
+        spec.team,
+        spec.job_class,
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.total_resource_units,
+    )
+
+
+def to_stored(value: msgspec.Struct) -> Any:
     return msgspec.to_builtins(value)
 
 
-def read_spec(value: Any) -> JobSpec:
+def decode_job_spec(value: Any) -> JobSpec:
     return msgspec.convert(value, JobSpec)
 
 
-def read_what_can_be(job_id: str, value: Any) -> JobSpec:
+def decode_partial_job_spec(job_id: str, value: Any) -> JobSpec:
     """Of a record that is none: what its tasks take and whose they are, as far as it tells, so that they count."""
-    found = JobSpec(job_id, "", "", ARRAY, 3, 1, 0.0, 0.0, 0.0)
-    for name, given in value.items() if isinstance(value, dict) else ():
-        if name != "id" and name in JobSpec.__struct_fields__:
+    spec = JobSpec(job_id, "", "", ARRAY, 3, 1, 0.0, 0.0, 0.0)
+    for field_name, field_value in value.items() if isinstance(value, dict) else ():
+        if field_name != "id" and field_name in JobSpec.__struct_encode_fields__:
             try:
-                found = msgspec.convert(msgspec.to_builtins(found) | {name: given}, JobSpec)
+                spec = msgspec.convert(msgspec.to_builtins(spec) | {field_name: field_value}, JobSpec)
             except msgspec.ValidationError:
                 continue
-    return found
+    return spec
 
 
-def read_ended(value: Any) -> Ended:
-    return msgspec.convert(value, Ended)
+def decode_completed_job(value: Any) -> CompletedJob:
+    return msgspec.convert(value, CompletedJob)
 
 
-def refusal(spec: JobSpec, teams: dict[str, Team], catalog: Sequence[MachineType]) -> str | None:
+def rejection_reason(spec: JobSpec, teams: dict[str, Team], catalog: Sequence[MachineType]) -> str | None:
     """Why the job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
-    if not any(spec.fits(kind) for kind in catalog):
-        allowed = [kind for kind in catalog if spec.allows(kind)]
-        if allowed and not any(spec.is_held_by(kind) for kind in allowed):
+    if not any(spec.fits_machine_type(machine_type) for machine_type in catalog):
+        allowed_types = [machine_type for machine_type in catalog if spec.allows_machine_type(machine_type)]
+        if allowed_types and not any(spec.image_fits_cache(machine_type) for machine_type in allowed_types):
             return f"no allowed machine type has a cache for an image of {spec.image_gb:g} GB"
         return "no allowed machine type fits a task"
-    counted = spec.tasks if spec.whole else 1
-    for what, limit in (("cpus", team.cpus_max), ("gpus", team.gpus_max)):
+    counted_tasks = spec.task_count if spec.is_admitted_as_unit else 1
+    for resource, limit in (("cpus", team.max_cpus), ("gpus", team.max_gpus)):
         # A limit of 0 means that there is none.
-        if limit > 0 and getattr(spec, what) * counted > limit + 1e-9:
-            return f"needs more {what} than the team's limit"
+        if limit > 0 and getattr(spec, resource) * counted_tasks > limit + 1e-9:
+            return f"needs more {resource} than the team's limit"
     return None
--- a/roseweir/submissions/messages.py
+++ b/roseweir/submissions/messages.py
@@ -5,101 +5,104 @@
 import msgspec
 from msgspec import Meta
 
-from roseweir.submissions.jobs import Awaited, JobSpec, Kind
+from roseweir.submissions.jobs import JobSpec, JobType, StoredDependencies
 
 # To the very end: `$` would let a line break follow, and a key of the state service can't hold one.
 JOB_ID = r"^j-[0-9]{1,18}\Z"
-Amount = Annotated[float, Meta(ge=0, le=1e12)]
+ResourceAmount = Annotated[float, Meta(ge=0, le=1e12)]
 
-_KINDS: dict[str, Kind] = {"sweep": "array", "gang": "gang", "daemon": "service"}
+_JOB_TYPES: dict[str, JobType] = {"sweep": "array", "gang": "gang", "daemon": "service"}
 _PRIORITIES = {"critical": 0, "urgent": 1, "normal": 2, "low": 3}
 
 
 class Submission(
     msgspec.Struct,
     rename={
+        "depends_on": "awaits",
         "id": "name_id",
         "job_class": "docket",
         "team": "crew",
-        "kind": "shape",
+        "job_type": "shape",
         "priority": "rank",
-        "tasks": "parcels",
+        "task_count": "parcels",
         "cpus": "cores",
         "gpus": "accelerators",
         "image": "kit",
         "image_gb": "size_gb",
-        "types": "builds",
+        "machine_types": "builds",
         "zone": "yard",
-        "one_zone": "together",
-        "spread": "scatter",
-        "spot": "loaners",
-        "estimate_s": "guess_s",
-        "checkpoint_s": "mark_every_s",
-        "save_s": "mark_s",
+        "requires_single_zone": "together",
+        "spread_across_zones": "scatter",
+        "allows_spot": "loaners",
+        "estimated_duration_s": "guess_s",
+        "checkpoint_interval_s": "mark_every_s",
+        "checkpoint_duration_s": "mark_s",
         "deadline_s": "due_s",
     },
 ):
     id: Annotated[str, Meta(pattern=JOB_ID)]
     job_class: Annotated[str, Meta(min_length=1, max_length=200)]
     team: Annotated[str, Meta(max_length=200)]
-    kind: Literal["sweep", "gang", "daemon"]
+    job_type: Literal["sweep", "gang", "daemon"]
     priority: Literal["critical", "urgent", "normal", "low"]
-    tasks: Annotated[int, Meta(ge=1, le=100_000)]
-    cpus: Amount
-    gpus: Amount
-    memory_gb: Amount
+    task_count: Annotated[int, Meta(ge=1, le=100_000)]
+    cpus: ResourceAmount
+    gpus: ResourceAmount
+    memory_gb: ResourceAmount
     image: Annotated[str, Meta(min_length=1, max_length=200)]
-    image_gb: Amount
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate_s: Amount
-    checkpoint_s: Amount
-    save_s: Amount
-    types: list[Annotated[str, Meta(max_length=200)]] | None = None
+    image_gb: ResourceAmount
+    requires_single_zone: bool
+    spread_across_zones: bool
+    allows_spot: bool
+    estimated_duration_s: ResourceAmount
+    checkpoint_interval_s: ResourceAmount
+    checkpoint_duration_s: ResourceAmount
+    machine_types: list[Annotated[str, Meta(max_length=200)]] | None = None
     zone: Annotated[str, Meta(max_length=200)] | None = None
-    deadline_s: Amount | None = None
+    deadline_s: ResourceAmount | None = None
     # Jobs that have to be done before any task of this one starts.
-    awaits: list[Annotated[str, Meta(pattern=JOB_ID)]] | None = None
+    depends_on: list[Annotated[str, Meta(pattern=JOB_ID)]] | None = None
 
     def to_spec(self, accepted_ms: int) -> JobSpec:
         return JobSpec(
             id=self.id,
             job_class=self.job_class,
             team=self.team,
-            kind=_KINDS[self.kind],
+            job_type=_JOB_TYPES[self.job_type],
             priority=_PRIORITIES[self.priority],
-            tasks=self.tasks,
+            task_count=self.task_count,
             cpus=self.cpus,
             gpus=self.gpus,
             memory_gb=self.memory_gb,
             image=self.image,
             image_gb=self.image_gb,
-            types=self.types,
+            machine_types=self.machine_types,
             zone=self.zone,
-            one_zone=self.one_zone,
-            spread=self.spread,
-            spot=self.spot,
-            estimate_s=self.estimate_s,
-            checkpoint_s=self.checkpoint_s,
-            save_s=self.save_s,
+            requires_single_zone=self.requires_single_zone,
+            spread_across_zones=self.spread_across_zones,
+            allows_spot=self.allows_spot,
+            estimated_duration_s=self.estimated_duration_s,
+            checkpoint_interval_s=self.checkpoint_interval_s,
+            checkpoint_duration_s=self.checkpoint_duration_s,
             deadline_s=self.deadline_s,
             accepted_ms=accepted_ms,
-            after=Awaited(list(dict.fromkeys(self.awaits))) if self.awaits else [],
+            depends_on=StoredDependencies(list(dict.fromkeys(self.depends_on))) if self.depends_on else [],
         )
 
 
-class HasId(msgspec.Struct, rename={"id": "name_id"}):
+class SubmissionId(msgspec.Struct, rename={"id": "name_id"}):
     """The one field of a submission that a retry is known by."""
 
     id: Annotated[str, Meta(pattern=JOB_ID)]
 
 
-_STANDING = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
+_WIRE_STATES = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
 
 
-def standing(job_id: str, state: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    answer: dict[str, Any] = {"name_id": job_id, "standing": _STANDING[state]}
-    if done is not None:
-        answer |= {"done": done, "running": running or 0}
+def status_response(
+    job_id: str, state: str, done_count: int | None = None, running_count: int | None = None
+) -> dict[str, Any]:
+    answer: dict[str, Any] = {"name_id": job_id, "standing": _WIRE_STATES[state]}
+    if done_count is not None:
+        answer |= {"done": done_count, "running": running_count or 0}
     return answer
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -9,91 +9,101 @@
 # A report is checked whole before anything is taken from it: a task's name that could not be read once left the board
 # with what stood before it in the list.
 TaskName = Annotated[str, Meta(pattern=r"^j-[0-9]{1,18}/[0-9]{1,6}$")]
-Count = Annotated[int, Meta(ge=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 
 
-class TaskReport(
-    msgspec.Struct, rename={"task": "parcel", "attempt": "try", "state": "standing", "why": "cause", "saved": "stored"}
+class TaskStatus(
+    msgspec.Struct,
+    rename={
+        "task_id": "parcel",
+        "attempt": "try",
+        "state": "standing",
+        "exit_reason": "cause",
+        "checkpoint_saved": "stored",
+    },
 ):
-    task: TaskName
-    attempt: Count
+    task_id: TaskName
+    attempt: NonNegativeInt
     state: str
-    why: str | None = None
-    saved: bool | None = None
+    exit_reason: str | None = None
+    checkpoint_saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
-        "machine": "host",
+        "machine_name": "host",
         "address": "endpoint",
-        "type": "build",
+        "machine_type": "build",
         "zone": "yard",
-        "spot": "loaners",
-        "session": "tenure",
-        "seq": "tally",
-        "term": "warrant",
-        "notice_s": "recall_s",
+        "is_spot": "loaners",
+        "incarnation": "tenure",
+        "sequence": "tally",
+        "fencing_token": "warrant",
+        "reclaim_notice_s": "recall_s",
         "tasks": "parcels",
     },
 ):
-    machine: str
+    machine_name: str
     address: str
-    type: str
+    machine_type: str
     zone: str
-    spot: bool
-    session: Count
-    seq: Count
-    term: Count
-    tasks: list[TaskReport]
-    notice_s: Annotated[float, Meta(ge=0, le=1e9)] | None = None
+    is_spot: bool
+    incarnation: NonNegativeInt
+    sequence: NonNegativeInt
+    fencing_token: NonNegativeInt
+    tasks: list[TaskStatus]
+    reclaim_notice_s: Annotated[float, Meta(ge=0, le=1e9)] | None = None
 
 
-class Caller(msgspec.Struct, rename={"machine": "host", "session": "tenure", "seq": "tally", "term": "warrant"}):
+class HeartbeatHeader(
+    msgspec.Struct,
+    rename={"machine_name": "host", "incarnation": "tenure", "sequence": "tally", "fencing_token": "warrant"},
+):
     """All that a node which does not lead reads of a report."""
 
-    machine: str
-    session: int
-    seq: int
-    term: int
+    machine_name: str
+    incarnation: int
+    sequence: int
+    fencing_token: int
 
 
-FETCHING = "pulling"
-WAITING = "gathering"
+FETCHING_IMAGE = "pulling"
+WAITING_FOR_GANG = "gathering"
 RUNNING = "running"
-SAVING = "saving"
+SAVING_CHECKPOINT = "saving"
 EXITED = "exited"
 
 DONE = "done"
 STOPPED = "halted"
-PEERS = "mates_gone"
-ALONE = "alone"
+GANG_PEER_LOST = "mates_gone"
+GANG_WAIT_TIMED_OUT = "alone"
 ERROR = "error"
-NO_ROOM = "no_room"
-BUSY = "in_use"
-UNKNOWN = "unknown"
+INSUFFICIENT_RESOURCES = "no_room"
+ATTEMPT_CONFLICT = "in_use"
+UNKNOWN_TASK = "unknown"
 
 
-def run(task: str, attempt: int) -> dict[str, Any]:
-    return {"verb": "run", "parcel": task, "try": attempt}
+def run_command(task_id: str, attempt: int) -> dict[str, Any]:
+    return {"verb": "run", "parcel": task_id, "try": attempt}
 
 
-def halt(task: str, attempt: int, grace: timedelta) -> dict[str, Any]:
-    return {"verb": "halt", "parcel": task, "try": attempt, "wind_down_s": grace.total_seconds()}
+def stop_command(task_id: str, attempt: int, grace_period: timedelta) -> dict[str, Any]:
+    return {"verb": "halt", "parcel": task_id, "try": attempt, "wind_down_s": grace_period.total_seconds()}
 
 
-def clear(task: str, attempt: int) -> dict[str, Any]:
-    return {"verb": "clear", "parcel": task, "try": attempt}
+def clear_command(task_id: str, attempt: int) -> dict[str, Any]:
+    return {"verb": "clear", "parcel": task_id, "try": attempt}
 
 
-def answer(term: int | None, orders: list[dict[str, Any]]) -> dict[str, Any]:
+def heartbeat_response(fencing_token: int | None, commands: list[dict[str, Any]]) -> dict[str, Any]:
     """Without a term the worker drops it and stays: nothing is executed, and its lease is not renewed."""
-    return {"orders": orders} if term is None else {"warrant": term, "orders": orders}
+    return {"orders": commands} if fencing_token is None else {"warrant": fencing_token, "orders": commands}
 
 
-def direct(term: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"warrant": term, "tenure": session, "orders": orders}
+def direct_command(fencing_token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    return {"warrant": fencing_token, "tenure": incarnation, "orders": commands}
 
 
-def misdirected(leader: str | None) -> dict[str, Any]:
+def not_leader_response(leader: str | None) -> dict[str, Any]:
     return {"answers_to": leader} if leader else {}
--- /dev/null
+++ b/roseweir/workflows/settings.py
@@ -0,0 +1,82 @@
+"""The operators' form `(chain ...)`: the usual order of steps, and what happens where a chain cannot go on."""
+
+from datetime import timedelta
+from typing import Any
+
+import msgspec
+
+from roseweir.sexp import SettingsError, read_form, read_number, read_string
+
+
+class WorkflowSettings(
+    msgspec.Struct,
+    rename={
+        "step_order": "order",
+        "delivery_class": "delivery",
+        "max_attempts": "attempts",
+        "max_amendments_per_window": "intake",
+        "intake_window": "window",
+        "retention": "keep",
+    },
+):
+    """docs/chains.md gives the reason for each default."""
+
+    # Classes in the order in which their steps follow one another; those of one group run side by side.
+    step_order: list[list[str]] = msgspec.field(default_factory=list)
+    delivery_class: str = ""  # the class whose end puts the lots into the viewer; "": the last steps are the delivery
+    max_attempts: int = 5  # failures of a step, after which its chain stands still
+    on_cancel: str = "stop"  # what follows a step that its sender cancelled: `stop` or `skip` it
+    superseded: str = "finish"  # what runs of a chain that a newer amendment overtook: `finish` or `stop` it
+    max_amendments_per_window: float = 60.0  # amendments that may be taken at once, and
+    intake_window: timedelta = timedelta(seconds=60)  # within how long as many more may be
+    retention: timedelta = timedelta(days=30)  # ended chains are told of for so long, if there is room
+
+    def group_index(self, job_class: str) -> int | None:
+        return next((n for n, group in enumerate(self.step_order) if job_class in group), None)
+
+
+_CHOICES = {"on-cancel": ("on_cancel", ("stop", "skip")), "superseded": ("superseded", ("finish", "stop"))}
+
+
+def parse_workflow_settings(entries: list[Any]) -> WorkflowSettings:
+    """Read `(chain (order "a" ("b" "c") "d") (delivery "d") (attempts 5) (intake 60 60) (keep-days 30) ...)`."""
+    settings = WorkflowSettings()
+    for entry in entries:
+        name, args = read_form(entry)
+        if name == "order":
+            settings.step_order = _parse_step_order(args)
+        elif name == "delivery":
+            settings.delivery_class = read_string(name, args)
+        elif name in _CHOICES:
+            field, choices = _CHOICES[name]
+            text = read_string(name, args)
+            if text not in choices:
+                raise SettingsError(f"`{name}` in `chain` is one of {', '.join(choices)}")
+            setattr(settings, field, text)
+        elif name == "attempts":
+            value = read_number(name, args, must_be_positive=True)
+            if value != int(value):
+                raise SettingsError("`attempts` must be a whole number")
+            settings.max_attempts = int(value)
+        elif name == "intake":
+            if len(args) != 2:
+                raise SettingsError("`intake` takes a number of amendments and a window in seconds")
+            settings.max_amendments_per_window = read_number(name, args[:1], must_be_positive=True)
+            settings.intake_window = timedelta(seconds=read_number(name, args[1:], must_be_positive=True))
+        elif name == "keep-days":
+            settings.retention = timedelta(days=read_number(name, args, must_be_positive=True))
+        else:
+            raise SettingsError(f"unknown name `{name}` in `chain`")
+    if settings.delivery_class and settings.step_order and settings.group_index(settings.delivery_class) is None:
+        raise SettingsError(f"`delivery`: class `{settings.delivery_class}` is not in `order`")
+    return settings
+
+
+def _parse_step_order(args: list[Any]) -> list[list[str]]:
+    groups = [arg if isinstance(arg, list) else [arg] for arg in args]
+    names = [name for group in groups for name in group]
+    if not names or not all(isinstance(name, str) and name for name in names):
+        raise SettingsError("`order` takes classes as strings, and lists of those that run side by side")
+    if len(set(names)) < len(names):
+        raise SettingsError("`order` names a class twice")
+    return groups
--- /dev/null
+++ b/roseweir/workflows/step_transitions.py
@@ -0,0 +1,107 @@
+"""What happens next in chains. Pure: what is known of jobs goes in, what is to be done comes out.
+
+A step is *free* once all that it follows is over for good: done, or cancelled where the settings skip that. Nothing is
+kept of that which the jobs' own records do not tell: a chain whose marks are old is brought up to date by the ends
+since.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass, field
+
+from roseweir.workflows.model import Workflow, WorkflowStep
+from roseweir.workflows.settings import WorkflowSettings
+
+
+@dataclass(slots=True)
+class PendingActions:
+    """What a look at one chain asks for."""
+
+    releasable: list[int] = field(default_factory=list)  # steps that may start now
+    cancellable: list[int] = field(default_factory=list)  # steps that have to end, and are not over
+    final_state: str = ""  # the chain's state, if it is over
+
+
+def record_step_outcome(workflow: Workflow, job_id: str, outcome: str, now_ms: int) -> bool:
+    """A step's job is over, durably. Whether that is news."""
+    for step in workflow.steps:
+        if step.job_id == job_id and not step.outcome:
+            step.outcome = outcome
+            step.ended_ms = now_ms
+            return True
+    return False
+
+
+def evaluate(workflow: Workflow, settings: WorkflowSettings, has_ended: Callable[[str], bool]) -> PendingActions:
+    """`is_over`: whether a job of an older chain, which this one's delivery waits for, has ended in whatever way."""
+    actions = PendingActions()
+    if workflow.is_ended:
+        return actions
+    cancelled_steps = [n for n, step in enumerate(workflow.steps) if step.outcome == "cancelled"]
+    if cancelled_steps and settings.on_cancel == "stop":
+        # What follows a step that was cancelled will never have what it needs.
+        for n in _transitive_dependents(workflow, cancelled_steps):
+            if not workflow.steps[n].outcome:
+                actions.cancellable.append(n)
+    deliveries_allowed = all(has_ended(job_id) for job_id in workflow.blocking_jobs)
+    for n, step in enumerate(workflow.steps):
+        if step.outcome or step.released_ms or n in actions.cancellable:
+            continue
+        if all(_satisfies_dependents(workflow.steps[dependency], settings) for dependency in step.dependencies) and (
+            deliveries_allowed or not step.is_delivery
+        ):
+            actions.releasable.append(n)
+    if all(step.outcome for step in workflow.steps):
+        delivered = any(step.outcome == "done" and step.is_delivery for step in workflow.steps)
+        superseded = any(step.outcome == "superseded" for step in workflow.steps)
+        actions.final_state = "superseded" if superseded and not delivered else "done"
+    return actions
+
+
+def _satisfies_dependents(step: WorkflowStep, settings: WorkflowSettings) -> bool:
+    return step.outcome == "done" or (step.outcome == "cancelled" and settings.on_cancel == "skip")
+
+
+def _transitive_dependents(workflow: Workflow, step_numbers: Iterable[int]) -> set[int]:
+    found: set[int] = set()
+    frontier = list(step_numbers)
+    while frontier:
+        for n in workflow.dependents(frontier.pop()):
+            if n not in found:
+                found.add(n)
+                frontier.append(n)
+    return found
+
+
+def superseded_steps(
+    older: Workflow,
+    newest_revision_by_lot: Mapping[str, int],
+    has_begun: Callable[[WorkflowStep], bool],
+    settings: WorkflowSettings,
+) -> list[int]:
+    """Steps of the older chain that have to end, since newer ones are about all lots that they are for.
+
+    `newest`: by lot, the newest revision that has been taken. A step that another one needs stays: with one lot of a
+    join overtaken, the join waited for a step that never came, and the newer amendment waited for the join.
+    """
+    found = []
+    for n, step in enumerate(older.steps):
+        if step.outcome or not all(newest_revision_by_lot.get(lot, -1) > older.revision for lot in older.lots_of(step)):
+            continue
+        if not has_begun(step) or settings.superseded == "stop":
+            found.append(n)
+    while still_needed := [
+        n for n in found if any(not older.steps[f].outcome and f not in found for f in older.dependents(n))
+    ]:
+        found = [n for n in found if n not in still_needed]
+    return found
+
+
+def pending_delivery_jobs(older: Workflow, newer: Workflow) -> list[str]:
+    """Jobs of the older chain that may still deliver lots of the newer one, which must come after them.
+
+    Those that are to be superseded count as well, until they are.
+    """
+    lots = set(newer.lots)
+    return [
+        step.job_id for step in older.steps if step.is_delivery and not step.outcome and lots & set(older.lots_of(step))
+    ]
--- /dev/null
+++ b/roseweir/workflows/store.py
@@ -0,0 +1,144 @@
+"""Chains in the state service: many to a value, all guarded by the leader's key and their own versions.
+
+`chain/NNNN` holds chains by id. One that is taken is written with its jobs' own records, one that has ended is written
+as its last job has; what happens in between is told by the jobs' records, and written only as the state service is
+about to forget the changes since the page was last written (`AGED`). So a chain costs at most two changes beside its
+jobs' own, and one for as many others as share its page. Ended chains are kept in a few bytes, the oldest go first.
+"""
+
+from typing import Any
+
+import msgspec
+import orjson
+
+from roseweir.kv_store import Entry, KeyValueStoreClient, StoreError
+from roseweir.kv_store.fenced_writes import FencedWriter
+from roseweir.workflows.model import Workflow
+
+PAGE_KEY_PREFIX = "chain/"
+MAX_PAGE_FILL, MAX_PAGE_BYTES = 0.85, 8 * 1024
+# The state service tells of its last 10,000 changes: pages are written anew well before they are so old.
+MAX_PAGE_AGE_REVISIONS = 6000
+# Pages at the most: what is there beyond them is ended chains.
+MAX_PAGES = 2000
+
+
+class WorkflowStore(FencedWriter):
+    def __init__(self, kv_store: KeyValueStoreClient, leader_key_version: int) -> None:
+        super().__init__(kv_store, leader_key_version, "chains")
+        self.page_by_workflow: dict[str, int] = {}
+        self.page_sizes: dict[int, int] = {}
+
+    @property
+    def page_capacity(self) -> int:
+        """Bytes of a page, within the limits as they are known now."""
+        return int(min(self.kv_store.transaction_limits.max_value_bytes, MAX_PAGE_BYTES) * MAX_PAGE_FILL)
+
+    async def read_entries(self) -> list[Entry]:
+        entries, _ = await self.kv_store.scan(PAGE_KEY_PREFIX)
+        return entries
+
+    def restore(self, entries: list[Entry]) -> dict[str, Workflow]:
+        """Trouble if a page can't be read: its chains would stand still and nobody would be told."""
+        self.load(entries)
+        self.page_by_workflow, self.page_sizes = {}, {}
+        workflows_by_id: dict[str, Workflow] = {}
+        for entry in entries:
+            page_number = int(entry.key.removeprefix(PAGE_KEY_PREFIX))
+            try:
+                workflows = [msgspec.convert(value, Workflow) for value in entry.value["chains"].values()]
+            except (msgspec.ValidationError, KeyError, TypeError, AttributeError) as e:
+                raise StoreError(f"{entry.key} can't be read: {e!r}") from e
+            self.page_sizes[page_number] = 0
+            for workflow in workflows:
+                workflows_by_id[workflow.id] = workflow
+                self.page_by_workflow[workflow.id] = page_number
+                self.page_sizes[page_number] += stored_size(workflow)
+        return workflows_by_id
+
+    def assign_page(self, workflow: Workflow) -> int | None:
+        """The page that the chain goes to; None: it fits none."""
+        size = stored_size(workflow)
+        if size > self.page_capacity:
+            return None
+        page_number = self.page_by_workflow.get(workflow.id)
+        if page_number is None:
+            page_number = next(
+                (n for n, used in sorted(self.page_sizes.items()) if used + size <= self.page_capacity), None
+            )
+            if page_number is None:
+                page_number = next((n for n in range(MAX_PAGES) if n not in self.page_sizes), None)
+            if page_number is None:
+                return None
+            self.page_by_workflow[workflow.id] = page_number
+            self.page_sizes[page_number] = self.page_sizes.get(page_number, 0) + size
+        return page_number
+
+    def oversized_pages(self) -> set[int]:
+        """Pages that were written under a higher limit."""
+        return {number for number, used in self.page_sizes.items() if used > self.page_capacity}
+
+    def split_oversized_pages(self, workflows: dict[str, Workflow]) -> list[int]:
+        """Move chains off pages that are too large; the pages that take them, which have to be written first.
+
+        A reader takes a chain that is found on two pages from one of them: until the older page is written they agree.
+        """
+        target_pages: list[int] = []
+        for page_number in sorted(self.oversized_pages()):
+            kept_bytes = 0
+            for workflow_id in sorted(
+                workflow_id
+                for workflow_id, page in self.page_by_workflow.items()
+                if page == page_number and workflow_id in workflows
+            ):
+                size = stored_size(workflows[workflow_id])
+                if kept_bytes == 0 or kept_bytes + size <= self.page_capacity:
+                    kept_bytes += size
+                    continue
+                self.release_page_space(workflows[workflow_id])
+                target_page = self.assign_page(workflows[workflow_id])
+                if target_page is None:
+                    self.page_by_workflow[workflow_id] = page_number
+                    self.page_sizes[page_number] += size
+                elif target_page != page_number:
+                    target_pages.append(target_page)
+        return target_pages
+
+    def record_compaction(self, workflow: Workflow, compacted: Workflow) -> None:
+        """It takes less of its page from now on."""
+        page_number = self.page_by_workflow.get(workflow.id)
+        if page_number is not None:
+            self.page_sizes[page_number] += stored_size(compacted) - stored_size(workflow)
+
+    def release_page_space(self, workflow: Workflow) -> None:
+        page_number = self.page_by_workflow.pop(workflow.id, None)
+        if page_number is not None:
+            self.page_sizes[page_number] = max(0, self.page_sizes[page_number] - stored_size(workflow))
+
+    def encode_page(self, page_number: int, workflows: dict[str, Workflow]) -> dict[str, Any]:
+        workflow_ids = sorted(
+            name for name, page in self.page_by_workflow.items() if page == page_number and name in workflows
+        )
+        encoded = {name: msgspec.to_builtins(workflows[name]) for name in workflow_ids}
+        self.page_sizes[page_number] = sum(stored_size(workflows[name]) for name in workflow_ids)
+        return {"chains": encoded}
+
+    @staticmethod
+    def page_key(page_number: int) -> str:
+        return f"{PAGE_KEY_PREFIX}{page_number:04d}"
+
+    def oldest_page_revision(self) -> int:
+        """The revision from which on ends have to be asked for: everything before is in the pages."""
+        return min(self.key_versions.values(), default=0)
+
+
+def stored_size(workflow: Workflow) -> int:
+    """Bytes that a chain takes of its page, with what its marks may still grow by."""
+    reserved_growth = 40 * sum(not step.ended_ms for step in workflow.steps)
+    return len(orjson.dumps(msgspec.to_builtins(workflow))) + len(workflow.id) + 8 + reserved_growth
+
+
+def compact_ended_workflow(workflow: Workflow) -> Workflow:
+    """What is kept of a chain that has ended: enough to know it again, and to tell how it went."""
+    steps = [msgspec.structs.replace(step, dependencies=[]) for step in workflow.steps if step.is_delivery]
+    return msgspec.structs.replace(workflow, steps=steps, blocking_jobs=[])
