--- /dev/null
+++ b/tests/simulation/cluster.py
@@ -0,0 +1,1381 @@
+"""A small simulated world: stand-ins for state service, cloud, workers and users.
+
+They follow the published protocol. Everything that can go wrong is drawn from one seeded generator,
+and the rules are checked at each event. A failing seed can be played again from its number.
+"""
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable, Coroutine, Iterator
+from contextlib import ExitStack, contextmanager
+from contextvars import Context, ContextVar
+from dataclasses import dataclass
+from datetime import UTC, datetime, timedelta
+from typing import Any
+from unittest.mock import patch
+
+import orjson
+
+from roseweir.controller.process import ControllerProcess
+from roseweir.http import Reply, Response, Unreachable
+from roseweir.operator_config import OperatorConfig
+from roseweir.settings import Settings
+from tests.simulation import virtual_time
+from tests.simulation.linearizability import OperationHistory, violations
+from tests.simulation.user_faults import USER_FAULTS
+from tests.versions import LOADED, PRESENT, Version
+
+ZONES = ["a", "b"]
+TEAM_GPU_LIMIT = 6.0
+CANCEL_DEADLINE_S, LEASE_DURATION_S, HEARTBEAT_INTERVAL_S = 14.0, 6.0, 1.0
+MACHINE_TYPES = {
+    "cpu": {"cores": 8.0, "accelerators": 0.0, "memory_gb": 32.0},
+    "gpu": {"cores": 16.0, "accelerators": 4.0, "memory_gb": 64.0},
+}
+
+
+# So long after it stopped hearing nothing is sent to a machine any more: two questions in vain, and a lost answer.
+UNREACHABLE_AFTER_S = 9.0
+BASIC_FAULTS = ["crash", "crash", "roll", "all", "outage", "alone", "hang", "die", "recall", "cut", "sick", "slow"]
+# What on-call met later.
+EXTENDED_FAULTS = [*BASIC_FAULTS, "paused", "paused", "partly", "partly", "partly", "boots", "lag"]
+# What the operators' pages had left out.
+PARTIAL_PARTITION_FAULTS = [
+    "deaf machine",
+    "deaf machine",
+    "mute machine",
+    "copies",
+    "copies",
+    "lone",
+    "lone",
+    "reborn",
+    "reborn",
+]
+# What meets something else most often where rules broke.
+STORE_AND_LEADER_FAULTS = ["late writes", "slow state", "gap", "held commands", "returns"]
+
+
+class RuleViolation(AssertionError):
+    pass
+
+
+def virtual_now() -> float:
+    return asyncio.get_running_loop().time()
+
+
+# By how much a node's time of day is off, set as its process starts.
+_CLOCK_SKEW: ContextVar[float] = ContextVar("skew", default=0.0)
+
+
+def make_settings(
+    index: int,
+    write_rps: float = 100.0,
+    controller_count: int = 3,
+    txn_ops: int = 24,
+    value_kb: float = 8.0,
+    params_override: dict[str, Any] | None = None,
+) -> Settings:
+    import msgspec
+
+    nodes = [
+        {"node_name": f"n{i}", "site": ZONES[i % 2], "peer_addr": f"10.0.0.{i + 1}:8081"}
+        for i in range(controller_count)
+    ]
+    return msgspec.convert(
+        {
+            "node_name": f"n{index}",
+            "site": ZONES[index % 2],
+            "public_addr": f"10.0.0.{index + 1}:8080",
+            "back": f"10.0.0.{index + 1}:8081",
+            "known": [n for i, n in enumerate(nodes) if i != index],
+            "endpoints": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"},
+            "params": {
+                "zones": ZONES,
+                "teams": [
+                    {"name": "t0", "gpus": 2.0, "gpus_max": TEAM_GPU_LIMIT},
+                    {"name": "t1", "gpus": 2.0, "gpus_max": TEAM_GPU_LIMIT},
+                    {"name": "guest"},
+                ],
+                "objectives": [{"kind": "guarantee", "within_s": 10.0, "share": 0.9}],
+                "workers": {
+                    "report_s": HEARTBEAT_INTERVAL_S,
+                    "lease_s": LEASE_DURATION_S,
+                    "gang_wait_s": 8.0,
+                    "gang_peer_s": 3.0,
+                    "cancel_s": CANCEL_DEADLINE_S,
+                },
+                "state": {"rps": 200.0, "write_rps": write_rps, "value_kb": value_kb, "txn_ops": txn_ops},
+                "cloud": {"rps": 10.0, "list_lag_s": 2.0},
+                "limits": {"cpu": 1.0, "ram_mb": 256.0, "sockets": 256},
+            }
+            | (params_override or {}),
+        },
+        Settings,
+    )
+
+
+def network_target_of(address: str) -> str:
+    if address == "10.2.0.1:1":
+        return "state"
+    if address == "10.2.0.2:1":
+        return "cloud"
+    return "workers" if address.endswith(":9000") else "peers"
+
+
+def json_reply(status: int, value: object = None) -> Reply:
+    return Reply(status, b"" if value is None else orjson.dumps(value))
+
+
+@dataclass
+class LoweredLimits:
+    """Limits that the state service refuses by, and how often it has."""
+
+    value_kb: float
+    txn_ops: int
+    write_rps: float
+    tokens: float
+    refilled_at: float
+    too_large_count: int = 0  # transactions that got 400
+    rate_limited_count: int = 0  # and 429
+
+    def status_of(self, body: Any) -> int:
+        ops = body["then"]
+        largest = max((len(orjson.dumps(op.get("v"))) for op in ops), default=0)
+        if len(ops) > self.txn_ops or len(body["guards"]) > 4 * self.txn_ops or largest > self.value_kb * 1024:
+            self.too_large_count += 1
+            return 400
+        # A burst of one second's worth.
+        self.tokens = min(self.write_rps, self.tokens + (virtual_now() - self.refilled_at) * self.write_rps)
+        self.refilled_at = virtual_now()
+        if len(ops) > self.tokens:
+            self.rate_limited_count += 1
+            return 429
+        self.tokens -= len(ops)
+        return 200
+
+
+class SimulatedKeyValueStore:
+    def __init__(self, cluster: "SimulatedCluster") -> None:
+        self.cluster = cluster
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.leases_by_id: dict[int, tuple[float, float]] = {}
+        self.revision = 1
+        self.next_lease_id = 1
+        self.events: list[tuple[str, Any, int]] = []
+        self.is_down = False
+        self.refused_controllers: set[str] = set()
+        self.change_count = 0  # puts and deletes asked for
+        self.max_page_items = 3
+        self.lowered_limits: LoweredLimits | None = None  # limits that hold since some moment of the day
+        self.changed = asyncio.Event()
+
+    def apply_change(self, key: str, value: Any, lease: int | None) -> None:
+        if value is None:
+            if self.keys.pop(key, None) is None:
+                return
+        else:
+            self.keys[key] = (value, self.revision, lease)
+        self.events.append((key, value, self.revision))
+        self.changed.set()
+        self.changed = asyncio.Event()
+
+    def expire_leases(self) -> None:
+        if self.is_down:
+            return
+        for lease, (_, until) in list(self.leases_by_id.items()):
+            if virtual_now() > until:
+                self.drop_lease(lease)
+
+    def drop_lease(self, lease: int) -> None:
+        del self.leases_by_id[lease]
+        gone = [key for key, (_, _, held) in self.keys.items() if held == lease]
+        if gone:
+            self.revision += 1
+            for key in gone:
+                self.apply_change(key, None, None)
+
+    def end_outage(self) -> None:
+        self.is_down = False
+        self.leases_by_id = {lease: (ttl, virtual_now() + ttl) for lease, (ttl, _) in self.leases_by_id.items()}
+
+    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+        if path.startswith("/watch"):
+            return await self.watch(node, path)
+        if self.is_down or node in self.refused_controllers:
+            return json_reply(503)
+        self.expire_leases()
+        if path == "/txn":
+            return self.commit_transaction(body)
+        if path == "/holds":
+            lease, ttl = self.next_lease_id, body["ttl_ms"] / 1000
+            self.next_lease_id += 1
+            self.leases_by_id[lease] = (ttl, virtual_now() + ttl)
+            return json_reply(200, {"tenancy": lease})
+        if path.startswith("/holds/"):
+            lease = int(path.split("/")[2])
+            if lease not in self.leases_by_id:
+                return json_reply(404, {})
+            if method == "DELETE":
+                self.drop_lease(lease)
+                return json_reply(200, {})
+            ttl = self.leases_by_id[lease][0]
+            # A lease may end up to 100 ms late, never early.
+            self.leases_by_id[lease] = (ttl, virtual_now() + ttl + self.cluster.rng.uniform(0, 0.1))
+            return json_reply(200, {"tenancy": lease})
+        if path.startswith("/store?"):
+            query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
+            prefix = query["prefix"].replace("%2F", "/")
+            after = query.get("after", "").replace("%2F", "/")
+            found = sorted(k for k in self.keys if k.startswith(prefix) and k > after)
+            max_items = min(self.max_page_items, int(query["limit"]))
+            pairs = [{"path": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in found[:max_items]]
+            return json_reply(200, {"pairs": pairs, "truncated": len(found) > max_items, "ledger": self.revision})
+        key = path.removeprefix("/store/")
+        if key not in self.keys:
+            return json_reply(404, {"ledger": self.revision})
+        value, version, _ = self.keys[key]
+        return json_reply(200, {"path": key, "v": value, "stamp": version})
+
+    def lower_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
+        """The service's limits fall without notice: what is beyond them is refused from now on."""
+        self.lowered_limits = LoweredLimits(value_kb, txn_ops, write_rps, write_rps, virtual_now())
+
+    def commit_transaction(self, body: Any) -> Reply:
+        status = self.lowered_limits.status_of(body) if self.lowered_limits is not None else 200
+        if status != 200:
+            return json_reply(status, {"error": "refused"})
+        max_ops = self.cluster.txn_ops
+        assert len(body["then"]) <= max_ops and len(body["guards"]) <= 4 * max_ops and len(orjson.dumps(body)) <= 65536
+        self.change_count += len(body["then"])
+        for op in body["then"]:
+            if op.get("tenancy") is not None and op["tenancy"] not in self.leases_by_id:
+                return json_reply(400, {"error": "no such lease"})
+        failed = [
+            g["path"]
+            for g in body["guards"]
+            if (self.keys[g["path"]][1] if g["path"] in self.keys else 0) != g["stamp"]
+        ]
+        if failed:
+            return json_reply(409, {"failed": failed, "ledger": self.revision})
+        if body["then"]:
+            self.revision += 1
+            for op in body["then"]:
+                if "put" in op:
+                    assert len(orjson.dumps(op["v"])) <= self.cluster.value_kb * 1024
+                    self.apply_change(op["put"], op["v"], op.get("tenancy"))
+                else:
+                    self.apply_change(op["delete"], None, None)
+        return json_reply(200, {"ledger": self.revision})
+
+    async def watch(self, node: str, path: str) -> Reply:
+        query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
+        prefix, after = query["prefix"].replace("%2F", "/"), int(query["after"])
+        until = virtual_now() + int(query["block_ms"]) / 1000
+        while True:
+            blocked = self.is_down or node in self.refused_controllers
+            if not blocked:
+                self.expire_leases()
+                events = [
+                    {"put": k, "v": v, "stamp": r} if v is not None else {"delete": k, "stamp": r}
+                    for k, v, r in self.events
+                    if r > after and k.startswith(prefix)
+                ]
+                if events or virtual_now() >= until:
+                    return json_reply(200, {"ledger": self.revision, "events": events})
+            bell = self.changed
+            try:
+                async with asyncio.timeout(0.2 if blocked else max(0.01, min(0.2, until - virtual_now()))):
+                    await bell.wait()
+            except TimeoutError:
+                pass
+
+
+@dataclass
+class SimulatedMachine:
+    name: str
+    machine_type: str
+    zone: str
+    is_spot: bool
+    rented_at: float
+    up_at: float
+    worker: "SimulatedWorker | None" = None
+    is_gone: bool = False
+    has_failed: bool = False
+
+
+class SimulatedCloud:
+    def __init__(self, cluster: "SimulatedCluster") -> None:
+        self.cluster = cluster
+        self.machines: dict[str, SimulatedMachine] = {}
+        self.answered_requests: dict[str, list[str]] = {}
+        self.capacity = {
+            (b, z, s): (3 if b == "cpu" else 1) * cluster.scale
+            for b in MACHINE_TYPES
+            for z in ZONES
+            for s in (True, False)
+        }
+        self.listings: list[tuple[float, list[dict[str, Any]]]] = []
+        self.boot_factor, self.boot_failure_probability = 1.0, 0.05
+        self.listing_lag_s = 2.0
+
+    def rent_machine(self, build: str, yard: str, spot: bool) -> SimulatedMachine:
+        rng = self.cluster.rng
+        boot = 4.0 * self.boot_factor * rng.uniform(0.3, 1.5) if rng.random() > self.boot_failure_probability else 1e9
+        host = SimulatedMachine(f"i-{len(self.machines):06d}", build, yard, spot, virtual_now(), virtual_now() + boot)
+        self.machines[host.name] = host
+        self.cluster.spawn(self.boot(host))
+        return host
+
+    async def boot(self, host: SimulatedMachine) -> None:
+        if host.up_at > 1e8:
+            return
+        await asyncio.sleep(host.up_at - virtual_now())
+        if not host.is_gone:
+            host.worker = SimulatedWorker(self.cluster, host)
+            await host.worker.run()
+
+    def remove_machine(self, host: SimulatedMachine) -> None:
+        host.is_gone = True
+        if host.worker is not None:
+            host.worker.die()
+
+    def machine_state(self, host: SimulatedMachine) -> str:
+        return "failed" if host.has_failed else "running" if host.worker else "booting"
+
+    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+        if path == "/catalog":
+            return json_reply(
+                200,
+                {
+                    "builds": [
+                        {
+                            "name": name,
+                            **kind,
+                            "cache_gb": 20.0,
+                            "fetch_gb_per_s": 2.0,
+                            "price": 1.0,
+                            "low_price": 0.3,
+                            "ready_s": 4.0,
+                            "yards": ZONES,
+                        }
+                        for name, kind in MACHINE_TYPES.items()
+                    ]
+                },
+            )
+        if path == "/machines":
+            if body["requisition"] in self.answered_requests:
+                return json_reply(200, {"hosts": self.answered_requests[body["requisition"]]})
+            key = (body["build"], body["yard"], body["loaners"])
+            taken = sum(
+                1
+                for h in self.machines.values()
+                if not h.is_gone and not h.has_failed and (h.machine_type, h.zone, h.is_spot) == key
+            )
+            count = min(body["how_many"], self.capacity[key] - taken)
+            if count <= 0:
+                return json_reply(503, {"error": "no capacity"})
+            names = [self.rent_machine(*key).name for _ in range(count)]
+            self.answered_requests[body["requisition"]] = names
+            return json_reply(200, {"hosts": names})
+        if path == "/machines/release":
+            for name in body["hosts"]:
+                if name in self.machines:
+                    self.remove_machine(self.machines[name])
+            return json_reply(200, {})
+        listed = [
+            {
+                "name_id": h.name,
+                "endpoint": f"{h.name}:9000",
+                "build": h.machine_type,
+                "yard": h.zone,
+                "loaners": h.is_spot,
+                "standing": self.machine_state(h),
+                "held_s": virtual_now() - h.rented_at,
+            }
+            for h in self.machines.values()
+            if not h.is_gone
+        ]
+        self.listings.append((virtual_now(), listed))
+        old = [entry for at, entry in self.listings if at <= virtual_now() - self.listing_lag_s]
+        return json_reply(200, {"hosts": old[-1] if old else [], "truncated": False})
+
+
+@dataclass
+class SimulatedTask:
+    job_id: str
+    index: int
+    attempt: int
+    state: str = "pulling"
+    cause: str | None = None
+    is_checkpointed: bool | None = None
+    stopped_at: float | None = None
+    ends_at: float = 0.0
+
+    @property
+    def is_active(self) -> bool:
+        return self.state in ("gathering", "running", "saving")
+
+
+class SimulatedWorker:
+    def __init__(self, cluster: "SimulatedCluster", host: SimulatedMachine) -> None:
+        self.cluster, self.machine = cluster, host
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
+        self.tasks: dict[tuple[str, int], SimulatedTask] = {}
+        self.cached_images: set[str] = set()
+        self.is_dead = False
+        self.is_hung = False
+        self.is_unhealthy = False
+        self.one_way_partition = ""  # "deaf": no answer or command reaches it; "mute": no report leaves it
+        self.partitioned_since = self.resumed_at = 0.0
+        self.preempted_at: float | None = None
+        self.lease_renewed_at = virtual_now()
+        self.controller_index = cluster.rng.randrange(cluster.controller_count)
+        self.heartbeat_due = asyncio.Event()
+        cluster.workers[host.name] = self
+
+    def set_one_way_partition(self, direction: str) -> None:
+        self.one_way_partition, self.partitioned_since = direction, virtual_now()
+
+    def restart_in_place(self) -> None:
+        """The machine is back at once under its name: nothing on it, a new session, and old commands under way."""
+        self.die()
+        worker = self.machine.worker = SimulatedWorker(self.cluster, self.machine)
+        worker.incarnation = self.incarnation + 1
+        worker.preempted_at = self.preempted_at
+        self.cluster.spawn(worker.run())
+
+    def die(self) -> None:
+        self.is_dead = True
+        self.tasks.clear()
+        self.heartbeat_due.set()
+        self.cluster.workers.pop(self.machine.name, None)
+
+    async def run(self) -> None:
+        self.cluster.spawn(self.run_machine())
+        while not self.is_dead:
+            if self.is_hung:
+                await asyncio.sleep(0.05)
+                continue
+            await self.send_heartbeat()
+            try:
+                async with asyncio.timeout(HEARTBEAT_INTERVAL_S * self.cluster.rng.uniform(0.75, 1.25)):
+                    await asyncio.sleep(0.5)
+                    await self.heartbeat_due.wait()
+            except TimeoutError:
+                pass
+            self.heartbeat_due.clear()
+
+    async def run_machine(self) -> None:
+        """The machine's own course: leases, fetches, gangs and ends of tasks."""
+        while not self.is_dead:
+            await asyncio.sleep(0.05)
+            # A hanging machine may go on within its lease only, so its lease runs out all the same.
+            if not self.is_dead and virtual_now() - self.lease_renewed_at > self.cluster.lease_duration_s:
+                self.tasks.clear()
+                self.incarnation += 1
+                self.lease_renewed_at = virtual_now()
+                self.heartbeat_due.set()
+                continue
+            for task in list(self.tasks.values()):
+                if not self.is_hung:
+                    self.advance_task(task)
+
+    def advance_task(self, task: SimulatedTask) -> None:
+        job = self.cluster.jobs[task.job_id]
+        if task.state == "pulling" and virtual_now() >= task.ends_at:
+            self.cached_images.add(job["kit"])
+            if (task.job_id, task.index) in self.cluster.finished:
+                return self.exit_task(task, "done")
+            self.cluster.check_start(self, task)
+            task.state = "gathering" if job["shape"] == "gang" else "running"
+            task.ends_at = virtual_now() + (8.0 if task.state == "gathering" else self.cluster.run_time(job))
+            self.heartbeat_due.set()
+        elif task.state == "gathering":
+            mates = self.cluster.gang_members(task)
+            if len(mates) == job["parcels"] and all(t.is_active and not w.is_hung for w, t in mates):
+                task.state = "running"
+                task.ends_at = virtual_now() + self.cluster.run_time(job)
+                self.heartbeat_due.set()
+            elif virtual_now() >= task.ends_at:
+                self.exit_task(task, "alone")
+        elif task.state == "running":
+            if job["shape"] == "gang" and task.stopped_at is None:
+                mates = self.cluster.gang_members(task)
+                if len(mates) < job["parcels"] and not self.cluster.is_gang_done(task):
+                    return self.exit_task(task, "mates_gone")
+            if self.is_unhealthy or job.get("mistaken"):
+                return self.exit_task(task, "error")
+            if virtual_now() >= task.ends_at and job["shape"] != "daemon":
+                self.complete_task(task)
+        elif task.state == "saving" and virtual_now() >= task.ends_at:
+            self.exit_task(task, "halted", stored=True)
+        return None
+
+    def complete_task(self, task: SimulatedTask) -> None:
+        job = self.cluster.jobs[task.job_id]
+        indices = range(job["parcels"]) if job["shape"] == "gang" else [task.index]
+        for index in indices:
+            self.cluster.finished.add((task.job_id, index))
+        self.exit_task(task, "done")
+
+    def exit_task(self, task: SimulatedTask, cause: str, stored: bool | None = None) -> None:
+        task.state, task.cause, task.is_checkpointed = "exited", cause, stored
+        self.heartbeat_due.set()
+
+    def heartbeat_body(self) -> dict[str, Any]:
+        self.sequence += 1
+        host = self.machine
+        return {
+            "host": host.name,
+            "endpoint": f"{host.name}:9000",
+            "build": host.machine_type,
+            "yard": host.zone,
+            "loaners": host.is_spot,
+            "tenure": self.incarnation,
+            "tally": self.sequence,
+            "warrant": self.fencing_token,
+            "recall_s": None if self.preempted_at is None else max(0.0, self.preempted_at - virtual_now()),
+            "parcels": [
+                {
+                    "parcel": f"{t.job_id}/{t.index}",
+                    "try": t.attempt,
+                    "standing": t.state,
+                    "cause": t.cause,
+                    "stored": t.is_checkpointed,
+                }
+                for t in self.tasks.values()
+            ],
+        }
+
+    async def send_heartbeat(self) -> None:
+        sent, session, body = virtual_now(), self.incarnation, self.heartbeat_body()
+        response = await self.cluster.deliver_heartbeat(self, self.controller_index, body)
+        while self.is_hung:
+            await asyncio.sleep(0.05)
+        if self.is_dead or session != self.incarnation:
+            return
+        if response is None or response.status != 200:
+            target = orjson.loads(response.body).get("answers_to") if response and response.status == 421 else None
+            if target is not None and int(target[1:]) != self.controller_index:
+                self.controller_index = int(target[1:])
+            else:
+                self.controller_index = (self.controller_index + 1) % self.cluster.controller_count
+                await asyncio.sleep(0.5)
+            self.heartbeat_due.set()
+            return
+        answer = orjson.loads(response.body)
+        if virtual_now() - sent > 4.0 or answer.get("warrant", 0) < self.fencing_token:
+            return
+        if answer["warrant"] > self.fencing_token:
+            self.fencing_token = answer["warrant"]
+            self.heartbeat_due.set()
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
+        self.execute_commands(answer["orders"])
+
+    def execute_commands(self, orders: list[dict[str, Any]]) -> None:
+        for order in orders:
+            job, _, number = order["parcel"].rpartition("/")
+            key = (job, int(number))
+            task = self.tasks.get(key)
+            same = task is not None and task.attempt == order["try"]
+            if order["verb"] == "run" and not same:
+                self.cluster.on_run(self, key)
+                self.start_task(key, order["try"])
+            elif order["verb"] == "clear" and same and task is not None and task.state == "exited":
+                self.cluster.on_clear(task)
+                del self.tasks[key]
+            elif order["verb"] == "halt" and same and task is not None and task.state != "exited":
+                self.stop_task(task, order["wind_down_s"])
+
+    def start_task(self, key: tuple[str, int], attempt: int) -> None:
+        job = self.cluster.jobs.get(key[0])
+        task = SimulatedTask(key[0], key[1], attempt)
+        old = self.tasks.get(key)
+        if old is not None and old.state != "exited":
+            return  # in use: the refusal would hide the old attempt in this small model
+        self.tasks[key] = task
+        if job is None:
+            return self.exit_task(task, "unknown")
+        kind = MACHINE_TYPES[self.machine.machine_type]
+        for what in ("cores", "accelerators", "memory_gb"):
+            used = sum(
+                self.cluster.jobs[t.job_id][what] for t in self.tasks.values() if t.state != "exited" and t is not task
+            )
+            if used + job[what] > kind[what] + 1e-6:
+                return self.exit_task(task, "no_room")
+        task.ends_at = virtual_now() + (0.0 if job["kit"] in self.cached_images else job["size_gb"] / 2.0)
+        return None
+
+    def stop_task(self, task: SimulatedTask, grace_s: float) -> None:
+        job = self.cluster.jobs[task.job_id]
+        self.cluster.on_halt(self, task, grace_s)
+        if task.state == "running" and job["mark_every_s"] > 0 and grace_s >= job["mark_s"]:
+            task.state, task.stopped_at, task.ends_at = "saving", virtual_now(), virtual_now() + job["mark_s"]
+        elif task.state == "saving" and grace_s > 0:
+            pass
+        else:
+            self.exit_task(task, "halted", stored=False)
+
+    def handle_direct_command(self, body: dict[str, Any]) -> Reply:
+        if body["warrant"] < self.fencing_token or body["tenure"] != self.incarnation:
+            return json_reply(409, self.heartbeat_body())
+        if body["warrant"] > self.fencing_token:
+            self.fencing_token = body["warrant"]
+        self.execute_commands(body["orders"])
+        return json_reply(200, self.heartbeat_body())
+
+
+class SimulatedController:
+    """A controller: the whole service but its sockets."""
+
+    def __init__(self, cluster: "SimulatedCluster", index: int) -> None:
+        self.cluster, self.index = cluster, index
+        self.name = f"n{index}"
+        self.version = cluster.versions[index]  # what its next process runs
+        self.running_version = self.version
+        self.zone = ZONES[index % 2]
+        self.service: ControllerProcess | None = None
+        self.main_task: asyncio.Task[None] | None = None
+        self.delay_s = self.clock_skew_s = 0.0
+        # What a packet filter keeps from it: "state", "cloud", "peers", "workers", by the way it does so.
+        self.network_faults: dict[str, str] = {}
+        self.pause_gate = virtual_time.PauseGate()
+        # In order: a set of tasks goes by their addresses, and a crash would go another way each time.
+        self.handler_tasks: dict[asyncio.Task[Any], None] = {}
+
+    def start(self) -> None:
+        self.pause_gate = virtual_time.PauseGate()
+        cluster = self.cluster
+        controller_settings = make_settings(
+            self.index,
+            cluster.write_rps,
+            cluster.controller_count,
+            cluster.txn_ops,
+            cluster.value_kb,
+            cluster.params_override,
+        )
+        self.clock_skew_s = (
+            cluster.rng.uniform(-cluster.max_clock_skew_s, cluster.max_clock_skew_s)
+            if cluster.max_clock_skew_s
+            else 0.0
+        )
+        self.running_version = self.version
+        self.service = self.running_version.make_service(controller_settings, self.cluster.tuning, self.connect)
+        recorded = self.cluster.history.record_operations(self.service.serve_public, self.name)
+        self.service.serve_public = recorded  # type: ignore[method-assign]
+        self.main_task = self.spawn(self.running_version.attribute(self.service, "run_background_tasks")())
+        self.main_task.add_done_callback(self.record_failure)
+
+    def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
+        """A routine of this node's process: it and all that it starts stand still while the node is paused."""
+        context = self.pause_gate.context()
+        context.run(_CLOCK_SKEW.set, self.clock_skew_s)
+        return asyncio.get_running_loop().create_task(work, context=context)
+
+    async def serve(self, handler: Callable[[ControllerProcess], Coroutine[Any, Any, Response]]) -> Response | None:
+        """What a request to this node gets; the handler goes on when the caller has given up."""
+        service = self.service
+        if service is None:
+            return None
+        task = self.spawn(handler(service))
+        self.handler_tasks[task] = None
+        task.add_done_callback(lambda done: self.handler_tasks.pop(done, None))
+        self.cluster.track_task(task)
+        await asyncio.wait({task})
+        return None if task.cancelled() else task.result()
+
+    async def serve_public(self, method: str, path: str, raw: bytes) -> Response | None:
+        """A user's or a worker's request."""
+        return await self.serve(
+            lambda service: service.serve_public(self.running_version.make_request(method, path, raw))
+        )
+
+    async def serve_peer(self, method: str, path: str, raw: bytes) -> Response | None:
+        """Another controller's or an operator's request."""
+        return await self.serve(
+            lambda service: service.serve_peer(self.running_version.make_request(method, path, raw))
+        )
+
+    def record_failure(self, task: asyncio.Task[None]) -> None:
+        if not task.cancelled() and task.exception() is not None:
+            self.cluster.errors.append(task.exception())
+
+    def crash(self) -> None:
+        if self.running_version.attribute(self.service, "leader_election.failed_terms"):
+            self.cluster.errors.append(AssertionError("a term ended in a fault of the service, see its log"))
+        broken = self.running_version.attribute(self.service, "leader_term.drain_controller.failure")
+        if broken:
+            self.cluster.errors.append(AssertionError(f"drains ended in a fault: {broken}"))
+        if self.main_task is not None:
+            self.main_task.cancel()
+        for handler in list(self.handler_tasks):
+            handler.cancel()
+        self.pause_gate.resume()
+        self.service = None
+
+    def connect(self, address: str, pool: int) -> Callable[..., Awaitable[Reply]]:
+        async def send(method: str, path: str, body: object = None, *, timeout: timedelta) -> Reply:
+            # Through JSON, as on the wire: nothing is shared with the other side.
+            copy = orjson.loads(orjson.dumps(body))
+            return await self.cluster.send_request(self, address, method, path, copy, timeout)
+
+        return send
+
+
+class SimulatedCluster:
+    def __init__(
+        self,
+        seed: int,
+        operator_config: OperatorConfig | None = None,
+        is_calm: bool = False,
+        faults: list[str] | None = None,
+        write_rps: float = 100.0,
+        scale: int = 1,
+        controller_count: int = 3,
+        txn_ops: int = 24,
+        value_kb: float = 8.0,
+        restart_delay_range_s: tuple[float, float] = (1.0, 4.0),
+        max_clock_skew_s: float = 0.0,
+        params_override: dict[str, Any] | None = None,
+        versions: list[Version] | None = None,
+    ) -> None:
+        self.versions = versions or [PRESENT] * controller_count  # of the controllers, as the day begins
+        self.params_override = params_override  # of the settings, in place of the usual ones
+        self.team_gpu_limit: float | None = TEAM_GPU_LIMIT
+        self.controller_count = controller_count
+        self.txn_ops, self.value_kb = txn_ops, value_kb
+        self.restart_delay_range_s = restart_delay_range_s  # a process that ended is started again so much later
+        self.max_clock_skew_s = max_clock_skew_s  # by how much a process's time of day may be off, drawn as it starts
+        self.scale = scale  # times as many machines, and tasks in arrays
+        self.write_rps = write_rps
+        self.scheduled_actions: list[Callable[[SimulatedCluster], Coroutine[Any, Any, None]]] = []
+        self.seed = seed
+        self.rng = random.Random(seed)
+        self.tuning = operator_config or OperatorConfig()
+        self.is_calm = is_calm
+        self.faults = faults or BASIC_FAULTS
+        self.jobs: dict[str, dict[str, Any]] = {}
+        self.workers: dict[str, SimulatedWorker] = {}
+        self.finished: set[tuple[str, int]] = set()
+        self.accepted_jobs: set[str] = set()
+        self.cancelled_at: dict[str, float] = {}
+        self.cancel_requested: set[str] = set()
+        self.observed_ends: dict[str, str] = {}
+        self.history = OperationHistory()  # every request of users that came to a node, and its answer
+        self.without_request: set[str] = set()  # jobs that come and go by other ways than users' requests
+        self.errors: list[Any] = []
+        self.rule_violations: list[RuleViolation] = []
+        self.start_count = 0
+        self.started_attempts: set[tuple[str, int, int]] = set()  # of all that ever started
+        self.leader_by_term: dict[int, ControllerProcess] = {}  # and by which process each term was led
+        self.partitioned_zones: set[str] = set()
+        self.partition_healed_at: dict[str, float] = {}  # when the last cut of a zone ended
+        self.heartbeat_copiers = 0  # troubles that copy reports
+        self.late_write_probability = (
+            0.0  # the share of transactions that get no answer and are carried out 2 to 12 s later
+        )
+        self.lost_answer_probability = 0.0  # the share of transactions that are carried out at once and get no answer
+        self.max_store_delay_s = 0.0  # seconds that the state service's answers take at the most
+        self.late_command_probability = 0.0  # the share of commands and questions to workers that arrive 2 to 16 s late
+        self.kept_heartbeats: list[bytes] | None = None  # copies of workers' reports, while a fault keeps them
+        worker_settings = make_settings(0, params_override=params_override).params.workers
+        self.lease_duration_s, self.cancel_deadline_s = (
+            worker_settings.lease_duration.total_seconds(),
+            worker_settings.cancel_timeout.total_seconds(),
+        )
+        self.faults_end_at = 1e9  # troubles are over
+        self.is_over = False  # the day ends early: what it was played for is known
+        self.tasks: dict[asyncio.Task[Any], None] = {}
+
+    def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
+        """A routine of the world's own, also when a node asks for it."""
+        task = asyncio.get_running_loop().create_task(work, context=Context())
+        self.track_task(task)
+        return task
+
+    def track_task(self, task: "asyncio.Task[Any]") -> None:
+        self.tasks[task] = None
+        task.add_done_callback(self._task_ended)
+
+    def _task_ended(self, task: asyncio.Task[Any]) -> None:
+        self.tasks.pop(task, None)
+        if not task.cancelled() and task.exception() is not None and not isinstance(task.exception(), Unreachable):
+            self.errors.append(task.exception())
+
+    def check_rule(self, holds: bool, description: str) -> None:
+        if not holds:
+            error = RuleViolation(f"seed {self.seed} at {virtual_now():.2f} s: {description}")
+            self.rule_violations.append(error)
+
+    # -- messages -----------------------------------------------------------------------------
+
+    async def send_request(
+        self, controller: SimulatedController, address: str, method: str, path: str, body: Any, timeout: timedelta
+    ) -> Reply:
+        """A request of a node's. What is on its way goes on without the node, which may stand still."""
+        sending = self.spawn(self._send_request(controller, address, method, path, body, timeout))
+        try:
+            async with asyncio.timeout(timeout.total_seconds()):
+                return await asyncio.shield(sending)
+        except TimeoutError:
+            worker = self.workers.get(address.removesuffix(":9000"))
+            raise Unreachable("no answer", connected=worker is not None and worker.is_hung) from None
+
+    async def _send_request(
+        self, controller: SimulatedController, address: str, method: str, path: str, body: Any, timeout: timedelta
+    ) -> Reply:
+        raw = b"" if body is None else orjson.dumps(body)
+
+        async def deliver() -> Reply:
+            if address == "10.2.0.1:1":
+                return await self.state.handle(controller.name, method, path, body)
+            if address == "10.2.0.2:1":
+                return await self.cloud.handle(controller.name, method, path, body)
+            if address.endswith(":9000"):
+                worker = self.workers.get(address.removesuffix(":9000"))
+                if worker is None or worker.is_dead:
+                    raise Unreachable("no such worker")
+                while worker.is_hung:
+                    await asyncio.sleep(0.1)
+                if worker.one_way_partition == "deaf":
+                    await asyncio.sleep(timeout.total_seconds())
+                    raise Unreachable("nothing reaches it")
+                if worker.is_dead:
+                    raise Unreachable("gone")
+                if method == "GET":
+                    return json_reply(200, worker.heartbeat_body())
+                return worker.handle_direct_command(body)
+            for peer in self.nodes:
+                if address == f"10.0.0.{peer.index + 1}:8081":
+                    if "peers" in peer.network_faults:
+                        await asyncio.sleep(timeout.total_seconds())
+                    response = await peer.serve_peer(method, path, raw)
+                    if response is not None:
+                        return Reply(response.status, response.body)
+            raise Unreachable("refused")
+
+        fault_draw = self.rng.random()
+        await asyncio.sleep(self.rng.uniform(0.002, 0.02) + controller.delay_s)
+        network_fault = controller.network_faults.get(network_target_of(address))
+        if network_fault == "refused" or (network_fault == "flaky" and self.rng.random() < 0.5):
+            raise Unreachable("refused")
+        if network_fault == "silent" or network_fault == "answers":
+            if network_fault == "answers":
+                await deliver()
+            await asyncio.sleep(timeout.total_seconds())
+            raise Unreachable("nothing comes back")
+        target = network_target_of(address)
+        if path == "/txn" and self.is_answer_lost(controller, body):
+            await deliver()
+            await asyncio.sleep(timeout.total_seconds())
+            raise Unreachable("carried out, and its answer is lost")
+        if self.max_store_delay_s and target == "state":
+            answer = await deliver()
+            await asyncio.sleep(self.rng.uniform(0, self.max_store_delay_s))
+            return answer
+        late_probability = (
+            self.late_write_probability
+            if path == "/txn"
+            else self.late_command_probability
+            if target == "workers"
+            else 0.0
+        )
+        if late_probability and self.rng.random() < late_probability:
+            self.spawn(self.deliver_late(deliver, 12.0 if path == "/txn" else 16.0))
+            await asyncio.sleep(timeout.total_seconds())
+            raise Unreachable("held; will run later")
+        if not self.is_calm and not path.startswith("/watch"):
+            if fault_draw < 0.01:
+                await asyncio.sleep(timeout.total_seconds())
+                raise Unreachable("lost before it ran")
+            if fault_draw < 0.02:
+                await deliver()
+                await asyncio.sleep(timeout.total_seconds())
+                raise Unreachable("answer lost")
+            if fault_draw < 0.03:
+                self.spawn(self.deliver_late(deliver))
+                await asyncio.sleep(timeout.total_seconds())
+                raise Unreachable("held; may still run")
+        return await deliver()
+
+    def is_answer_lost(self, node: SimulatedController, body: Any) -> bool:
+        """Whether a transaction that is carried out at once gets no answer."""
+        return self.lost_answer_probability > 0 and self.rng.random() < self.lost_answer_probability
+
+    async def deliver_late(self, deliver: Callable[[], Awaitable[Reply]], max_delay_s: float = 30.0) -> None:
+        await asyncio.sleep(self.rng.uniform(2.0, max_delay_s))
+        try:
+            await deliver()
+        except Unreachable:
+            pass
+
+    async def deliver_heartbeat(
+        self, worker: SimulatedWorker, controller_index: int, body: dict[str, Any]
+    ) -> Response | None:
+        controller = self.nodes[controller_index]
+        raw = orjson.dumps(body)
+        if self.kept_heartbeats is not None:
+            self.kept_heartbeats.append(raw)
+        if self.heartbeat_copiers:
+            for _ in range(self.rng.choice([0, 1, 1, 2])):
+                self.spawn(self.deliver_heartbeat_copy(raw))
+        if worker.one_way_partition == "mute":
+            await asyncio.sleep(4.0)
+            return None
+        if worker.one_way_partition == "deaf":
+            self.spawn(self.check_unreachable_worker(worker, controller, raw))
+            await asyncio.sleep(4.0)
+            return None
+        if worker.machine.zone in self.partitioned_zones and controller.zone not in self.partitioned_zones:
+            if self.rng.random() < 0.3:
+                self.spawn(self.deliver_heartbeat_late(controller, raw))
+            await asyncio.sleep(4.0)
+            return None
+        await asyncio.sleep(self.rng.uniform(0.001, 0.01) + controller.delay_s)
+        network_fault = controller.network_faults.get("workers")
+        if network_fault == "refused" or (network_fault == "flaky" and self.rng.random() < 0.5):
+            return None
+        if network_fault in ("silent", "answers"):
+            if network_fault == "answers":
+                self.spawn(controller.serve_public("POST", "/hello", raw))
+            await asyncio.sleep(4.0)
+            return None
+        try:
+            async with asyncio.timeout(4.0):
+                return await controller.serve_public("POST", "/hello", raw)
+        except TimeoutError:
+            return None
+
+    async def deliver_heartbeat_copy(self, raw: bytes) -> None:
+        """Of a report, seconds to well over a lease late, to whatever node is there by then."""
+        await asyncio.sleep(self.rng.choice([0.01, 1.0, 5.0, 20.0]) * self.rng.uniform(0.5, 1.5))
+        await self.rng.choice(self.nodes).serve_public("POST", "/hello", raw)
+
+    async def check_unreachable_worker(self, worker: SimulatedWorker, node: SimulatedController, raw: bytes) -> None:
+        response = await node.serve_public("POST", "/hello", raw)
+        if response is not None and response.status == 200 and worker.one_way_partition == "deaf":
+            sent = [order["parcel"] for order in orjson.loads(response.body)["orders"] if order["verb"] == "run"]
+            # What shows that it hears nothing is hidden while its zone is cut, or while it hangs. Heard again after
+            # that it has another tenure, and is told from a sound one by what comes then.
+            shown_since = max(
+                worker.partitioned_since, worker.resumed_at, self.partition_healed_at.get(worker.machine.zone, 0.0)
+            )
+            late = (
+                virtual_now() - shown_since > UNREACHABLE_AFTER_S and worker.machine.zone not in self.partitioned_zones
+            )
+            self.check_rule(not (sent and late), f"sent_in_vain: {sent} to {worker.machine.name}, which hears nothing")
+
+    async def deliver_heartbeat_late(self, node: SimulatedController, raw: bytes) -> None:
+        await asyncio.sleep(self.rng.uniform(1.0, 20.0))
+        await node.serve_public("POST", "/hello", raw)
+
+    # -- rules --------------------------------------------------------------------------------
+
+    def active_tasks(self) -> Iterator[tuple[SimulatedWorker, SimulatedTask]]:
+        for worker in self.workers.values():
+            for task in worker.tasks.values():
+                if task.is_active:
+                    yield worker, task
+
+    def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
+        """A task is told to stop; for worlds that keep account of that."""
+
+    def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
+        """A task is told to start, and the worker does not have it."""
+
+    def on_clear(self, task: SimulatedTask) -> None:
+        """A worker forgets a task that has ended."""
+
+    def gang_members(self, task: SimulatedTask) -> list[tuple[SimulatedWorker, SimulatedTask]]:
+        return [(w, t) for w, t in self.active_tasks() if t.job_id == task.job_id and t.attempt == task.attempt]
+
+    def is_gang_done(self, task: SimulatedTask) -> bool:
+        return (task.job_id, 0) in self.finished
+
+    def run_time(self, job: dict[str, Any]) -> float:
+        return float(job["guess_s"] * self.rng.uniform(0.5, 1.5))
+
+    def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
+        job, host = self.jobs[task.job_id], worker.machine
+        self.start_count += 1
+        name = f"{task.job_id}/{task.index} on {host.name}"
+        others = [(w, t) for w, t in self.active_tasks() if t is not task]
+        self.check_rule(
+            not any((t.job_id, t.index) == (task.job_id, task.index) for _, t in others), f"ran_twice: {name}"
+        )
+        if job["shape"] != "gang":
+            # A gang's replacement starts under its mates' attempt.
+            start = (task.job_id, task.index, task.attempt)
+            self.check_rule(start not in self.started_attempts, f"used_twice: attempt {task.attempt} of {name}")
+            self.started_attempts.add(start)
+        used = sum(self.jobs[t.job_id]["accelerators"] for _, t in others if self.jobs[t.job_id]["crew"] == job["crew"])
+        if self.team_gpu_limit is not None:
+            self.check_rule(used + job["accelerators"] <= self.team_gpu_limit + 1e-6, f"quota: {name}")
+        self.check_rule(job["builds"] is None or host.machine_type in job["builds"], f"wrong_place: type of {name}")
+        self.check_rule(job["yard"] in (None, host.zone), f"wrong_place: zone of {name}")
+        self.check_rule(job["loaners"] or not host.is_spot, f"wrong_place: kind of {name}")
+        same = [w.machine.zone for w, t in others if t.job_id == task.job_id]
+        if job["together"]:
+            self.check_rule(all(z == host.zone for z in same), f"wrong_place: together {name}")
+        if job["scatter"]:
+            most = (job["parcels"] + 1) // 2
+            self.check_rule(same.count(host.zone) + 1 <= most, f"wrong_place: scatter {name}")
+        at = self.cancelled_at.get(task.job_id)
+        self.check_rule(at is None or virtual_now() <= at + self.cancel_deadline_s, f"ran_cancelled: {name} started")
+
+    async def check_continuously(self) -> None:
+        while True:
+            await asyncio.sleep(0.25)
+            for _, task in self.active_tasks():
+                at = self.cancelled_at.get(task.job_id)
+                self.check_rule(
+                    at is None or virtual_now() <= at + self.cancel_deadline_s,
+                    f"ran_cancelled: {task.job_id}/{task.index} is there",
+                )
+            for node in self.nodes:
+                number = node.running_version.attribute(node.service, "leader_election.leader_lease.term")
+                if node.service is not None and number is not None:
+                    first = self.leader_by_term.setdefault(number, node.service)
+                    self.check_rule(first is node.service, f"used_twice: term {number}")
+
+    def check_answer(self, job_id: str, status: int, answer: dict[str, Any]) -> None:
+        if status == 404:
+            self.check_rule(job_id not in self.accepted_jobs, f"forgotten: {job_id}")
+        if status not in (200, 201):
+            return
+        self.check_rule(job_id in self.jobs, f"invented: {job_id}")
+        standing = answer["standing"]
+        before = self.observed_ends.get(job_id)
+        self.check_rule(before in (None, standing), f"went_back: {job_id} from {before} to {standing}")
+        if standing == "done":
+            parcels = self.jobs[job_id]["parcels"]
+            finished = sum((job_id, i) in self.finished for i in range(parcels))
+            self.check_rule(finished == parcels, f"not_done: {job_id}")
+        if standing == "aborted":
+            self.check_rule(job_id in self.cancel_requested, f"went_back: {job_id} cancelled by nobody")
+            self.cancelled_at.setdefault(job_id, virtual_now())
+        if standing in ("done", "aborted"):
+            self.observed_ends[job_id] = standing
+
+    # -- users --------------------------------------------------------------------------------
+
+    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
+        up = [n for n in self.nodes if n.service is not None]
+        if not up:
+            await asyncio.sleep(0.1)
+            return 0, {}
+        node = self.rng.choice(up)
+        await asyncio.sleep(self.rng.uniform(0.001, 0.02))
+        lost = not self.is_calm and self.rng.random() < 0.03
+        raw = orjson.dumps(body) if body else b""
+        try:
+            async with asyncio.timeout(5.0):
+                response = await node.serve_public(method, path, raw)
+        except TimeoutError:
+            return 0, {}
+        if lost or response is None:
+            return 0, {}
+        return response.status, orjson.loads(response.body)
+
+    def make_job(self) -> dict[str, Any]:
+        rng = self.rng
+        shape = rng.choice(["sweep", "sweep", "sweep", "gang", "daemon"])
+        gpu = rng.random() < 0.5
+        parcels = rng.randint(1, 12) * self.scale if shape == "sweep" else rng.randint(1, 3)
+        save = rng.random() < 0.5
+        job_id = f"j-{rng.randrange(10**6):06d}"
+        while job_id in self.jobs:
+            job_id = f"j-{rng.randrange(10**6):06d}"
+        return {
+            "name_id": job_id,
+            "docket": rng.choice(["x", "y"]),
+            "crew": rng.choice(["t0", "t1"]),
+            "shape": shape,
+            "rank": rng.choice(["critical", "urgent", "normal", "low"]),
+            "parcels": parcels,
+            "cores": rng.choice([1.0, 2.0, 4.0]),
+            "accelerators": float(rng.randint(1, 2)) if gpu else 0.0,
+            "memory_gb": 4.0,
+            "kit": f"img-{rng.randrange(4)}",
+            "size_gb": rng.uniform(0.5, 4.0),
+            "builds": ["gpu"] if gpu and rng.random() < 0.5 else None,
+            "yard": rng.choice([None, None, "a", "b"]),
+            "together": rng.random() < 0.3,
+            "scatter": False,
+            "loaners": rng.random() < 0.7,
+            "guess_s": rng.uniform(1.0, 8.0) if shape != "daemon" else 0.0,
+            "mark_every_s": 2.0 if save else 0.0,
+            "mark_s": 1.0 if save else 0.0,
+            "due_s": rng.choice([None, 60.0]),
+            "mistaken": rng.random() < 0.05,
+        }
+
+    async def run_user(self) -> None:
+        job = self.make_job()
+        if job["yard"] is None and not job["together"] and self.rng.random() < 0.3:
+            job["scatter"] = True
+        job_id = job["name_id"]
+        self.jobs[job_id] = job
+        wire = {k: v for k, v in job.items() if k != "mistaken"}
+        end = virtual_now() + 60
+        while virtual_now() < end:
+            status, answer = await self.ask("POST", "/submissions", wire)
+            self.check_answer(job_id, status, answer)
+            if status in (200, 201):
+                self.accepted_jobs.add(job_id)
+                break
+            if status in (400, 422):
+                self.check_rule(job_id not in self.accepted_jobs, f"forgotten: {job_id} refused {status}")
+                return
+            await asyncio.sleep(1.0)
+        else:
+            return
+        cancels = job["shape"] == "daemon" or job["mistaken"] or self.rng.random() < 0.3
+        cancel_at = virtual_now() + self.rng.uniform(0, 30) if cancels else 1e9
+        while job_id not in self.observed_ends:
+            await asyncio.sleep(self.rng.uniform(0.5, 3.0))
+            if virtual_now() >= cancel_at:
+                self.cancel_requested.add(job_id)
+                status, answer = await self.ask("POST", f"/submissions/{job_id}/cancel")
+            elif self.rng.random() < 0.1:
+                status, answer = await self.ask("POST", "/submissions", wire)
+                self.check_rule(status not in (400, 422), f"forgotten: {job_id} refused {status}")
+            else:
+                status, answer = await self.ask("GET", f"/submissions/{job_id}")
+            self.check_answer(job_id, status, answer)
+        for _ in range(3):
+            await asyncio.sleep(self.rng.uniform(1, 10))
+            self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
+
+    async def query_unknown_jobs(self) -> None:
+        while True:
+            await asyncio.sleep(self.rng.uniform(1, 5))
+            job_id = f"j-9{self.rng.randrange(10**9)}"
+            self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
+
+    # -- troubles -----------------------------------------------------------------------------
+
+    async def inject_faults(self) -> None:
+        rng = self.rng
+        while True:
+            await asyncio.sleep(rng.expovariate(1 / 6))
+            if virtual_now() < self.faults_end_at - 15:
+                self.spawn(self.inject_fault(rng.choice(self.faults)))
+
+    def current_leader(self) -> SimulatedController:
+        return next(
+            (n for n in self.nodes if n.running_version.attribute(n.service, "leader_term")),
+            self.rng.choice(self.nodes),
+        )
+
+    async def inject_fault(self, fault: str) -> None:
+        rng = self.rng
+        worker = rng.choice(list(self.workers.values())) if self.workers else None
+        if fault in USER_FAULTS:
+            await USER_FAULTS[fault](self, rng.uniform(5.0, 25.0))
+        elif fault == "crash":
+            await self.restart_controller(self.current_leader() if rng.random() < 0.6 else rng.choice(self.nodes))
+        elif fault == "roll":
+            for node in self.nodes:
+                await self.restart_controller(node)
+        elif fault == "all":
+            await asyncio.gather(*(self.restart_controller(node) for node in self.nodes))
+        elif fault == "outage":
+            if not self.state.is_down:
+                self.state.is_down = True
+                await asyncio.sleep(rng.choice([2.0, 5.0, 12.0]))
+                self.state.end_outage()
+        elif fault == "alone":
+            node = self.current_leader() if rng.random() < 0.8 else rng.choice(self.nodes)
+            self.state.refused_controllers.add(node.name)
+            await asyncio.sleep(rng.uniform(1, 20))
+            self.state.refused_controllers.discard(node.name)
+        elif fault == "deaf":
+            # The leader alone loses the state service for long, while its workers still hear it.
+            node = self.current_leader()
+            if not self.state.refused_controllers:
+                self.state.refused_controllers.add(node.name)
+                await asyncio.sleep(30)
+                self.state.refused_controllers.discard(node.name)
+        elif fault == "paused":
+            # Not dead: its sockets stay open, and it goes on where it was.
+            node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.nodes)
+            gate = node.pause_gate
+            gate.pause()
+            await asyncio.sleep(rng.choice([1.0, 4.0, 12.0, 40.0]) * rng.uniform(0.7, 1.5))
+            gate.resume()
+        elif fault == "partly":
+            # Some of the network is lost to one node or two, in one way each.
+            for node in rng.sample(self.nodes, rng.choice([1, 1, 2])):
+                what = rng.sample(["state", "workers", "peers", "cloud"], rng.choice([1, 1, 2, 3]))
+                self.spawn(self.lose_network(node, what, rng.uniform(3, 25)))
+        elif fault == "boots":
+            # Machines come up late, never, or at once for a while.
+            self.cloud.boot_factor, self.cloud.boot_failure_probability = rng.choice(
+                [(4.0, 0.1), (1.0, 0.6), (0.05, 0.0)]
+            )
+            await asyncio.sleep(rng.uniform(10, 40))
+            self.cloud.boot_factor, self.cloud.boot_failure_probability = 1.0, 0.05
+        elif fault == "lag":
+            self.cloud.listing_lag_s = rng.uniform(4.0, 20.0)
+            await asyncio.sleep(rng.uniform(10, 40))
+            self.cloud.listing_lag_s = 2.0
+        elif fault == "cut":
+            zone = rng.choice(ZONES)
+            self.partitioned_zones.add(zone)
+            await asyncio.sleep(rng.uniform(1, 15))
+            self.partitioned_zones.discard(zone)
+            self.partition_healed_at[zone] = virtual_now()
+        elif fault == "copies":
+            self.heartbeat_copiers += 1
+            await asyncio.sleep(rng.uniform(5, 30))
+            self.heartbeat_copiers -= 1
+        elif fault == "lone":
+            # Of state service and other controllers, but not of its workers: one, or two that may see one another.
+            for node in rng.sample(self.nodes, rng.choice([1, 1, 1, 2])):
+                self.spawn(self.lose_network(node, ["state", "peers"], rng.uniform(5, 40)))
+        elif fault == "late writes":
+            self.late_write_probability = rng.uniform(0.1, 0.6)
+            await asyncio.sleep(rng.uniform(5, 25))
+            self.late_write_probability = 0.0
+        elif fault == "held commands":
+            self.late_command_probability = rng.uniform(0.3, 1.0)
+            await asyncio.sleep(rng.uniform(5, 25))
+            self.late_command_probability = 0.0
+        elif fault == "slow state":
+            self.max_store_delay_s = rng.choice([0.3, 1.0, 2.9])
+            await asyncio.sleep(rng.uniform(3, 20))
+            self.max_store_delay_s = 0.0
+        elif fault == "gap":
+            await self.isolate_leader_then_fail_store(
+                self.current_leader(), rng.uniform(0.2, 3.5), self.cancel_deadline_s * rng.uniform(0.8, 1.3)
+            )
+        elif fault == "returns":
+            # All end, one is back within a second, the others after it, and the first ends again.
+            first, *others = rng.sample(self.nodes, len(self.nodes))
+            for node in self.nodes:
+                node.crash()
+            await asyncio.sleep(rng.uniform(0.05, 0.9))
+            if first.service is None:
+                first.start()
+            await asyncio.sleep(rng.uniform(0.1, 6.0))
+            for node in others:
+                if node.service is None:
+                    node.start()
+            await self.restart_controller(first)
+        elif fault == "slow":
+            node = rng.choice(self.nodes)
+            node.delay_s = rng.uniform(0.05, 0.8)
+            await asyncio.sleep(rng.uniform(1, 10))
+            node.delay_s = 0.0
+        elif worker is None:
+            return
+        elif fault in ("deaf machine", "mute machine"):
+            worker.set_one_way_partition(fault.partition(" ")[0])
+            await asyncio.sleep(rng.uniform(2, 40))
+            worker.set_one_way_partition("")
+        elif fault == "reborn":
+            if not worker.is_dead and not worker.is_hung:
+                worker.restart_in_place()
+        elif fault == "hang":
+            worker.is_hung = True
+            await asyncio.sleep(rng.uniform(1, 15))
+            worker.is_hung = False
+            worker.resumed_at = virtual_now()
+        elif fault == "die":
+            worker.die()
+            await asyncio.sleep(5)
+            worker.machine.has_failed = True
+        elif fault == "recall" and worker.machine.is_spot:
+            if rng.random() < 0.8:
+                worker.preempted_at = virtual_now() + 4.0
+                worker.heartbeat_due.set()
+                await asyncio.sleep(rng.uniform(2, 6))
+            self.cloud.remove_machine(worker.machine)
+        elif fault == "sick":
+            worker.is_unhealthy = True
+            await asyncio.sleep(rng.uniform(5, 20))
+            worker.is_unhealthy = False
+
+    async def isolate_leader_then_fail_store(
+        self, controller: SimulatedController, isolated_s: float, outage_s: float
+    ) -> None:
+        """The state service refuses this node alone, and then everybody."""
+        if self.state.is_down or self.state.refused_controllers:
+            return
+        self.state.refused_controllers.add(controller.name)
+        await asyncio.sleep(isolated_s)
+        self.state.is_down = True
+        await asyncio.sleep(outage_s)
+        self.state.end_outage()
+        self.state.refused_controllers.discard(controller.name)
+
+    async def lose_network(self, controller: SimulatedController, targets: list[str], duration_s: float) -> None:
+        for target in targets:
+            controller.network_faults[target] = self.rng.choice(["refused", "silent", "answers", "flaky"])
+        await asyncio.sleep(duration_s)
+        for target in targets:
+            controller.network_faults.pop(target, None)
+
+    async def restart_controller(self, node: SimulatedController) -> None:
+        if node.service is None:
+            return
+        node.crash()
+        await asyncio.sleep(self.rng.uniform(*self.restart_delay_range_s))
+        if node.service is None:
+            node.start()
+
+    # -- a day --------------------------------------------------------------------------------
+
+    async def run_day(self, length_s: float, job_count: int) -> None:
+        self.state = SimulatedKeyValueStore(self)
+        self.cloud = SimulatedCloud(self)
+        self.nodes = [SimulatedController(self, i) for i in range(self.controller_count)]
+        with virtual_wall_clock():
+            for node in self.nodes:
+                node.start()
+            for zone in ZONES * self.scale:
+                self.cloud.rent_machine("cpu", zone, False)
+            self.spawn(self.check_continuously())
+            self.spawn(self.query_unknown_jobs())
+            if not self.is_calm:
+                self.spawn(self.inject_faults())
+            for action in self.scheduled_actions:
+                self.spawn(action(self))
+            for _ in range(job_count):
+                self.spawn(self.run_user())
+                await asyncio.sleep(self.rng.expovariate(job_count / (length_s * 0.7)))
+                if self.rule_violations:
+                    break
+            end = length_s
+            while virtual_now() < end and not (self.rule_violations or self.errors or self.is_over):
+                await asyncio.sleep(0.5)
+            for node in self.nodes:
+                node.crash()
+            for task in list(self.tasks):
+                task.cancel()
+            await asyncio.gather(*self.tasks, return_exceptions=True)
+            await asyncio.sleep(0)
+            for found in violations(self.history.operations, self.without_request):
+                self.check_rule(False, str(found))
+
+    def schedule_action(self, act: Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]) -> None:
+        """Something of a test's own that happens on the day."""
+        self.scheduled_actions.append(act)
+
+    def run(self, length_s: float = 90.0, job_count: int = 25) -> "SimulatedCluster":
+        virtual_time.run_in_virtual_time(self.run_day(length_s, job_count))
+        return self
+
+
+@contextmanager
+def virtual_wall_clock() -> Iterator[None]:
+    loop = asyncio.get_running_loop()
+
+    def wall() -> datetime:
+        return datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=loop.time() + _CLOCK_SKEW.get())
+
+    with ExitStack() as patches:
+        for version in LOADED:
+            patches.enter_context(patch.object(*version.locate("clock", "utc_now"), wall))
+        yield
--- /dev/null
+++ b/tests/simulation/demand_weeks.py
@@ -0,0 +1,74 @@
+"""Weeks of demand, counted as a leader would have counted them."""
+
+from collections.abc import Callable
+from datetime import datetime, timedelta
+from zoneinfo import ZoneInfo
+
+from roseweir.calendars import Calendar
+from roseweir.forecast.demand_history import Demand, Pool, SeriesKey, TaskShape
+from roseweir.forecast.scaling_planner import ScalingPlanner
+from roseweir.forecast.settings import PredictiveScalingSettings
+from tests.test_scheduler import new_board
+
+CPU_POOL = Pool(False, None, None, True)
+TORONTO = "America/Toronto"
+
+
+def make_demand(
+    at: float, units: float = 40.0, span: float = 1800.0, team: str = "t0", job_class: str = "c", number: int = 0
+) -> Demand:
+    key = SeriesKey(CPU_POOL, job_class, team)
+    name = f"j-{round(at * 1000) * 1000 + number}"
+    return Demand(name, key, TaskShape(2.0, 0.0, 4.0, 1.0), at, span, units, units * span, int(units / 2))
+
+
+class DemandWeeks:
+    """Planner and local time. Each day from `first` has its demand from 16:30 to 18:00, if `burst` says so."""
+
+    def __init__(self, calendar: Calendar | None = None, zone: str = TORONTO, **settings: object) -> None:
+        calendar = calendar or Calendar()
+        calendar.time_zone = zone
+        self.settings = PredictiveScalingSettings(calendar=calendar, **settings)  # type: ignore[arg-type]
+        self.cluster_state = new_board()
+        self.planner = ScalingPlanner(self.settings, self.cluster_state)
+        self.history, self.forecast = self.planner.history, self.planner.forecast
+        self.zone = ZoneInfo(zone)
+        self.watched_until = 0.0
+
+    def timestamp(self, text: str) -> float:
+        return datetime.fromisoformat(text).replace(tzinfo=self.zone).timestamp()
+
+    def watch_until(self, until: float, known: bool = True) -> None:
+        """Time passes, an hour at a time: only the hour that is open can still be counted."""
+        while self.watched_until < until:
+            begin, self.watched_until = self.watched_until, min(until, self.watched_until + 3600)
+            self.history.advance_to(self.watched_until)
+            if known:
+                self.history.mark_watched(begin, self.watched_until)
+
+    def pass_days(
+        self,
+        first: str,
+        days: int,
+        burst: Callable[[datetime], float] = lambda day: 40.0,
+        known: Callable[[datetime], bool] = lambda day: True,
+        hour: str = "16:30",
+    ) -> None:
+        day = datetime.fromisoformat(first)
+        self.watched_until = self.watched_until or self.timestamp(first)
+        for _ in range(days):
+            begins = self.timestamp(f"{day.date()}T{hour}")
+            self.watch_until(begins, known(day))
+            for part in range(3):
+                units = burst(day)
+                if units > 0 and known(day):
+                    self.history.record_accepted_job(make_demand(begins + part * 1800, units))
+                self.watch_until(begins + (part + 1) * 1800, known(day))
+            day += timedelta(days=1)
+            self.watch_until(self.timestamp(f"{day.date()}T00:00"), known(day - timedelta(days=1)))
+
+    def needed_units(self, text: str, lead: float = 120.0) -> float:
+        """Units that should stand ready at this local time; it has been watched until then."""
+        now = self.timestamp(text)
+        self.watch_until(now)
+        return sum(need.units for need in self.forecast.needs(now, {CPU_POOL: lead}))
--- a/tests/history.py
+++ b/tests/simulation/linearizability.py
@@ -30,7 +30,7 @@
 
     ABSENT = 0
     LIVE = 1
-    OVER = 2
+    ENDED = 2
 
 
 @dataclass
@@ -42,14 +42,14 @@
     invoked: float
     responded: float = NEVER
     status: int = 0  # 0: no answer
-    standing: str = ""
-    node: str = ""
+    job_state: str = ""
+    controller: str = ""
 
     @property
     def stage(self) -> Stage | None:
         """None: the answer tells nothing about the job."""
         if self.status in (200, 201):
-            return Stage.OVER if self.standing in ("done", "aborted") else Stage.LIVE
+            return Stage.ENDED if self.job_state in ("done", "aborted") else Stage.LIVE
         # A known job is never refused.
         refused = self.action is Action.SUBMIT and self.status in (400, 422)
         return Stage.ABSENT if refused or self.status == 404 else None
@@ -64,17 +64,17 @@
 
     def __str__(self) -> str:
         span = f"{self.invoked:g} to {self.responded:g}"
-        return f"{self.action.value} at {self.node or '?'} ({span}): {self.status} {self.standing}".rstrip()
+        return f"{self.action.value} at {self.controller or '?'} ({span}): {self.status} {self.job_state}".rstrip()
 
 
 @dataclass(frozen=True)
 class Violation:
     job_id: str
     rule: str
-    what: str
+    description: str
 
     def __str__(self) -> str:
-        return f"history: {self.rule}: {self.job_id}: {self.what}"
+        return f"history: {self.rule}: {self.job_id}: {self.description}"
 
 
 def violations(operations: Iterable[Operation], without_request: Collection[str] = ()) -> list[Violation]:
@@ -91,19 +91,19 @@
 
 def _violations_of_job(operations: list[Operation], without_request: bool) -> list[tuple[str, str]]:
     at_stage = {stage: [o for o in operations if o.stage is stage] for stage in Stage}
-    known = at_stage[Stage.LIVE] + at_stage[Stage.OVER]
+    known = at_stage[Stage.LIVE] + at_stage[Stage.ENDED]
     created = [o for o in operations if o.status == 201]
     found: list[tuple[str, str]] = []
     if not without_request:
-        found += _without_cause("invented", known, [o for o in operations if o.may_accept])
-        cancelled = [o for o in at_stage[Stage.OVER] if o.standing == "aborted"]
-        found += _without_cause("cancelled_by_nobody", cancelled, [o for o in operations if o.may_cancel])
-    found += _older("forgotten", known, at_stage[Stage.ABSENT])
-    found += _older("went_back", at_stage[Stage.OVER], at_stage[Stage.LIVE])
-    found += _older("accepted_twice", known, created)
+        found += _answer_without_cause("invented", known, [o for o in operations if o.may_accept])
+        cancelled = [o for o in at_stage[Stage.ENDED] if o.job_state == "aborted"]
+        found += _answer_without_cause("cancelled_by_nobody", cancelled, [o for o in operations if o.may_cancel])
+    found += _older_answer_after_newer("forgotten", known, at_stage[Stage.ABSENT])
+    found += _older_answer_after_newer("went_back", at_stage[Stage.ENDED], at_stage[Stage.LIVE])
+    found += _older_answer_after_newer("accepted_twice", known, created)
     if len(created) > 1:
         found.append(("accepted_twice", f"{created[0]}, {created[1]}"))
-    ends = {o.standing: o for o in at_stage[Stage.OVER]}
+    ends = {o.job_state: o for o in at_stage[Stage.ENDED]}
     if len(ends) > 1:
         found.append(("went_back", ", ".join(map(str, ends.values()))))
     undecided = [o for o in at_stage[Stage.LIVE] if o.action is Action.CANCEL]
@@ -111,7 +111,7 @@
     return found
 
 
-def _older(rule: str, newer: list[Operation], older: list[Operation]) -> list[tuple[str, str]]:
+def _older_answer_after_newer(rule: str, newer: list[Operation], older: list[Operation]) -> list[tuple[str, str]]:
     """Whether an answer of the earlier stage was asked for after one of the later stage had come."""
     if not newer or not older:
         return []
@@ -120,7 +120,7 @@
     return [(rule, f"{first}, then {last}")] if first.responded < last.invoked else []
 
 
-def _without_cause(rule: str, shown: list[Operation], causes: list[Operation]) -> list[tuple[str, str]]:
+def _answer_without_cause(rule: str, shown: list[Operation], causes: list[Operation]) -> list[tuple[str, str]]:
     """Whether an answer shows what nobody had asked for by then."""
     if not shown:
         return []
@@ -129,7 +129,7 @@
 
 
 @dataclass
-class History:
+class OperationHistory:
     """All requests of users that reached a controller on one day, in the order in which they came."""
 
     operations: list[Operation] = field(default_factory=list)
@@ -140,17 +140,17 @@
         self.steps += 1
         return self.steps
 
-    def begin(self, action: Action, job_id: str, node: str) -> Operation:
-        operation = Operation(action, job_id, self._step(), node=node)
+    def begin_operation(self, action: Action, job_id: str, node: str) -> Operation:
+        operation = Operation(action, job_id, self._step(), controller=node)
         self.operations.append(operation)
         return operation
 
-    def end(self, operation: Operation, status: int, standing: str) -> None:
-        operation.responded, operation.status, operation.standing = self._step(), status, standing
+    def end_operation(self, operation: Operation, status: int, standing: str) -> None:
+        operation.responded, operation.status, operation.job_state = self._step(), status, standing
         for listener in list(self.listeners):
             listener(operation)
 
-    def recorded(
+    def record_operations(
         self, serve: Callable[[Request], Awaitable[Response]], node: str
     ) -> Callable[[Request], Awaitable[Response]]:
         """The same handler of a controller's, whose requests about jobs are recorded with their answers."""
@@ -159,9 +159,9 @@
             target = target_of(request)
             if target is None:
                 return await serve(request)
-            operation = self.begin(*target, node)
+            operation = self.begin_operation(*target, node)
             response = await serve(request)
-            self.end(operation, response.status, orjson.loads(response.body).get("standing", ""))
+            self.end_operation(operation, response.status, orjson.loads(response.body).get("standing", ""))
             return response
 
         return record
--- /dev/null
+++ b/tests/simulation/stored_value_rewriting.py
@@ -0,0 +1,155 @@
+"""What a version makes of a stored value: read it as a new leader does, and write it again with nothing changed."""
+
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+
+from roseweir.kv_store.transaction_limits import TransactionLimits
+from tests.simulation.cluster import make_settings
+from tests.versions import Version
+
+_STORE_SETTINGS = make_settings(0).params.kv_store
+MAX_VALUE_BYTES = 8 * 1024
+
+
+def rewrite_value(version: Version, key: str, value: Any) -> Any:
+    """The value as this version would write it, or an error where it would refuse it."""
+    family, _, rest = key.partition("/")
+    if family == "drain":
+        return _rewrite_drains(version, key, value)
+    return REWRITERS[family](version, key, rest, value)
+
+
+def _make_store_stub(version: Version) -> SimpleNamespace:
+    """A store client's settings and limits, the limits also by the names that they had in the history."""
+    limits = TransactionLimits(_STORE_SETTINGS)
+    limits_in_history = SimpleNamespace(value_bytes=limits.max_value_bytes, txn_ops=limits.max_txn_ops)
+    return SimpleNamespace(settings=version.adopt(_STORE_SETTINGS), transaction_limits=limits, limits=limits_in_history)
+
+
+def _convert(version: Version, module: str, name: str, value: Any) -> Any:
+    return msgspec.to_builtins(msgspec.convert(value, version.find(module, name)))
+
+
+def _rewrite_live_job(version: Version, key: str, rest: str, value: Any) -> Any:
+    to_stored = version.find("submissions.jobs", "to_stored")
+    return to_stored(version.find("submissions.jobs", "decode_job_spec")(value))
+
+
+def _rewrite_ended_job(version: Version, key: str, rest: str, value: Any) -> Any:
+    to_stored = version.find("submissions.jobs", "to_stored")
+    return to_stored(version.find("submissions.jobs", "decode_completed_job")(value))
+
+
+def _rewrite_progress(version: Version, key: str, rest: str, value: Any) -> Any:
+    """The same tasks; how many zeros follow the last one is the writer's own affair."""
+    decode = version.find("submissions.task_bitmap", "decode_task_numbers")
+    encode = version.find("submissions.task_bitmap", "encode_bitmap")
+    done = set(decode(value, 0))
+    bits = bytearray(max(done) // 8 + 1)
+    for index in done:
+        bits[index // 8] |= 1 << index % 8
+    assert set(decode(encode(bytes(bits)), 0)) == done
+    return value
+
+
+def _rewrite_segment(version: Version, key: str, rest: str, value: Any) -> Any:
+    segments = version.find("scheduler.write_ahead_log", "SegmentTable")(MAX_VALUE_BYTES)
+    version.attribute(segments, "load_segment")(int(rest), value, 1)
+    return version.attribute(segments, "encode_segment")(int(rest))
+
+
+def read_delta(version: Version, key: str, value: Any, live: dict[str, Any]) -> Any:
+    """What a new leader takes from a delta of starts and completions; `live`: all jobs' records."""
+    machine_type = version.find("submissions.jobs", "MachineType")
+    live_job_prefix = version.find("submissions.jobs", "LIVE_JOB_PREFIX")
+    entry = version.find("kv_store", "Entry")
+    cluster_state = version.find("scheduler.cluster_state", "ClusterState")(
+        version.adopt(make_settings(0)),
+        version.find("operator_config", "OperatorConfig")(),
+        1,
+        version.find("clock", "monotonic_now")(),
+    )
+    cluster_state.catalog = {
+        name: machine_type(name, 64.0, 8.0, 512.0, 0.0, 1.0, 1.0, 1.0, 1.0, ("a", "b")) for name in ("cpu", "gpu")
+    }
+    log_writer = version.find("scheduler.log_writer", "LogWriter")(
+        _make_store_stub(version), cluster_state, 1, version.find("notifier", "Notifier")()
+    )
+    records = [entry(live_job_prefix + job_id, record, 1) for job_id, record in live.items()]
+    version.attribute(log_writer, "_restore_state")(records, [], [entry(key, value, 1)], {})
+    number = int(key.rpartition("-")[2])
+    delta = version.attribute(log_writer, "deltas")[number]
+    return version.attribute(delta, "encode")()
+
+
+def _rewrite_workflows(version: Version, key: str, rest: str, value: Any) -> Any:
+    store = version.find("workflows.store", "WorkflowStore")(_make_store_stub(version), 1)
+    workflows = version.attribute(store, "restore")([version.find("kv_store", "Entry")(key, value, 1)])
+    return version.attribute(store, "encode_page")(int(rest), workflows)
+
+
+def _rewrite_drains(version: Version, key: str, value: Any) -> Any:
+    store = version.find("drain.store", "DrainStore")(_make_store_stub(version), 1)
+    stored = version.attribute(store, "load_records")([version.find("kv_store", "Entry")(key, value, 1)])
+    disruptions_prefix = version.find("drain.store", "DISRUPTIONS_KEY_PREFIX")
+    if key.startswith(version.find("drain.store", "REQUEST_KEY_PREFIX")):
+        return version.find("drain.store", "encode_drain")(stored.drains[0])
+    if key.startswith(version.find("drain.store", "CORDONS_KEY_PREFIX")):
+        return version.attribute(store, "encode_cordons")(stored.cordons)[key]
+    if key.startswith(disruptions_prefix):
+        progress = version.attribute(stored, "placement_progress")
+        windows = version.attribute(stored, "rate_windows")
+        return version.attribute(store, "encode_disruptions")(progress, windows, set())[f"{disruptions_prefix}00"]
+    if key == version.find("drain.store", "REBALANCING_KEY"):
+        plan = version.find("rebalancing.move_planning", "MovePlan")
+        moves = version.attribute(stored, "rebalancing")
+        return moves | {"plans": [plan.decode(each).encode() for each in moves["plans"]]}
+    return {"gaps": stored.gaps, "own": version.attribute(stored, "auto_replacement")}
+
+
+def _rewrite_service_levels(version: Version, key: str, rest: str, value: Any) -> Any:
+    account = version.find("service_levels.accounting", "ServiceLevelAccount")()
+    return account.encode(account.decode(value), MAX_VALUE_BYTES)
+
+
+def _rewrite_delivery_deadlines(version: Version, key: str, rest: str, value: Any) -> Any:
+    durations = version.find("delivery_deadlines.deadline_status", "StepDurations")()
+    durations.decode(value["times"])
+    night_report = version.find("delivery_deadlines.deadline_status", "NightReport")
+    nights = {name: night_report.decode(night).encode() for name, night in value["nights"].items()}
+    return {"nights": nights, "times": durations.encode()}
+
+
+def _rewrite_demand_history(version: Version, key: str, rest: str, value: Any) -> Any:
+    given = version.find("forecast.settings", "PredictiveScalingSettings")()
+    history = version.find("forecast.demand_history", "DemandHistory")(given.slot_s, given.weeks, given.series_most)
+    number = value["start"] // 3600
+    version.attribute(history, "load_block")(value, 1, float(value["start"]), key, lambda block: key)
+    return history.encode(version.attribute(history, "open_blocks")[number], MAX_VALUE_BYTES)
+
+
+def _rewrite_leadership(version: Version, key: str, rest: str, value: Any) -> Any:
+    if rest == "term":
+        return int(value)
+    message_names = {"leader": "LeaderRecord", "ask": "ReachabilityQuery"}
+    return _convert(version, "leader_election.messages", message_names.get(rest, "ReachabilityAnswer"), value)
+
+
+def _rewrite_catalog(version: Version, key: str, rest: str, value: Any) -> Any:
+    return msgspec.to_builtins(msgspec.convert(value, list[version.find("submissions.jobs", "MachineType")]))  # type: ignore[misc]
+
+
+REWRITERS = {
+    "live": _rewrite_live_job,
+    "over": _rewrite_ended_job,
+    "done": _rewrite_progress,
+    "places": _rewrite_segment,
+    "chain": _rewrite_workflows,
+    "served": _rewrite_service_levels,
+    "promise": _rewrite_delivery_deadlines,
+    "demand": _rewrite_demand_history,
+    "lead": _rewrite_leadership,
+    "catalog": _rewrite_catalog,
+}
--- a/tests/virtual.py
+++ b/tests/simulation/virtual_time.py
@@ -6,10 +6,10 @@
 from contextvars import Context, ContextVar, copy_context
 from typing import Any
 
-_GATE: ContextVar["Gate | None"] = ContextVar("gate", default=None)
+_PAUSE_GATE: ContextVar["PauseGate | None"] = ContextVar("gate", default=None)
 
 
-class _Jump(selectors.SelectSelector):
+class _TimeJumpSelector(selectors.SelectSelector):
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
@@ -21,7 +21,7 @@
         return []
 
 
-class Gate:
+class PauseGate:
     """What a paused process stands before: none of its routines takes a step while it is shut.
 
     The clock goes on meanwhile, and so do the timers: on waking, all that came or ran out reaches the
@@ -29,56 +29,56 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: asyncio.Future[None] | None = None
+        self._resumed: asyncio.Future[None] | None = None
 
     def context(self) -> Context:
         context = copy_context()
-        context.run(_GATE.set, self)
+        context.run(_PAUSE_GATE.set, self)
         return context
 
-    def shut(self) -> None:
-        if self._waiting is None:
-            self._waiting = asyncio.get_running_loop().create_future()
+    def pause(self) -> None:
+        if self._resumed is None:
+            self._resumed = asyncio.get_running_loop().create_future()
 
-    def open(self) -> None:
-        waiting, self._waiting = self._waiting, None
+    def resume(self) -> None:
+        waiting, self._resumed = self._resumed, None
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
 
-    def wait(self) -> "asyncio.Future[None] | None":
-        return self._waiting
+    def resumed_future(self) -> "asyncio.Future[None] | None":
+        return self._resumed
 
 
-class _Gated(Coroutine[Any, Any, Any]):
+class _PausableCoroutine(Coroutine[Any, Any, Any]):
     """A coroutine whose steps wait while its gate is shut."""
 
-    def __init__(self, inner: Coroutine[Any, Any, Any], gate: Gate) -> None:
-        self.inner, self.gate = inner, gate
-        self._held: tuple[Any, ...] | None = None
+    def __init__(self, inner: Coroutine[Any, Any, Any], pause_gate: PauseGate) -> None:
+        self.inner, self.pause_gate = inner, pause_gate
+        self._held_error: tuple[Any, ...] | None = None
 
-    def _park(self) -> Any:
-        waiting = self.gate.wait()
+    def _wait_if_paused(self) -> Any:
+        waiting = self.pause_gate.resumed_future()
         if waiting is None:
             return None
         # What a task awaits: a future of its own, so that cancelling the task does not open the gate.
-        mine = asyncio.get_running_loop().create_future()
-        waiting.add_done_callback(lambda _: None if mine.done() else mine.set_result(None))
-        mine._asyncio_future_blocking = True
-        return mine
+        own_future = asyncio.get_running_loop().create_future()
+        waiting.add_done_callback(lambda _: None if own_future.done() else own_future.set_result(None))
+        own_future._asyncio_future_blocking = True
+        return own_future
 
     def send(self, value: Any) -> Any:
-        parked = self._park()
+        parked = self._wait_if_paused()
         if parked is not None:
             return parked
-        held, self._held = self._held, None
+        held, self._held_error = self._held_error, None
         return self.inner.send(value) if held is None else self.inner.throw(*held)
 
     def throw(self, *error: Any) -> Any:
-        parked = self._park()
+        parked = self._wait_if_paused()
         if parked is not None:
-            self._held = error
+            self._held_error = error
             return parked
-        self._held = None
+        self._held_error = None
         return self.inner.throw(*error)
 
     def close(self) -> None:
@@ -88,23 +88,23 @@
         raise TypeError("a task drives it")
 
 
-def _factory(
-    loop: asyncio.AbstractEventLoop, coro: Any, context: Context | None = None, **more: Any
+def _create_task(
+    loop: asyncio.AbstractEventLoop, coro: Any, context: Context | None = None, **options: Any
 ) -> "asyncio.Task[Any]":
-    gate = _GATE.get() if context is None else context.get(_GATE, None)
-    return asyncio.Task(coro if gate is None else _Gated(coro, gate), loop=loop, context=context, **more)
+    gate = _PAUSE_GATE.get() if context is None else context.get(_PAUSE_GATE, None)
+    return asyncio.Task(coro if gate is None else _PausableCoroutine(coro, gate), loop=loop, context=context, **options)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualEventLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.jump = _Jump()
-        super().__init__(self.jump)
-        self.set_task_factory(_factory)
+        self.selector = _TimeJumpSelector()
+        super().__init__(self.selector)
+        self.set_task_factory(_create_task)
 
     def time(self) -> float:
-        return self.jump.now
+        return self.selector.now
 
 
-def run(main: Coroutine[Any, Any, Any]) -> Any:
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+def run_in_virtual_time(main: Coroutine[Any, Any, Any]) -> Any:
+    with asyncio.Runner(loop_factory=VirtualEventLoop) as runner:
         return runner.run(main)
--- a/tests/test_awaits.py
+++ b/tests/test_dependency_submission.py
@@ -13,26 +13,26 @@
 import pytest
 
 from roseweir.http import Reply, Request, Unreachable
-from roseweir.state import StateClient
-from roseweir.submissions import ends as ends_module
-from roseweir.submissions import live_jobs
-from roseweir.submissions.ancestors import walk
-from roseweir.submissions.awaited import (
-    NamesMissing,
-    join,
-    part_keys,
-    parts_at_the_end,
-    parts_of_ended,
-    read_awaited,
-    split,
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.submissions import completed_jobs as ends_module
+from roseweir.submissions import live_job_index
+from roseweir.submissions.cancellation_propagation import traverse_dependencies
+from roseweir.submissions.dependency_storage import (
+    DependenciesUnreadable,
+    dependency_part_keys,
+    join_dependencies,
+    orphaned_part_keys,
+    read_dependencies,
+    split_dependencies,
+    split_part_keys_for_completion,
 )
-from roseweir.submissions.desk import Desk
-from roseweir.submissions.jobs import JobSpec, MachineType, ended, read_spec, stored
-from roseweir.submissions.live_jobs import LiveJobs
+from roseweir.submissions.handlers import SubmissionHandlers
+from roseweir.submissions.jobs import JobSpec, MachineType, completed_job, decode_job_spec, to_stored
+from roseweir.submissions.live_job_index import LiveJobIndex
 from roseweir.submissions.messages import Submission
-from tests import virtual
+from tests.simulation import virtual_time
+from tests.simulation.cluster import SimulatedCluster, SimulatedKeyValueStore, make_settings, virtual_wall_clock
 from tests.test_submissions import job
-from tests.world import State, World, settings, wall_time
 
 SECOND = timedelta(seconds=1)
 MACHINE = MachineType("g", 64.0, 8.0, 512.0, 100.0, 1.0, 1.0, 0.3, 4.0, ("a", "b"))
@@ -46,13 +46,13 @@
     """Two nodes' desks on one state service, without a leader: nothing is swept but by the test."""
 
     def __init__(self, txn_ops: int = 24, value_kb: float = 8.0, rps: float = 200.0, page_items: int = 1000) -> None:
-        self.world = World(1, calm=True)
+        self.world = SimulatedCluster(1, is_calm=True)
         self.world.txn_ops, self.world.value_kb = txn_ops, value_kb
-        self.state = State(self.world)
-        self.state.page_items = page_items
-        self.settings = [settings(i, txn_ops=txn_ops, value_kb=value_kb) for i in range(2)]
+        self.state = SimulatedKeyValueStore(self.world)
+        self.state.max_page_items = page_items
+        self.settings = [make_settings(i, txn_ops=txn_ops, value_kb=value_kb) for i in range(2)]
         for given in self.settings:
-            given.params.state.rps = rps
+            given.params.kv_store.max_requests_per_s = rps
         self.progress: dict[str, tuple[int, int]] = {}
         # Transactions that put a key with this prefix get no answer; they are carried out then or at the end.
         self.unanswered, self.held = "", False
@@ -60,12 +60,12 @@
         self.requests = 0
         self.desks = [self._desk(i) for i in range(2)]
 
-    def _desk(self, index: int) -> Desk:
+    def _desk(self, index: int) -> SubmissionHandlers:
         async def progress(jobs: list[str]) -> dict[str, tuple[int, int]]:
             return {job_id: self.progress[job_id] for job_id in jobs if job_id in self.progress}
 
         def connect(address: str, pool: int) -> Callable[..., Awaitable[Reply]]:
-            async def send(method: str, path: str, body: Any = None, *, patience: timedelta) -> Reply:
+            async def send(method: str, path: str, body: Any = None, *, timeout: timedelta) -> Reply:
                 await asyncio.sleep(0.004)
                 self.requests += 1
                 copy = orjson.loads(orjson.dumps(body))
@@ -77,7 +77,7 @@
                         await self.state.handle(f"n{index}", method, path, copy)
                     raise Unreachable("no answer")
                 try:
-                    async with asyncio.timeout(patience.total_seconds()):
+                    async with asyncio.timeout(timeout.total_seconds()):
                         return await self.state.handle(f"n{index}", method, path, copy)
                 except TimeoutError:
                     raise Unreachable("no answer in time") from None
@@ -85,13 +85,13 @@
             return send
 
         given = self.settings[index]
-        desk = Desk(given, StateClient("10.2.0.1:1", given.params.state, connect), progress)
+        desk = SubmissionHandlers(given, KeyValueStoreClient("10.2.0.1:1", given.params.kv_store, connect), progress)
         desk.catalog = [MACHINE]
         return desk
 
     async def ask(self, method: str, path: str, body: Any = None, node: int = 0) -> tuple[int, Any]:
         raw = body if isinstance(body, bytes) else orjson.dumps(body) if body is not None else b""
-        response = await self.desks[node].serve(Request(method, path, raw))
+        response = await self.desks[node].handle(Request(method, path, raw))
         return response.status, orjson.loads(response.body)
 
     async def submit(self, number: int, awaits: Any = ..., node: int = 0, **more: Any) -> tuple[int, Any]:
@@ -117,8 +117,8 @@
         """As a leader records it."""
         live = self.state.keys.get(f"live/{name(number)}")
         assert live is not None
-        over = stored(ended(read_spec(live[0]), state))
-        result = self.state.txn(
+        over = to_stored(completed_job(decode_job_spec(live[0]), state))
+        result = self.state.commit_transaction(
             {"guards": [], "then": [{"put": f"over/{name(number)}", "v": over}, {"delete": f"live/{name(number)}"}]}
         )
         assert result.status == 200
@@ -126,9 +126,11 @@
 
 def play(scene: Callable[[Users], Awaitable[None]], **more: Any) -> None:
     async def main() -> None:
-        with wall_time():
+        with virtual_wall_clock():
             users = Users(**more)
-            tasks = [asyncio.ensure_future(run()) for d in users.desks for run in (d.view.run, d.commits.run)]
+            tasks = [
+                asyncio.ensure_future(run()) for d in users.desks for run in (d.live_job_cache.run, d.group_commit.run)
+            ]
             await asyncio.sleep(0.1)
             await scene(users)
             for task in tasks:
@@ -136,7 +138,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    virtual.run(main())
+    virtual_time.run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize(
@@ -172,7 +174,7 @@
         # In any state, also by a node that never heard of them.
         users.end(1, "done")
         for node in (0, 1):
-            users.desks[node]._ended.clear()
+            users.desks[node]._terminal_states.clear()
             assert (await users.submit(13 + node, [name(1)], node=node))[1]["standing"] == "queued"
         assert "live/j-000012" not in users.state.keys
 
@@ -188,7 +190,7 @@
         await asyncio.sleep(6)
         known = [name(number) for number in range(1, 400)]
         for node in (0, 1):
-            users.desks[node]._ended.clear()
+            users.desks[node]._terminal_states.clear()
             before = users.requests
             status, answer = await users.submit(500, [*known, name(777)], node=node)
             assert status == 422 and name(777) in answer["error"] and name(3) not in answer["error"]
@@ -208,8 +210,8 @@
             await users.submit(number)
             await users.submit(1000 + number, [name(number)])
             users.end(number, "done" if number % 4 else "cancelled")
-        users.desks[1]._ended.clear()
-        users.desks[1].view._revision = None
+        users.desks[1]._terminal_states.clear()
+        users.desks[1].live_job_cache._revision = None
         before, begun = users.requests, asyncio.get_running_loop().time()
         answers = await asyncio.gather(*(users.standing(1000 + number, 1) for number in range(400)))
         assert answers == ["queued" if number % 4 else "aborted" for number in range(400)]
@@ -223,7 +225,7 @@
 def test_pages_are_as_long_as_they_hold_what_is_wanted(ended_jobs: int, wanted: int, most: int) -> None:
     async def scene(users: Users) -> None:
         draw = random.Random(3)
-        over = stored(ended(JobSpec("", "c", "t0", "array", 2, 1, 1.0, 0.0, 1.0), "done"))
+        over = to_stored(completed_job(JobSpec("", "c", "t0", "array", 2, 1, 1.0, 0.0, 1.0), "done"))
         numbers = draw.sample(range(1_000_000), ended_jobs)
         users.state.keys |= {f"over/{name(number)}": (over, 1, None) for number in numbers}
         names = [name(number) for number in numbers[:wanted]]
@@ -238,7 +240,7 @@
     async def scene(users: Users) -> None:
         await users.submit(1)
         # More than is saved up again before the end is asked for.
-        users.desks[1]._budget._reads.tokens = -100.0
+        users.desks[1]._read_budget._read_rate_limiter.tokens = -100.0
         assert (await users.submit(2, [name(1)], node=1))[0] == 201
         assert (await users.submit(3, [name(9)], node=1))[0] == 429  # never a 422 without having looked
 
@@ -264,7 +266,7 @@
         assert (await users.submit(1))[0] == 503
         users.unanswered = ""
         assert (await users.submit(2, [name(1)], node=1))[0] == 422
-        assert users.state.txn(users.late.pop()).status == 200
+        assert users.state.commit_transaction(users.late.pop()).status == 200
         assert (await users.submit(2, [name(1)], node=1))[0] == 201
         # One that awaits: written without an answer, at once and late, then repeated with another body.
         users.unanswered, users.held = "live/j-000003", False
@@ -273,14 +275,14 @@
         assert (await users.submit(4, [name(1)]))[0] == 503
         users.unanswered = ""
         assert (await users.submit(4, [name(2)], node=1))[0] == 201
-        assert users.state.txn(users.late.pop()).status == 409
+        assert users.state.commit_transaction(users.late.pop()).status == 409
         assert users.state.keys["live/j-000004"][0]["after"] == {"jobs": [name(2)]}
         # One that is cancelled as it comes.
         await users.cancel(1)
         users.unanswered, users.held = "over/j-000005", True
         assert (await users.submit(5, [name(1)]))[0] == 503
         users.unanswered = ""
-        assert users.state.txn(users.late.pop()).status == 200
+        assert users.state.commit_transaction(users.late.pop()).status == 200
         for node in (0, 1):
             assert (await users.submit(5, node=node)) == (200, {"name_id": name(5), "standing": "aborted"})
 
@@ -298,7 +300,7 @@
             )
         await users.submit(2000)
         for desk in users.desks:
-            desk.view._revision = None
+            desk.live_job_cache._revision = None
         assert [await users.standing(999, node) for node in (0, 1)] == ["queued", "queued"]
         await users.cancel(0)
         for node in (1, 0):
@@ -317,13 +319,13 @@
 
 
 def test_names_beyond_what_is_kept_are_read_when_they_are_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(live_jobs, "NAMES_MOST", 3)
+    monkeypatch.setattr(live_job_index, "MAX_DEPENDENCY_IDS", 3)
 
     async def scene(users: Users) -> None:
         for number in range(1, 12):
             await users.submit(number, [name(before) for before in range(max(1, number - 2), number)], node=number % 2)
         assert [await users.standing(11, node) for node in (0, 1)] == ["queued", "queued"]
-        assert users.desks[0].view.live.awaited(name(11)) is None
+        assert users.desks[0].live_job_cache.live_jobs.dependencies(name(11)) is None
         await users.cancel(1)
         assert [await users.standing(11, node) for node in (0, 1)] == ["aborted", "aborted"]
 
@@ -331,23 +333,23 @@
 
 
 def test_a_walk_visits_each_job_once_and_tells_who_is_cancelled_with_another() -> None:
-    live = LiveJobs()
+    live = LiveJobIndex()
     for layer in range(200):
         for number in range(3):
             live.add(
                 f"j-{layer}{number}", {"after": {"jobs": [f"j-{layer - 1}{n}" for n in range(3)] if layer else []}}
             )
-    found = walk(["j-1990"], {}, live, {})
-    assert found.whole and len(found.open) == 1 + 199 * 3
-    found = walk(["j-1990"], {"j-01": "cancelled"}, live, {})
-    assert found.cancelled and len(found.cancelled_with_it) == 199 and "j-1990" in found.cancelled_with_it
-    found = walk(["j-1990"], {"j-990": "done"}, live, {})
-    assert found.whole and "j-990" not in found.open
+    found = traverse_dependencies(["j-1990"], {}, live, {})
+    assert found.is_complete and len(found.open_dependencies) == 1 + 199 * 3
+    found = traverse_dependencies(["j-1990"], {"j-01": "cancelled"}, live, {})
+    assert found.is_cancelled and len(found.cancelled_dependents) == 199 and "j-1990" in found.cancelled_dependents
+    found = traverse_dependencies(["j-1990"], {"j-990": "done"}, live, {})
+    assert found.is_complete and "j-990" not in found.open_dependencies
     # What is found clear stays so until something of it ends.
-    live.cleared.update(found.open)
-    assert walk(["j-1990"], {}, live, {}).open == {}
+    live.known_not_cancelled.update(found.open_dependencies)
+    assert traverse_dependencies(["j-1990"], {}, live, {}).open_dependencies == {}
     live.discard("j-01")
-    assert walk(["j-1990"], {}, live, {}).ends == {"j-01"}
+    assert traverse_dependencies(["j-1990"], {}, live, {}).unknown_job_ids == {"j-01"}
 
 
 def test_one_that_has_begun_is_not_looked_into_and_one_after_a_done_job_goes_on() -> None:
@@ -361,7 +363,7 @@
         assert await users.standing(2) == "running"
         assert users.requests - before == 1
         assert await users.standing(3) == "queued"
-        assert users.desks[0].view.live.awaited(name(2)) == []
+        assert users.desks[0].live_job_cache.live_jobs.dependencies(name(2)) == []
         before = users.requests
         assert await users.standing(3) == "queued"
         assert users.requests - before == 1  # an end is read once
@@ -392,8 +394,8 @@
         await users.submit(2, [name(1)])
         await users.cancel(1)
         await asyncio.sleep(6)
-        users.desks[1]._ended.clear()
-        learn, calls = ends_module.Ends.learn, 0
+        users.desks[1]._terminal_states.clear()
+        learn, calls = ends_module.CompletedJobReader.read_states, 0
 
         async def slow(self: Any, wanted: Any, asker: str) -> set[str]:
             nonlocal calls
@@ -401,7 +403,7 @@
             await asyncio.sleep(0.3)
             return await learn(self, wanted, asker)
 
-        with replaced(ends_module.Ends, "learn", slow):
+        with replaced(ends_module.CompletedJobReader, "read_states", slow):
             answer = await users.submit(3, [name(2)], node=1)
         assert calls == 2 and (answer[0], answer[1]["standing"]) == (201, "aborted")
         assert f"live/{name(3)}" in users.state.keys
@@ -426,17 +428,17 @@
         await users.submit(3, [name(2)])
         assert await users.standing(3, 1) == "queued"
         await users.cancel(1)
-        users.state.out = True
+        users.state.is_down = True
         for node in (0, 1):
             assert (await users.ask("GET", f"/submissions/{name(3)}", node=node))[0] == 503
             assert (await users.submit(3, node=node))[0] == 503
             assert (await users.submit(4, [name(2)], node=node))[0] == 503
             assert (await users.submit(5, [name(9)], node=node))[0] == 503
-        users.state.outage_ends()
+        users.state.end_outage()
         for node in (0, 1):
             assert await users.standing(3, node) == "aborted"
         # Told once, it is told in an outage as well: it can't change.
-        users.state.out = True
+        users.state.is_down = True
         assert await users.standing(3) == "aborted"
 
     play(scene)
@@ -450,7 +452,7 @@
         numbers = draw.sample(range(1_000_000), 4600)
         await users.submit(numbers[0])
         value = users.state.keys[f"live/{name(numbers[0])}"][0]
-        over = stored(ended(read_spec(value), "done"))
+        over = to_stored(completed_job(decode_job_spec(value), "done"))
         for number in numbers[1:]:
             users.state.keys[f"over/{name(number)}"] = (over, 1, None)
         alive = [name(number) for number in numbers[1:1000]]
@@ -460,10 +462,10 @@
             assert answer[0] == 429
             await asyncio.sleep(1)
         assert answer[1]["standing"] == "queued"
-        spec = read_spec(users.state.keys["live/j-5"][0])
-        keys = part_keys("j-5", spec.awaited)
+        spec = decode_job_spec(users.state.keys["live/j-5"][0])
+        keys = dependency_part_keys("j-5", spec.dependencies)
         assert 1 < len(keys) <= 12 and all(key in users.state.keys for key in keys)
-        assert await read_awaited(users.desks[0].state, spec) == sorted(name(number) for number in numbers)
+        assert await read_dependencies(users.desks[0].kv_store, spec) == sorted(name(number) for number in numbers)
         # The other node reads the list, and the ends, once.
         assert [await users.standing_of("j-5", node) for node in (0, 1)] == ["queued", "queued"]
         before = users.requests
@@ -473,19 +475,23 @@
         assert [await users.standing_of("j-5", node) for node in (1, 0)] == ["aborted", "aborted"]
         # The parts go with the end as far as there is room; the leader learns of the others.
         assert (await users.ask("POST", "/submissions/j-5/cancel"))[1]["standing"] == "aborted"
-        gone, left = parts_at_the_end("j-5", spec.awaited, 8 - 2 - 1)
+        gone, left = split_part_keys_for_completion("j-5", spec.dependencies, 8 - 2 - 1)
         assert [key in users.state.keys for key in gone + left] == [False] * len(gone) + [True] * len(left)
-        with pytest.raises(NamesMissing):
-            await read_awaited(users.desks[0].state, spec)
+        with pytest.raises(DependenciesUnreadable):
+            await read_dependencies(users.desks[0].kv_store, spec)
         await asyncio.sleep(6)
-        assert set(await parts_of_ended(users.desks[0].state, users.desks[0].view.live)) == set(left)
+        assert set(await orphaned_part_keys(users.desks[0].kv_store, users.desks[0].live_job_cache.live_jobs)) == set(
+            left
+        )
         # Parts of a job that is not over yet are nobody's to take.
         users.unanswered, users.held = "live/j-6", True
         assert (await users.ask("POST", "/submissions", body | {"name_id": "j-6", "awaits": alive}))[0] == 503
         users.unanswered = ""
         assert any(key.startswith("awaits/j-6/") for key in users.state.keys)
-        assert set(await parts_of_ended(users.desks[0].state, users.desks[0].view.live)) == set(left)
-        assert users.state.txn(users.late.pop()).status == 200
+        assert set(await orphaned_part_keys(users.desks[0].kv_store, users.desks[0].live_job_cache.live_jobs)) == set(
+            left
+        )
+        assert users.state.commit_transaction(users.late.pop()).status == 200
         assert await users.standing_of("j-6", 1) == "queued"
         # A part without an answer: nothing is accepted without all of them.
         users.unanswered = "awaits/j-7/"
@@ -501,14 +507,14 @@
 def test_split_names_fit_the_smallest_values_and_come_back(count: int) -> None:
     draw = random.Random(count)
     names = {f"j-{draw.randrange(10 ** draw.randint(1, 18))}" for _ in range(count)}
-    parts = split("j-7", names)
-    assert all(len(orjson.dumps(value)) <= 2048 for value in parts.values.values())
-    assert list(parts.values) == part_keys("j-7", parts.awaited)
-    assert join(parts.values.values()) == sorted(names)
-    assert split("j-7", reversed(sorted(names))) == parts
-    if parts.awaited.parts > 1:
+    parts = split_dependencies("j-7", names)
+    assert all(len(orjson.dumps(value)) <= 2048 for value in parts.values_by_key.values())
+    assert list(parts.values_by_key) == dependency_part_keys("j-7", parts.dependencies)
+    assert join_dependencies(parts.values_by_key.values()) == sorted(names)
+    assert split_dependencies("j-7", reversed(sorted(names))) == parts
+    if parts.dependencies.part_count > 1:
         with pytest.raises(ValueError):
-            join(list(parts.values.values())[:-1])
+            join_dependencies(list(parts.values_by_key.values())[:-1])
 
 
 @pytest.mark.parametrize("value_kb", [2.0, 32.0])
@@ -522,7 +528,7 @@
             value = users.state.keys[f"live/{name(1000 + count)}"][0]
             assert len(orjson.dumps(value)) <= 2048
             apart += "parts" in value["after"]
-            found = await read_awaited(users.desks[0].state, read_spec(value))
+            found = await read_dependencies(users.desks[0].kv_store, decode_job_spec(value))
             assert found == [name(number) for number in range(count)]
         assert 1 <= apart <= 3
 
@@ -612,19 +618,19 @@
     async def outage(self) -> None:
         """An answer or none, and never a wrong one."""
         doomed = closure(self.graph, self.cancelled)
-        self.users.state.out = True
+        self.users.state.is_down = True
         for number in self.draw.sample(sorted(self.graph), min(len(self.graph), 4)):
             path = f"/submissions/{name(number)}"
             status, answer = await self.users.ask("GET", path, node=self.draw.randrange(2))
             wanted = "aborted" if number in doomed else "done" if number in self.done else None
             assert status == 503 or (status, answer["standing"]) == (200, wanted)
-        self.users.state.outage_ends()
+        self.users.state.end_outage()
 
     async def forget(self) -> None:
         """A node that began anew, or heard too much since; its view is read again."""
         desk = self.users.desks[self.draw.randrange(2)]
-        desk._ended.clear()
-        desk.view._revision = None
+        desk._terminal_states.clear()
+        desk.live_job_cache._revision = None
 
     async def wait(self) -> None:
         await asyncio.sleep(self.draw.choice([0.01, 0.3, 3.0, 8.0]))
@@ -655,19 +661,19 @@
 
 
 def test_broken_variants_are_caught() -> None:
-    from roseweir.submissions import naming
+    from roseweir.submissions import dependency_validation
 
-    async def orphan_in_outage(self: Desk, job_id: str) -> bool:
+    async def orphan_in_outage(self: SubmissionHandlers, job_id: str) -> bool:
         """Answers by the live key, which a leader has yet to take away."""
         return False
 
-    assert is_caught(orphan_in_outage, Desk, "_cancelled_with_another")
-    assert is_caught(property(lambda self: None), naming.Named, "refusal")
+    assert is_caught(orphan_in_outage, SubmissionHandlers, "_is_cancelled_by_dependency")
+    assert is_caught(property(lambda self: None), dependency_validation.ValidationResult, "rejection_reason")
 
     def service_awaited(self: Any) -> str | None:
-        return "never accepted: " + ", ".join(self.never_accepted) if self.never_accepted else None
+        return "never accepted: " + ", ".join(self.never_accepted_ids) if self.never_accepted_ids else None
 
-    assert is_caught(property(service_awaited), naming.Named, "refusal")
+    assert is_caught(property(service_awaited), dependency_validation.ValidationResult, "rejection_reason")
 
 
 def test_the_example_of_a_pipeline_is_accepted_stage_by_stage() -> None:
@@ -675,6 +681,6 @@
     accepted: list[str] = []
     for stage in jobs:
         submission = msgspec.convert(stage, Submission)
-        assert set(submission.awaits or []) <= set(accepted), "a stage names one that comes after it"
+        assert set(submission.depends_on or []) <= set(accepted), "a stage names one that comes after it"
         accepted.append(submission.id)
     assert len(accepted) == 4 and jobs[-1]["due_s"] and not any(stage["due_s"] for stage in jobs[:-1])
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from roseweir.connections import Room
+from roseweir.connections import ConnectionAdmission
 from roseweir.http import Client, Request, Response, Unreachable, serve
+from tests.simulation.cluster import SimulatedCloud, SimulatedCluster, SimulatedKeyValueStore
 from tests.test_submissions import job
-from tests.world import Cloud, State, World
 
 ROOT = Path(__file__).parent.parent
 SECOND = timedelta(seconds=1)
@@ -31,17 +31,17 @@
 
 
 async def scene(tmp_path: Path) -> None:
-    world = World(1, calm=True)
-    world.state, world.cloud, world.nodes = State(world), Cloud(world), []
+    cluster = SimulatedCluster(1, is_calm=True)
+    cluster.state, cluster.cloud, cluster.nodes = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
 
     async def state(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
-        reply = await world.state.handle("n", request.method, request.path, body)
+        reply = await cluster.state.handle("n", request.method, request.path, body)
         return Response(reply.status, reply.body)
 
     async def cloud(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
-        reply = await world.cloud.handle("n", request.method, request.path, body)
+        reply = await cluster.cloud.handle("n", request.method, request.path, body)
         return Response(reply.status, reply.body)
 
     settings = orjson.loads((ROOT / "examples" / "settings.json").read_bytes())
@@ -51,7 +51,10 @@
     settings["params"]["teams"][0]["gpus_max"] = 8.0
     file = tmp_path / "settings.json"
     file.write_bytes(orjson.dumps(settings))
-    servers = [await serve("127.0.0.1", ports[2], state, Room(50)), await serve("127.0.0.1", ports[3], cloud, Room(50))]
+    servers = [
+        await serve("127.0.0.1", ports[2], state, ConnectionAdmission(50)),
+        await serve("127.0.0.1", ports[3], cloud, ConnectionAdmission(50)),
+    ]
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         str(ROOT / "run.py"),
@@ -65,25 +68,25 @@
     try:
         for _ in range(100):
             try:
-                if (await users.request("GET", "/healthz", patience=SECOND)).status == 200:
+                if (await users.request("GET", "/healthz", timeout=SECOND)).status == 200:
                     break
             except Unreachable:
                 pass
             await asyncio.sleep(0.1)
-        accepted = await users.request("POST", "/submissions", job(crew="maps"), patience=SECOND * 5)
+        accepted = await users.request("POST", "/submissions", job(crew="maps"), timeout=SECOND * 5)
         assert accepted.status == 201
-        asked = await users.request("GET", "/submissions/j-000412", patience=SECOND * 5)
+        asked = await users.request("GET", "/submissions/j-000412", timeout=SECOND * 5)
         assert asked.json()["standing"] == "queued"
         own = Client(settings["back"])
         for _ in range(50):
-            status = (await own.request("GET", "/status", patience=SECOND)).json()
+            status = (await own.request("GET", "/status", timeout=SECOND)).json()
             if status.get("jobs") == 1:
                 break
             await asyncio.sleep(0.1)
         assert status["leader"] == "node-0" and status["jobs"] == 1
-        assert (await own.request("GET", "/limits", patience=SECOND)).json()["limits"] == []
+        assert (await own.request("GET", "/limits", timeout=SECOND)).json()["limits"] == []
         # Limits are never shown on the users' address.
-        assert (await users.request("GET", "/limits", patience=SECOND)).status == 404
+        assert (await users.request("GET", "/limits", timeout=SECOND)).status == 404
         shown = await asyncio.create_subprocess_exec(
             sys.executable, str(ROOT / "run.py"), "status", "--at", settings["back"], stdout=asyncio.subprocess.PIPE
         )
@@ -97,7 +100,7 @@
         _, log = await process.communicate()
         for server in servers:
             await server.close()
-        for task in list(world.tasks):
+        for task in list(cluster.tasks):
             task.cancel()
     assert b"elected: term 1" in log
 
--- a/tests/test_forecast_tools.py
+++ b/tests/test_forecast_tools.py
@@ -11,17 +11,27 @@
 
 from roseweir.calendars import Calendar
 from roseweir.cli import main
-from roseweir.forecast.cli import KINDS as NAMED
+from roseweir.forecast.cli import LOAD_SCENARIOS as NAMED
 from roseweir.forecast.cli import print_forecast
-from roseweir.forecast.settings import AheadSettings
-from roseweir.forecast.tools.compare import AHEAD, BEST, NONE, RESERVE, Case, Result, begin_of_measure, bursts_of, play
-from roseweir.forecast.tools.compare import _result as figures_of
-from roseweir.forecast.tools.draw import KINDS, draw
-from roseweir.forecast.tools.load import Arrival, read_load
-from roseweir.forecast.tools.report import write_report
-from roseweir.forecast.tools.site import load_site
-from roseweir.forms import SettingsError
-from roseweir.tuning import Tuning, load_tuning
+from roseweir.forecast.settings import PredictiveScalingSettings
+from roseweir.forecast.tools.html_report import write_report
+from roseweir.forecast.tools.load_generator import LOAD_SCENARIOS, generate_load
+from roseweir.forecast.tools.policy_comparison import (
+    AHEAD,
+    BEST,
+    NONE,
+    RESERVE,
+    PolicyResult,
+    ReplayCase,
+    find_bursts,
+    measurement_start,
+    run_replay,
+)
+from roseweir.forecast.tools.policy_comparison import _make_result as figures_of
+from roseweir.forecast.tools.recorded_load import Arrival, read_load
+from roseweir.forecast.tools.simulated_provider import load_provider
+from roseweir.operator_config import OperatorConfig, load_operator_config
+from roseweir.sexp import SettingsError
 
 ROOT = Path(__file__).parent.parent
 EXTRAS = {"jinja2", "matplotlib", "numpy", "hdrh", "fastjsonschema", "hypothesis"}
@@ -29,26 +39,30 @@
 
 
 def written(path: Path, kind: str, weeks: int) -> list[Arrival]:
-    path.write_bytes(b"\n".join(orjson.dumps(line) for line in draw(KINDS[kind], weeks, 3, START)))
+    path.write_bytes(b"\n".join(orjson.dumps(line) for line in generate_load(LOAD_SCENARIOS[kind], weeks, 3, START)))
     return read_load(path)
 
 
 @pytest.fixture(scope="module")
-def sundays(tmp_path_factory: pytest.TempPathFactory) -> Case:
+def sundays(tmp_path_factory: pytest.TempPathFactory) -> ReplayCase:
     """Five weeks with bursts on Sundays; the last Sunday's first burst is measured."""
     load = written(tmp_path_factory.mktemp("load") / "load.jsonl", "sundays", 5)
-    ahead = AheadSettings(calendar=Calendar(time_zone="Asia/Taipei"))
-    begin = begin_of_measure(load, 1, ahead.calendar.zone) + 14 * 3600
-    load = [arrival for arrival in load if arrival.at < begin + 9000]
-    return Case(load_site(None, None, 60, {a.spec.team for a in load}), Tuning(), ahead, load, begin, 1)
+    ahead = PredictiveScalingSettings(calendar=Calendar(time_zone="Asia/Taipei"))
+    begin = measurement_start(load, 1, ahead.calendar.zone) + 14 * 3600
+    load = [arrival for arrival in load if arrival.arrived_at < begin + 9000]
+    return ReplayCase(
+        load_provider(None, None, 60, {a.spec.team for a in load}), OperatorConfig(), ahead, load, begin, 1
+    )
 
 
-def test_renting_ahead_halves_the_waits_of_bursts_and_idles_less_than_a_reserve(sundays: Case, tmp_path: Path) -> None:
-    bursts = bursts_of(sundays)
+def test_renting_ahead_halves_the_waits_of_bursts_and_idles_less_than_a_reserve(
+    sundays: ReplayCase, tmp_path: Path
+) -> None:
+    bursts = find_bursts(sundays)
     assert [burst.name[-5:-3] for burst in bursts] == ["15"]
-    results: dict[str, Result] = {}
+    results: dict[str, PolicyResult] = {}
     for policy, size in ((NONE, 0.0), (AHEAD, 0.0), (BEST, 0.0), (RESERVE, 0.6)):
-        results[policy] = figures_of(policy, play(sundays, policy, size), bursts)
+        results[policy] = figures_of(policy, run_replay(sundays, policy, size), bursts)
     figures = {policy: result.figures for policy, result in results.items()}
     for name in ("wait_mean_s", "wait_p95_s"):
         assert figures[AHEAD]["burst"][name] <= figures[NONE]["burst"][name] / 2
@@ -65,18 +79,18 @@
     assert report.read_text() == before
 
 
-def test_same_seed_plays_the_same_day(sundays: Case) -> None:
-    outcomes = [play(sundays, NONE) for _ in range(2)]
+def test_same_seed_plays_the_same_day(sundays: ReplayCase) -> None:
+    outcomes = [run_replay(sundays, NONE) for _ in range(2)]
     assert outcomes[0].starts == outcomes[1].starts and outcomes[0].cost == outcomes[1].cost
 
 
-@pytest.mark.parametrize("kind", sorted(KINDS))
+@pytest.mark.parametrize("kind", sorted(LOAD_SCENARIOS))
 def test_drawn_load_is_the_same_for_a_seed_in_order_and_readable(kind: str, tmp_path: Path) -> None:
-    assert set(NAMED) == set(KINDS)
-    lines = [list(draw(KINDS[kind], 1, seed, START)) for seed in (1, 1, 2)]
+    assert set(NAMED) == set(LOAD_SCENARIOS)
+    lines = [list(generate_load(LOAD_SCENARIOS[kind], 1, seed, START)) for seed in (1, 1, 2)]
     assert lines[0] == lines[1] != lines[2]
     arrivals = written(tmp_path / "load.jsonl", kind, 1)
-    assert [a.at for a in arrivals] == sorted(a.at for a in arrivals)
+    assert [a.arrived_at for a in arrivals] == sorted(a.arrived_at for a in arrivals)
 
 
 @pytest.mark.parametrize(
@@ -92,7 +106,7 @@
 def test_bad_line_of_load_is_named_by_its_number(
     tmp_path: Path, change: dict[str, object], said: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    good = next(draw(KINDS["sundays"], 1, 1, START))
+    good = next(generate_load(LOAD_SCENARIOS["sundays"], 1, 1, START))
     file = tmp_path / "load.jsonl"
     file.write_bytes(orjson.dumps(good) + b"\n\n" + orjson.dumps(good | change))
     assert main(["forecast", "compare", "--load", str(file)]) == 2
@@ -107,7 +121,7 @@
 
 
 def test_users_retry_counts_once_at_its_first_time(tmp_path: Path) -> None:
-    good = next(draw(KINDS["sundays"], 1, 1, START))
+    good = next(generate_load(LOAD_SCENARIOS["sundays"], 1, 1, START))
     file = tmp_path / "load.jsonl"
     first, later = good | {"at": "2026-03-30T12:00:00Z"}, good | {"at": "2026-03-30T12:00:02+00:00"}
     file.write_bytes(orjson.dumps(later) + b"\n" + orjson.dumps(first))
@@ -158,16 +172,16 @@
 
 
 def test_controller_loads_nothing_that_it_does_not_use() -> None:
-    plain = loaded_by("import roseweir.cli, roseweir.service")
+    plain = loaded_by("import roseweir.cli, roseweir.controller.process")
     assert not plain & EXTRAS and "zoneinfo" not in plain
     assert {name for name in plain if name.startswith("roseweir.forecast")} == {
         "roseweir.forecast",
         "roseweir.forecast.cli",
     }
-    switched_on = loaded_by("import roseweir.service, roseweir.forecast.desk")
+    switched_on = loaded_by("import roseweir.controller.process, roseweir.forecast.predictive_scaler")
     assert not switched_on & EXTRAS and "roseweir.forecast.tools" not in switched_on
 
 
 def test_shipped_settings_are_read() -> None:
-    ahead = load_tuning(ROOT / "deploy" / "renting-ahead.sexp").ahead
+    ahead = load_operator_config(ROOT / "deploy" / "renting-ahead.sexp").predictive_scaling
     assert ahead is not None and ahead.calendar.holidays
--- a/tests/test_history.py
+++ b/tests/test_linearizability.py
@@ -7,7 +7,7 @@
 import pytest
 
 from roseweir.http import Request
-from tests.history import NEVER, Action, Operation, target_of, violations
+from tests.simulation.linearizability import NEVER, Action, Operation, target_of, violations
 
 SUBMIT, POLL, CANCEL = Action.SUBMIT, Action.POLL, Action.CANCEL
 
@@ -101,7 +101,7 @@
         return {"live"} if state == "absent" else set()
     if one.action is CANCEL:
         state = {"live": "aborted"}.get(state, state)
-    shown = one.standing if one.standing in ("done", "aborted") else "live"
+    shown = one.job_state if one.job_state in ("done", "aborted") else "live"
     return {state} if state == shown else set()
 
 
@@ -109,7 +109,7 @@
     """A submission that is answered 200 may have been a write whose answer was lost, and a read after it."""
     if one.action is not SUBMIT or one.status != 200:
         return [one]
-    return [replace(one, status=0, standing="", responded=NEVER), replace(one, action=POLL)]
+    return [replace(one, status=0, job_state="", responded=NEVER), replace(one, action=POLL)]
 
 
 def linearizable(operations: list[Operation]) -> bool:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,31 +4,35 @@
 
 import pytest
 
-from roseweir.clock import SLEPT, seconds
-from roseweir.leadership.messages import Ask, Reach
-from roseweir.membership.judge import (
-    ASKED,
-    LONE,
-    LOOK,
-    MISSED,
-    TIMES,
-    Callers,
-    Finding,
-    Scouts,
-    Solitude,
-    Vigil,
-    better_placed,
-    latest,
-    some_of,
+from roseweir.clock import PROCESS_PAUSE_THRESHOLD, seconds
+from roseweir.leader_election.messages import ReachabilityAnswer, ReachabilityQuery
+from roseweir.membership.failure_detector import (
+    HEARTBEAT_CHECK_INTERVAL,
+    MAJORITY_UNREACHABLE_TIMEOUT,
+    MAX_REMOVALS,
+    MAX_WORKERS_IN_QUERY,
+    MINORITY_UNREACHABLE_TIMEOUT,
+    HeartbeatMonitor,
+    HeartbeatVerdict,
+    LeaderSearch,
+    RedirectedWorkers,
+    StoreIsolationDetector,
+    find_better_connected_node,
+    latest_leader,
+    sample_workers,
 )
-from tests.test_placement import NOW
+from tests.test_scheduler import NOW
 
 
 def test_a_leader_is_unheard_only_if_it_looked_on_time_and_twice() -> None:
-    vigil, missed = Vigil(), {"i-1": "10.1.0.1:9000"}
-    on_time, late, still = LOOK, LOOK * 3, LOOK + SLEPT * 2
+    vigil, missed = HeartbeatMonitor(), {"i-1": "10.1.0.1:9000"}
+    on_time, late, still = (
+        HEARTBEAT_CHECK_INTERVAL,
+        HEARTBEAT_CHECK_INTERVAL * 3,
+        HEARTBEAT_CHECK_INTERVAL + PROCESS_PAUSE_THRESHOLD * 2,
+    )
     findings = [
-        vigil.look(NOW, NOW + took, missed if all_missed else {})
+        vigil.evaluate(NOW, NOW + took, missed if all_missed else {})
         for took, all_missed in [
             (on_time, True),
             (late, True),  # a loaded moment delays the looking too
@@ -41,7 +45,9 @@
             (on_time, True),
         ]
     ]
-    assert findings == [Finding.FINE] * 3 + [Finding.STOOD_STILL] + [Finding.FINE] * 3 + [Finding.UNHEARD, Finding.FINE]
+    assert findings == [HeartbeatVerdict.HEALTHY] * 3 + [HeartbeatVerdict.PROCESS_PAUSED] + [
+        HeartbeatVerdict.HEALTHY
+    ] * 3 + [HeartbeatVerdict.HEARTBEATS_MISSED, HeartbeatVerdict.HEALTHY]
 
 
 @pytest.mark.parametrize("controllers", [3, 5, 7])
@@ -50,82 +56,94 @@
     draw = random.Random(controllers)
     made_way = stayed = 0
     for _ in range(400):
-        workers = {f"i-{n}": f"10.1.0.{n}:9000" for n in range(draw.randint(4, ASKED))}
-        ask = Ask(4, 1, workers)
+        workers = {f"i-{n}": f"10.1.0.{n}:9000" for n in range(draw.randint(4, MAX_WORKERS_IN_QUERY))}
+        ask = ReachabilityQuery(4, 1, workers)
         out = [draw.random() < 0.5 for _ in range(controllers)]  # its way to the workers is cut
         back = [draw.random() < 0.5 for _ in range(controllers)]  # their way to it is cut
         answers = {
-            f"n{n}": Reach(4, 1, [] if out[n] else list(workers), [] if back[n] else list(workers)[::2])
+            f"n{n}": ReachabilityAnswer(4, 1, [] if out[n] else list(workers), [] if back[n] else list(workers)[::2])
             for n in range(1, controllers)
             if draw.random() < 0.8  # an answer that does not come counts for nothing
         }
         missing = dict.fromkeys(workers, (1, 5)) if back[0] else {}
-        found = better_placed(answers, ask, 0 if out[0] else len(workers), missing)
+        found = find_better_connected_node(answers, ask, 0 if out[0] else len(workers), missing)
         if found is None:
             stayed += 1
             # Whoever answered hears nobody; or is reached no better than the leader; or nobody is missing.
-            assert not missing or all(not a.came and (not out[0] or not a.reached) for a in answers.values())
+            assert not missing or all(not a.redirected and (not out[0] or not a.reachable) for a in answers.values())
         else:
             made_way += 1
-            assert missing and (answers[found].came or answers[found].reached)
+            assert missing and (answers[found].redirected or answers[found].reachable)
     assert made_way > 50 and stayed > 50
 
 
 def test_nothing_is_concluded_from_no_answer() -> None:
-    ask = Ask(4, 1, {"i-1": "", "i-2": ""})
+    ask = ReachabilityQuery(4, 1, {"i-1": "", "i-2": ""})
     missing = {"i-1": (1, 5), "i-2": (1, 9)}
-    assert better_placed({}, ask, 0, missing) is None
-    assert better_placed({"n1": Reach(4, 1, [], [])}, ask, 0, missing) is None
+    assert find_better_connected_node({}, ask, 0, missing) is None
+    assert find_better_connected_node({"n1": ReachabilityAnswer(4, 1, [], [])}, ask, 0, missing) is None
     # Copies that came late to another node are older than what the leader has heard itself.
-    assert better_placed({"n1": Reach(4, 1, [], ["i-1"], {"i-1": (1, 4)})}, ask, 2, missing) is None
-    assert better_placed({"n1": Reach(4, 1, [], ["i-1"], {"i-1": (1, 6)})}, ask, 2, missing) == "n1"
-    assert latest([]) is None and latest([("", 0), ("", 0)]) is None
-    assert latest([("n1", 4), ("", 0), ("n2", 6)]) == ("n2", 6)
+    assert (
+        find_better_connected_node({"n1": ReachabilityAnswer(4, 1, [], ["i-1"], {"i-1": (1, 4)})}, ask, 2, missing)
+        is None
+    )
+    assert (
+        find_better_connected_node({"n1": ReachabilityAnswer(4, 1, [], ["i-1"], {"i-1": (1, 6)})}, ask, 2, missing)
+        == "n1"
+    )
+    assert latest_leader([]) is None and latest_leader([("", 0), ("", 0)]) is None
+    assert latest_leader([("n1", 4), ("", 0), ("n2", 6)]) == ("n2", 6)
 
 
 def test_a_node_without_state_service_and_peers_is_alone_and_in_an_outage_of_all_it_is_not() -> None:
-    def look(solitude: Solitude, span: float, *told: object) -> bool:
+    def look(solitude: StoreIsolationDetector, span: float, *told: object) -> bool:
         at = NOW
         while at <= NOW + seconds(span):
-            alone = solitude.look(*told, at)  # type: ignore[arg-type, call-arg]
+            alone = solitude.evaluate(*told, at)  # type: ignore[arg-type, call-arg]
             at += seconds(0.5)
         return alone
 
-    assert not look(Solitude(), 60, True, 4, 4, False, False), "an outage of all: every peer says so"
-    assert look(Solitude(), 0, True, 4, 4, True, False), "a peer's word"
-    assert look(Solitude(), 0, True, 4, 0, False, True), "a worker that has met a later leader"
-    within, after = LONE.total_seconds() - 0.5, LONE.total_seconds()
-    assert not look(Solitude(), within, True, 2, 0, False, False) and look(Solitude(), after, True, 2, 0, False, False)
+    assert not look(StoreIsolationDetector(), 60, True, 4, 4, False, False), "an outage of all: every peer says so"
+    assert look(StoreIsolationDetector(), 0, True, 4, 4, True, False), "a peer's word"
+    assert look(StoreIsolationDetector(), 0, True, 4, 0, False, True), "a worker that has met a later leader"
+    within, after = MAJORITY_UNREACHABLE_TIMEOUT.total_seconds() - 0.5, MAJORITY_UNREACHABLE_TIMEOUT.total_seconds()
+    assert not look(StoreIsolationDetector(), within, True, 2, 0, False, False) and look(
+        StoreIsolationDetector(), after, True, 2, 0, False, False
+    )
     # Two that see one another and miss the third: it may have ended in an outage, and is back by then.
-    within, after = MISSED.total_seconds() - 0.5, MISSED.total_seconds()
-    assert not look(Solitude(), within, True, 2, 1, False, False) and look(Solitude(), after, True, 2, 1, False, False)
-    assert not look(Solitude(), 60, True, 0, 0, False, False), "a single controller"
-    flapping = Solitude()
-    for _ in range(TIMES):
-        assert look(flapping, after, True, 2, 0, False, False) and not flapping.look(False, 2, 2, True, False, NOW)
+    within, after = MINORITY_UNREACHABLE_TIMEOUT.total_seconds() - 0.5, MINORITY_UNREACHABLE_TIMEOUT.total_seconds()
+    assert not look(StoreIsolationDetector(), within, True, 2, 1, False, False) and look(
+        StoreIsolationDetector(), after, True, 2, 1, False, False
+    )
+    assert not look(StoreIsolationDetector(), 60, True, 0, 0, False, False), "a single controller"
+    flapping = StoreIsolationDetector()
+    for _ in range(MAX_REMOVALS):
+        assert look(flapping, after, True, 2, 0, False, False) and not flapping.evaluate(False, 2, 2, True, False, NOW)
     assert not look(flapping, after, True, 2, 0, False, False), "the balancer's pause doubles"
 
 
 @pytest.mark.parametrize("found", [True, False])
 def test_scouts_stay_away_if_another_leads_and_come_back_in_an_outage(found: bool) -> None:
-    scouts = Scouts()
-    scouts.begin(3, seconds(1), NOW)
-    assert not scouts.sends_away("i-0", True, NOW), "those without tasks go first"
-    assert scouts.sends_away("i-1", False, NOW) and scouts.sends_away("i-2", True, NOW + seconds(1.3))
+    scouts = LeaderSearch()
+    scouts.start(3, seconds(1), NOW)
+    assert not scouts.should_redirect("i-0", True, NOW), "those without tasks go first"
+    assert scouts.should_redirect("i-1", False, NOW) and scouts.should_redirect("i-2", True, NOW + seconds(1.3))
     if not found:
-        assert not scouts.sends_away("i-1", False, NOW + seconds(3)), "answered again as it returns"
-    assert not scouts.found(NOW + seconds(4))
-    assert scouts.found(NOW + seconds(30)) == found
-    scouts.begin(3, seconds(1), NOW + seconds(2))
-    assert scouts.sent == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
+        assert not scouts.should_redirect("i-1", False, NOW + seconds(3)), "answered again as it returns"
+    assert not scouts.has_found_leader(NOW + seconds(4))
+    assert scouts.has_found_leader(NOW + seconds(30)) == found
+    scouts.start(3, seconds(1), NOW + seconds(2))
+    assert scouts.sent_at_by_worker == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
 
 
 def test_callers_count_for_a_while_and_are_bounded() -> None:
-    callers = Callers()
+    callers = RedirectedWorkers()
     for number in range(9000):
-        callers.note(f"i-{number}", (1, 7), NOW)
-    assert not callers.came(["i-8999", "i-0"], NOW), "one that came this instant may be with the leader in the next"
-    assert callers.came(["i-8999", "i-0"], NOW + seconds(2)) == {"i-8999": (1, 7)}
-    callers.note("i-8999", (1, 7), NOW + seconds(8))
-    assert not callers.came(["i-8999"], NOW + seconds(9)), "a copy that came late"
-    assert len(some_of({f"i-{n}": "" for n in range(9000)})) <= ASKED
+        callers.record_heartbeat(f"i-{number}", (1, 7), NOW)
+    assert not callers.find_redirected(["i-8999", "i-0"], NOW), (
+        "one that came this instant may be with the leader in the next"
+    )
+    assert callers.find_redirected(["i-8999", "i-0"], NOW + seconds(2)) == {"i-8999": (1, 7)}
+    callers.record_heartbeat("i-8999", (1, 7), NOW + seconds(8))
+    assert not callers.find_redirected(["i-8999"], NOW + seconds(9)), "a copy that came late"
+    assert len(sample_workers({f"i-{n}": "" for n in range(9000)})) <= MAX_WORKERS_IN_QUERY
--- a/tests/test_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -8,57 +8,71 @@
 import msgspec
 import pytest
 
-from roseweir.leadership.messages import LEVEL, LeaderRecord
-from tests.upgrading import ROLL_BEGINS, ROLL_GAP, RollWorld, check_rules, is_led_by
+from roseweir.leader_election.messages import FEATURE_LEVEL, LeaderRecord
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.rolling_upgrade import (
+    ROLL_BEGINS_AT_S,
+    ROLL_INTERVAL_RANGE_S,
+    RollingUpgradeCluster,
+    raise_first_failure,
+    terms_led_by,
+)
 from tests.versions import PRESENT, Version, production
-from tests.world import World
 
 TROUBLES = ["crash", "all", "outage", "alone", "hang", "cut", "late writes", "paused", "slow state", "returns"]
 
 
 @pytest.mark.parametrize(("seed", "trouble"), list(enumerate(TROUBLES, 7100)))
 def test_a_roll_beside_each_trouble_loses_nothing(seed: int, trouble: str) -> None:
-    world = RollWorld(seed, troubles=[trouble], controllers=5 if seed % 4 == 3 else 3).play_day()
-    world.check()
-    assert world.starts > 10
+    cluster = RollingUpgradeCluster(seed, faults=[trouble], controller_count=5 if seed % 4 == 3 else 3).run_day_to_end()
+    cluster.check_outcome()
+    assert cluster.start_count > 10
 
 
 @pytest.mark.parametrize("controllers", [3, 5])
 def test_users_are_answered_all_through_a_calm_roll(controllers: int) -> None:
-    world = RollWorld(7900 + controllers, calm=True, controllers=controllers).play_day()
-    world.check()
-    in_the_roll = [status for at, status in world.answers if ROLL_BEGINS <= at <= world.rolled_at + ROLL_GAP[1]]
+    cluster = RollingUpgradeCluster(7900 + controllers, is_calm=True, controller_count=controllers).run_day_to_end()
+    cluster.check_outcome()
+    in_the_roll = [
+        status
+        for at, status in cluster.user_answers
+        if ROLL_BEGINS_AT_S <= at <= cluster.rolled_at + ROLL_INTERVAL_RANGE_S[1]
+    ]
     assert len(in_the_roll) > 50 and set(in_the_roll) <= {200, 201, 404}, "a request without an answer, or refused"
 
 
 @pytest.mark.parametrize("seed", [7200, 7201])
 def test_going_back_to_the_version_before_loses_nothing(seed: int) -> None:
-    RollWorld(seed, first=PRESENT, then=production()).play_day().check()
+    RollingUpgradeCluster(seed, first=PRESENT, then=production()).run_day_to_end().check_outcome()
 
 
 @pytest.mark.parametrize("seed", [7300, 7301])
 def test_leaders_of_both_versions_in_turn_go_on_with_one_anothers_record(seed: int) -> None:
     """Of two controllers, one of each version, whichever leads is killed, again and again."""
-    world = World(seed, controllers=2, versions=[production(), PRESENT], troubles=["hang"], back_after=(5.0, 6.0))
+    cluster = SimulatedCluster(
+        seed, controller_count=2, versions=[production(), PRESENT], faults=["hang"], restart_delay_range_s=(5.0, 6.0)
+    )
 
-    async def alternate(world: World) -> None:
+    async def alternate(cluster: SimulatedCluster) -> None:
         while True:
             await asyncio.sleep(14)
-            await world.restart(world.leader())
+            await cluster.restart_controller(cluster.current_leader())
 
-    world.spawn_later(alternate)
-    check_rules(world.play(length=100, jobs=15))
-    led = is_led_by(world, PRESENT)
+    cluster.schedule_action(alternate)
+    raise_first_failure(cluster.run(length_s=100, job_count=15))
+    led = terms_led_by(cluster, PRESENT)
     assert set(pairwise(led)) >= {(False, True), (True, False)}, led
 
 
 # -- who leads during a roll --------------------------------------------------------------------
 
 
-async def until_led(world: World, but: Any = None) -> Any:
+async def until_led(cluster: SimulatedCluster, but: Any = None) -> Any:
     """The leading process, if it is not that one."""
     for _ in range(600):
-        leading = [n.service for n in world.nodes if n.service is not None and n.service.reign is not None]
+        leading = [
+            n.service for n in cluster.nodes if n.running_version.attribute(n.service, "leader_term") is not None
+        ]
         if leading and leading[0] is not but:
             return leading[0]
         await asyncio.sleep(0.02)
@@ -75,20 +89,20 @@
 
 
 def kill_leader(seed: int, versions: list[Version], back_after: tuple[float, float], back_as: Version) -> Succession:
-    world = World(seed, calm=True, versions=versions, back_after=back_after)
+    cluster = SimulatedCluster(seed, is_calm=True, versions=versions, restart_delay_range_s=back_after)
     found: list[Succession] = []
 
-    async def kill(world: World) -> None:
-        first = await until_led(world)
-        node, before = world.leader(), world.leader().running
+    async def kill(cluster: SimulatedCluster) -> None:
+        first = await until_led(cluster)
+        node, before = cluster.current_leader(), cluster.current_leader().running_version
         node.version = back_as
-        world.spawn(world.restart(node))
-        await until_led(world, first)
-        found.append(Succession(before, world.leader().running, world.leader() is node))
-        world.over = True
+        cluster.spawn(cluster.restart_controller(node))
+        await until_led(cluster, first)
+        found.append(Succession(before, cluster.current_leader().running_version, cluster.current_leader() is node))
+        cluster.is_over = True
 
-    world.spawn_later(kill)
-    check_rules(world.play(length=30, jobs=0))
+    cluster.schedule_action(kill)
+    raise_first_failure(cluster.run(length_s=30, job_count=0))
     return found[0]
 
 
@@ -114,8 +128,8 @@
 
 
 def test_production_reads_what_this_version_says_of_who_leads() -> None:
-    record = msgspec.to_builtins(LeaderRecord("n1", "10.0.0.2:8081", 7, 3, LEVEL))
-    old = production().find("leadership.messages", "LeaderRecord")
+    record = msgspec.to_builtins(LeaderRecord("n1", "10.0.0.2:8081", 7, 3, FEATURE_LEVEL))
+    old = production().find("leader_election.messages", "LeaderRecord")
     assert msgspec.to_builtins(msgspec.convert(record, old)) == {k: v for k, v in record.items() if k != "level"}
     of_production = msgspec.to_builtins(old("n1", "10.0.0.2:8081", 7, 3))
-    assert msgspec.convert(of_production, LeaderRecord).level == 0 < LEVEL
+    assert msgspec.convert(of_production, LeaderRecord).feature_level == 0 < FEATURE_LEVEL
--- a/tests/test_checker.py
+++ b/tests/test_rule_checker.py
@@ -5,117 +5,119 @@
 
 import pytest
 
-from roseweir.cloud import desk as cloud_desk
-from roseweir.leadership.leadership import Term
-from roseweir.placement.board import Board
-from roseweir.placement.model import JobRun, Phase, Placement
-from roseweir.placement.recorder import Recorder
-from roseweir.state import StateClient
-from roseweir.submissions import desk
+from roseweir.cloud import controller as cloud_desk
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.leader_election.election import LeaderLease
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_writer import LogWriter
+from roseweir.scheduler.model import JobRun, Placement, PlacementPhase
+from roseweir.submissions import handlers
 from roseweir.workers import messages as wire
-from roseweir.workers.desk import WorkerDesk
-from tests.world import World
+from roseweir.workers.handlers import HeartbeatHandler
+from tests.simulation.cluster import SimulatedCluster
 
 Break = Callable[[pytest.MonkeyPatch], None]
 
 
 def no_write_ahead(patch: pytest.MonkeyPatch) -> None:
     """Orders go out before they are recorded."""
-    place = Board.place
+    place = ClusterState.add_placement
 
-    def placed(self: Board, *args: object, **more: object) -> Placement:
+    def placed(self: ClusterState, *args: object, **more: object) -> Placement:
         placement = place(self, *args, **more)  # type: ignore[arg-type]
-        if placement.phase == Phase.PLANNED:
-            placement.phase = Phase.READY
+        if placement.phase == PlacementPhase.PLANNED:
+            placement.phase = PlacementPhase.COMMITTED
             self.dirty_machines.discard(placement.machine.name)
         return placement
 
-    patch.setattr(Board, "place", placed)
+    patch.setattr(ClusterState, "add_placement", placed)
 
 
 def no_records_read(patch: pytest.MonkeyPatch) -> None:
     """A new leader ignores what earlier ones recorded."""
 
-    def forget(self: Recorder, found: object) -> None: ...
+    def forget(self: LogWriter, found: object) -> None: ...
 
-    patch.setattr(Recorder, "_restore_tasks", forget)
+    patch.setattr(LogWriter, "_restore_placements", forget)
 
 
 def keep_silent_machines(patch: pytest.MonkeyPatch) -> None:
     """Giving back machines that went silent would hide what the two variants below do wrong."""
-    patch.setattr(cloud_desk, "surplus", lambda board, left, now, kept: [])
+    patch.setattr(cloud_desk, "plan_scale_in", lambda board, left, now, kept: [])
 
 
 def no_fencing(patch: pytest.MonkeyPatch) -> None:
     """A leader that was deposed goes on: no terms on answers, no guards, no look at the lease."""
     keep_silent_machines(patch)
-    txn = StateClient.txn
+    txn = KeyValueStoreClient.compare_and_swap
 
-    async def unguarded(self: StateClient, guards: object, ops: list[dict[str, object]]) -> int:
+    async def unguarded(self: KeyValueStoreClient, guards: object, ops: list[dict[str, object]]) -> int:
         kept = [g for g in guards if not g[0].startswith(("lead/leader", "places/"))]  # type: ignore[attr-defined]
         return await txn(self, guards if any("tenancy" in op for op in ops) else kept, ops)  # type: ignore[arg-type]
 
-    patch.setattr(StateClient, "txn", unguarded)
-    patch.setattr(Term, "may_run", lambda self: True)
-    patch.setattr(Term, "end", lambda self, reason: None)
-    patch.setattr(WorkerDesk, "may_answer", lambda self, now: True)
-    patch.setattr(wire, "answer", lambda term, orders: {"warrant": 1, "orders": orders})
+    patch.setattr(KeyValueStoreClient, "compare_and_swap", unguarded)
+    patch.setattr(LeaderLease, "is_valid", lambda self: True)
+    patch.setattr(LeaderLease, "end", lambda self, reason: None)
+    patch.setattr(HeartbeatHandler, "may_answer", lambda self, now: True)
+    patch.setattr(wire, "heartbeat_response", lambda term, orders: {"warrant": 1, "orders": orders})
 
 
 def hasty_absence(patch: pytest.MonkeyPatch) -> None:
     """A silent machine's tasks count as gone before its lease has run out."""
-    init = Board.__init__
+    init = ClusterState.__init__
 
-    def short(self: Board, *args: object, **more: object) -> None:
+    def short(self: ClusterState, *args: object, **more: object) -> None:
         init(self, *args, **more)  # type: ignore[arg-type]
-        self.lease = timedelta(seconds=2)
-        self.unproven_until = self.began
+        self.max_lease_duration = timedelta(seconds=2)
+        self.previous_leader_lease_expiry = self.term_started_at
 
-    patch.setattr(Board, "__init__", short)
+    patch.setattr(ClusterState, "__init__", short)
 
 
 def endless_holdover(patch: pytest.MonkeyPatch) -> None:
     """A leader without news goes on keeping tasks alive."""
     keep_silent_machines(patch)
-    patch.setattr(WorkerDesk, "may_answer", lambda self, now: True)
-    patch.setattr(Term, "end", lambda self, reason: None)
+    patch.setattr(HeartbeatHandler, "may_answer", lambda self, now: True)
+    patch.setattr(LeaderLease, "end", lambda self, reason: None)
 
 
 def no_quota(patch: pytest.MonkeyPatch) -> None:
-    from roseweir.placement import plan
+    from roseweir.scheduler import scheduling_pass
 
-    patch.setattr(plan, "quota", lambda board, spec, claim: 1 << 30)
+    patch.setattr(scheduling_pass, "tasks_within_quota", lambda board, spec, claim: 1 << 30)
 
 
 def no_zones(patch: pytest.MonkeyPatch) -> None:
-    from roseweir.placement import plan
+    from roseweir.scheduler import scheduling_pass
 
     def anywhere(run: JobRun, zone: str) -> int:
         return 1 << 30
 
-    patch.setattr(plan, "_zone_room", anywhere)
+    patch.setattr(scheduling_pass, "_max_tasks_in_zone", anywhere)
 
 
 def polls_from_memory(patch: pytest.MonkeyPatch) -> None:
     """A node answers from what it has read before."""
-    read = desk.Desk._read
+    read = handlers.SubmissionHandlers._read_job_state
     known: dict[tuple[int, str], object] = {}
 
-    async def remembered(self: desk.Desk, job_id: str) -> object:
+    async def remembered(self: handlers.SubmissionHandlers, job_id: str) -> object:
         key = (id(self), job_id)
         if key not in known:
             known[key] = await read(self, job_id)
         return known[key]
 
-    patch.setattr(desk.Desk, "_read", remembered)
+    patch.setattr(handlers.SubmissionHandlers, "_read_job_state", remembered)
 
 
 def done_too_early(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(JobRun, "complete", property(lambda self: self.done_count >= max(1, self.spec.tasks - 1)))
+    patch.setattr(
+        JobRun, "is_complete", property(lambda self: self.completed_count >= max(1, self.spec.task_count - 1))
+    )
 
 
 def cancels_unheard(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Board, "end_job", lambda self, job_id, ended, now: None)
+    patch.setattr(ClusterState, "end_job", lambda self, job_id, ended, now: None)
 
 
 @pytest.mark.parametrize(
@@ -138,6 +140,6 @@
     broken(monkeypatch)
     for seed in range(40):
         troubles = ["deaf", "cut"] if seed % 2 else None
-        if any(rule in str(error) for error in World(seed, troubles=troubles).play().broken):
+        if any(rule in str(error) for error in SimulatedCluster(seed, faults=troubles).run().rule_violations):
             return
     pytest.fail("no seed caught it")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,9 +7,9 @@
 import pytest
 
 from roseweir.cli import main
-from roseweir.forms import SettingsError
+from roseweir.operator_config import load_operator_config
 from roseweir.settings import load_settings
-from roseweir.tuning import load_tuning
+from roseweir.sexp import SettingsError
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "settings.json"
 
@@ -27,7 +27,7 @@
 
 def test_example_is_accepted_and_unknown_fields_are_ignored(tmp_path: Path) -> None:
     settings = load_settings(changed(tmp_path, "something_new", value={"a": 1}))
-    assert settings.params.workers.lease == timedelta(seconds=12)
+    assert settings.params.workers.lease_duration == timedelta(seconds=12)
 
 
 @pytest.mark.parametrize(
@@ -84,10 +84,10 @@
         (startup-limits (fetch-share 0.5) (failure-count 3) (ban-window 7)
           (limit (name "n") (job-class "x") (zone "a") (count 5) (window 60) (burst 2)))"""
     )
-    tuning = load_tuning(file)
+    tuning = load_operator_config(file)
     assert (tuning.fetch_share, tuning.failure_count, tuning.ban_window) == (0.5, 3, timedelta(seconds=7))
     assert tuning.class_limits[0].zone == "a" and tuning.class_limits[0].window == timedelta(minutes=1)
-    assert load_tuning(None).class_limits == []
+    assert load_operator_config(None).class_limits == []
 
 
 @pytest.mark.parametrize(
@@ -109,4 +109,4 @@
     file = tmp_path / "limits.sexp"
     file.write_text(text)
     with pytest.raises(SettingsError):
-        load_tuning(file)
+        load_operator_config(file)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -10,29 +10,29 @@
 import pytest
 
 from roseweir import settings as settings_module
-from roseweir.bell import Bell
-from roseweir.chains.model import Chain, Step
-from roseweir.chains.store import Store as ChainStore
 from roseweir.cli import main
-from roseweir.drain.model import Ask, Drain
-from roseweir.drain.store import Store as DrainStore
+from roseweir.drain.model import Drain, DrainRequest
+from roseweir.drain.store import DrainStore
 from roseweir.http import Reply
-from roseweir.placement.board import Board
-from roseweir.placement.model import Phase
-from roseweir.placement.record import PLACES, Pages, mentioned
-from roseweir.placement.recorder import Recorder
-from roseweir.settings import StateSettings, load_settings
-from roseweir.state import Entry, StateClient, TooFast, TooLarge
-from roseweir.state.client import AdaptivePace, put
-from roseweir.state.commits import Commits
-from roseweir.state.keyed import Keyed
-from roseweir.state.limits import VALUE_BYTES_LEAST, Limits
-from tests import virtual
-from tests.samples import spec as job
-from tests.test_placement import CPU, NOW, new_board
-from tests.test_rules import check
+from roseweir.kv_store import Entry, KeyValueStoreClient, RateLimited, ValueTooLarge
+from roseweir.kv_store.client import AdaptiveRateLimiter, put
+from roseweir.kv_store.fenced_writes import FencedWriter
+from roseweir.kv_store.group_commit import GroupCommitter
+from roseweir.kv_store.transaction_limits import MIN_VALUE_BYTES, TransactionLimits
+from roseweir.notifier import Notifier
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_writer import LogWriter
+from roseweir.scheduler.model import PlacementPhase
+from roseweir.scheduler.write_ahead_log import LOG_PREFIX, SegmentTable, referenced_types_and_jobs
+from roseweir.settings import KeyValueStoreSettings, load_settings
+from roseweir.workflows.model import Workflow, WorkflowStep
+from roseweir.workflows.store import WorkflowStore as ChainStore
+from tests.simulation import virtual_time
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.job_specs import make_job_spec as job
+from tests.test_scheduler import CPU, NOW, new_board
 from tests.test_settings import EXAMPLE, changed
-from tests.world import World
+from tests.test_simulated_days import check
 
 MS = 1_700_000_000_000
 WIDE: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
@@ -50,14 +50,17 @@
     ],
 )
 def test_lower_of_the_limits_now_and_to_come_holds(tmp_path: Path, following: object, lower: tuple[float, ...]) -> None:
-    state = load_settings(changed(tmp_path, "params", "state", value=WIDE | {"next": following})).params.state
-    assert (state.rps, state.write_rps, state.value_kb, state.txn_ops) == lower
+    state = load_settings(changed(tmp_path, "params", "state", value=WIDE | {"next": following})).params.kv_store
+    assert (state.max_requests_per_s, state.max_writes_per_s, state.max_value_kib, state.max_txn_ops) == lower
 
 
 def test_settings_without_limits_to_come_are_as_before() -> None:
     given = orjson.loads(EXAMPLE.read_bytes())["params"]["state"]
-    state = load_settings(EXAMPLE).params.state
-    assert state.next is None and (state.value_kb, state.txn_ops) == (given["value_kb"], given["txn_ops"])
+    state = load_settings(EXAMPLE).params.kv_store
+    assert state.announced_limits is None and (state.max_value_kib, state.max_txn_ops) == (
+        given["value_kb"],
+        given["txn_ops"],
+    )
 
 
 @pytest.mark.parametrize(
@@ -113,8 +116,8 @@
             return Reply(404, orjson.dumps({"ledger": self.calls + 1}))
         return Reply(200, orjson.dumps({"path": key, "v": self.keys[key], "stamp": self.calls + 1}))
 
-    def client(self) -> StateClient:
-        return StateClient("10.0.0.1:1", msgspec.convert(WIDE, StateSettings), self.connect)
+    def client(self) -> KeyValueStoreClient:
+        return KeyValueStoreClient("10.0.0.1:1", msgspec.convert(WIDE, KeyValueStoreSettings), self.connect)
 
 
 @pytest.mark.parametrize("words", ["no", "the value is too large", "too many changes"])
@@ -123,20 +126,20 @@
     for seed in range(40):
         draw = Random(seed)
         value_bytes, txn_ops = draw.choice([2048, 4096, 8192]), draw.randint(4, 24)
-        limits = Limits(msgspec.convert(WIDE, StateSettings))
+        limits = TransactionLimits(msgspec.convert(WIDE, KeyValueStoreSettings))
         refusals = 0
         while True:
-            largest, count = limits.value_bytes, limits.txn_ops
+            largest, count = limits.max_value_bytes, limits.max_txn_ops
             if largest <= value_bytes and count <= txn_ops:
                 break
-            assert limits.refused(count, largest, "value" in words)
+            assert limits.lower_after_refusal(count, largest, "value" in words)
             refusals += 1
-        assert refusals <= 5 and limits.value_bytes >= VALUE_BYTES_LEAST and limits.txn_ops >= 4
-        assert not limits.refused(count + 1, 64, False), "sent before: nothing new"
+        assert refusals <= 5 and limits.max_value_bytes >= MIN_VALUE_BYTES and limits.max_txn_ops >= 4
+        assert not limits.lower_after_refusal(count + 1, 64, False), "sent before: nothing new"
 
 
 async def _commit_all(service: Service, changes: dict[str, int]) -> list[object]:
-    commits = Commits(service.client(), most_waiting=100)
+    commits = GroupCommitter(service.client(), max_queued=100)
     run = asyncio.create_task(commits.run())
     puts = [commits.commit([(key, 0)], [put(key, "x" * size)]) for key, size in changes.items()]
     results = await asyncio.gather(*puts, return_exceptions=True)
@@ -147,8 +150,8 @@
 def test_one_change_too_large_fails_alone() -> None:
     service = Service(2048, 8)
     sizes = {f"k{n}": 100 for n in range(20)} | {"large": 3000} | {f"l{n}": 2000 for n in range(20)}
-    results = dict(zip(sizes, virtual.run(_commit_all(service, sizes)), strict=True))
-    assert isinstance(results.pop("large"), TooLarge)
+    results = dict(zip(sizes, virtual_time.run_in_virtual_time(_commit_all(service, sizes)), strict=True))
+    assert isinstance(results.pop("large"), ValueTooLarge)
     assert all(isinstance(result, int) for result in results.values()), "the others are written"
     assert service.keys.keys() == results.keys()
 
@@ -156,43 +159,45 @@
 def test_a_change_refused_for_the_rate_is_tried_again_before_anybody_hears_of_it() -> None:
     service = Service(2048, 8)
     service.busy = 3
-    results = virtual.run(_commit_all(service, {"a": 10, "b": 10}))
+    results = virtual_time.run_in_virtual_time(_commit_all(service, {"a": 10, "b": 10}))
     assert all(isinstance(result, int) for result in results)
     service.busy = 10**6
-    assert all(isinstance(result, TooFast) for result in virtual.run(_commit_all(service, {"c": 10})))
+    assert all(
+        isinstance(result, RateLimited) for result in virtual_time.run_in_virtual_time(_commit_all(service, {"c": 10}))
+    )
 
 
 def test_pace_falls_with_refusals_and_recovers_to_what_was_set() -> None:
     async def work() -> tuple[float, float, float, float]:
-        pace = AdaptivePace(20.0)
-        assert pace.refused() and not pace.refused(), "refusals of one moment count once"
+        pace = AdaptiveRateLimiter(20.0)
+        assert pace.decrease_rate() and not pace.decrease_rate(), "refusals of one moment count once"
         once = pace.rate
         for _ in range(60):
             await asyncio.sleep(1.5)
-            pace.refused()
+            pace.decrease_rate()
         lowest = pace.rate
         await asyncio.sleep(10)
-        await pace.take()
+        await pace.acquire()
         later = pace.rate
         await asyncio.sleep(300)
-        await pace.take()
+        await pace.acquire()
         return once, lowest, later, pace.rate
 
-    once, lowest, later, last = virtual.run(work())
+    once, lowest, later, last = virtual_time.run_in_virtual_time(work())
     assert once == 16.0 and 2.0 <= lowest < 3.0 < later < last == 20.0
 
 
 def test_keys_of_one_leader_are_split_and_what_is_refused_holds_up_itself_alone() -> None:
-    async def work(service: Service) -> Keyed:
-        keyed = Keyed(service.client(), 1, "test")
+    async def work(service: Service) -> FencedWriter:
+        keyed = FencedWriter(service.client(), 1, "test")
         changes: dict[str, Any] = {f"k{n}": {"v": "x" * 1500} for n in range(12)}
-        with pytest.raises(TooLarge):
+        with pytest.raises(ValueTooLarge):
             await keyed.save(changes | {"refused": {"v": 1}} | {"last": {"v": 2}})
-        assert keyed.changes({"refused": {"v": 1}, "last": {"v": 2}}) == {"refused": {"v": 1}}
+        assert keyed.changed_values({"refused": {"v": 1}, "last": {"v": 2}}) == {"refused": {"v": 1}}
         return keyed
 
     service = Service(2048, 8)
-    virtual.run(work(service))
+    virtual_time.run_in_virtual_time(work(service))
     assert service.keys.keys() == {f"k{n}" for n in range(12)} | {"last"}
 
 
@@ -212,30 +217,32 @@
     return found
 
 
-def busy_fleet(draw: Random, machines: int) -> Board:
-    board = new_board()
-    runs = [board.add_job(job(n, tasks=4000, cpus=0.01, memory_gb=0.01), 1) for n in range(40)]
+def busy_fleet(draw: Random, machines: int) -> ClusterState:
+    cluster_state = new_board()
+    runs = [cluster_state.add_job(job(n, task_count=4000, cpus=0.01, memory_gb=0.01), 1) for n in range(40)]
     for n in range(machines):
-        machine = board.restore_machine(f"i-{n:06d}", CPU, "a", False, NOW)
+        machine = cluster_state.restore_machine(f"i-{n:06d}", CPU, "a", False, NOW)
         for run in draw.sample(runs, draw.randint(1, 12)):
             for _ in range(draw.randint(1, 3)):
-                board.restore(run, run.placed_upto, machine, board.next_attempt(), NOW).paged = True
-                run.placed_upto += 1
-    return board
+                cluster_state.restore_placement(
+                    run, run.placed_index_bound, machine, cluster_state.allocate_attempt(), NOW
+                ).is_in_segment = True
+                run.placed_index_bound += 1
+    return cluster_state
 
 
-def stored_by(value_bytes: int, board: Board) -> dict[int, Any]:
-    pages = Pages(value_bytes)
-    for name in board.machines:
-        pages.update(board, name)
-    return {number: pages.value(number) for number in pages.pages}
+def stored_by(value_bytes: int, cluster_state: ClusterState) -> dict[int, Any]:
+    pages = SegmentTable(value_bytes)
+    for name in cluster_state.machines:
+        pages.update_machine(cluster_state, name)
+    return {number: pages.encode_segment(number) for number in pages.entries_by_segment}
 
 
-def loaded(value_bytes: int, stored: dict[int, Any]) -> Pages:
-    pages = Pages(value_bytes)
+def loaded(value_bytes: int, stored: dict[int, Any]) -> SegmentTable:
+    pages = SegmentTable(value_bytes)
     for number, value in stored.items():
-        pages.load(number, value, 1)
-    pages.split()
+        pages.load_segment(number, value, 1)
+    pages.split_oversized()
     return pages
 
 
@@ -243,28 +250,28 @@
 def test_pages_of_a_higher_limit_are_split_and_no_task_is_ever_missing(seed: int) -> None:
     """Written in any order, with take-overs between: each value fits, and a reader always finds every task."""
     draw = Random(seed)
-    board = busy_fleet(draw, 60)
-    stored = stored_by(8192, board)
+    cluster_state = busy_fleet(draw, 60)
+    stored = stored_by(8192, cluster_state)
     wanted = tasks_of(stored)
     assert max(len(orjson.dumps(value)) for value in stored.values()) > 4096
     pages = loaded(2048, stored)
     writes = 0
     while True:
-        writable = [number for number in sorted(pages.dirty) if pages.writable(number)]
+        writable = [number for number in sorted(pages.dirty_segments) if pages.is_writable(number)]
         if not writable:
             break
         if draw.random() < 0.05:
             pages = loaded(2048, stored)
-            for name in pages.older:
-                pages.update(board, name)
+            for name in pages.superseded_segments:
+                pages.update_machine(cluster_state, name)
             continue
         if draw.random() < 0.3:
-            pages.update(board, draw.choice(sorted(board.machines)))
+            pages.update_machine(cluster_state, draw.choice(sorted(cluster_state.machines)))
         number = draw.choice(writable)
-        if not pages.writable(number):
+        if not pages.is_writable(number):
             continue
-        stored[number] = pages.value(number)
-        pages.written(number, 1)
+        stored[number] = pages.encode_segment(number)
+        pages.mark_written(number, 1)
         writes += 1
         assert len(orjson.dumps(stored[number])) <= 2048
         assert tasks_of(stored) == wanted
@@ -275,74 +282,80 @@
 
 
 def test_machine_that_no_value_holds_keeps_some_tasks_in_notes() -> None:
-    board = new_board()
-    machine = board.restore_machine("i-1", CPU, "a", False, NOW)
+    cluster_state = new_board()
+    machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
-        run = board.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
-        board.place(run, 0, machine, board.next_attempt(), NOW)
-    pages = Pages(2048)
+        run = cluster_state.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
+        cluster_state.add_placement(run, 0, machine, cluster_state.allocate_attempt(), NOW)
+    pages = SegmentTable(2048)
 
     def write() -> int:
-        pages.update(board, "i-1")
-        number = pages.of["i-1"]
-        assert pages.writable(number) and len(orjson.dumps(pages.value(number))) <= 2048
-        held = set(pages.placements(machine))
-        assert all(p in held for p in machine.placements.values() if p.paged), "it is in no note any more"
+        pages.update_machine(cluster_state, "i-1")
+        number = pages.segment_by_machine["i-1"]
+        assert pages.is_writable(number) and len(orjson.dumps(pages.encode_segment(number))) <= 2048
+        held = set(pages.recorded_placements(machine))
+        assert all(p in held for p in machine.placements.values() if p.is_in_segment), "it is in no note any more"
         for placement in held:
-            placement.paged = True
+            placement.is_in_segment = True
         return len(held)
 
     assert 20 < write() < 120
     while machine.placements:
         for placement in list(machine.placements.values())[:10]:
-            board.remove(placement, NOW)
+            cluster_state.remove_placement(placement, NOW)
         if machine.placements:
             held = write()
     assert held == 10
 
 
 def test_entry_of_a_higher_limit_that_no_value_holds_stays_as_stored_until_it_fits() -> None:
-    board = new_board()
-    machine = board.restore_machine("i-1", CPU, "a", False, NOW)
+    cluster_state = new_board()
+    machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
-        run = board.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
-        board.restore(run, 0, machine, board.next_attempt(), NOW).paged = True
-    board.restore_machine("i-2", CPU, "a", False, NOW)
-    board.place(board.add_job(job(900), 1), 0, board.machines["i-2"], board.next_attempt(), NOW)
-    stored = stored_by(8192, board)
+        run = cluster_state.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
+        cluster_state.restore_placement(run, 0, machine, cluster_state.allocate_attempt(), NOW).is_in_segment = True
+    cluster_state.restore_machine("i-2", CPU, "a", False, NOW)
+    cluster_state.add_placement(
+        cluster_state.add_job(job(900), 1), 0, cluster_state.machines["i-2"], cluster_state.allocate_attempt(), NOW
+    )
+    stored = stored_by(8192, cluster_state)
     pages = loaded(2048, stored)
-    first = pages.of["i-1"]
-    assert not pages.writable(first)
+    first = pages.segment_by_machine["i-1"]
+    assert not pages.is_writable(first)
     while len(machine.placements) > 10:
         before = len(machine.placements)
         for placement in list(machine.placements.values())[:10]:
-            board.remove(placement, NOW)
-        pages.update(board, "i-1")
-        assert (len(orjson.dumps(pages.value(pages.of["i-1"]))) <= 2048) == pages.writable(pages.of["i-1"])
-        assert pages.writable(pages.of["i-1"]) or before > 40
-    assert pages.writable(pages.of["i-1"])
+            cluster_state.remove_placement(placement, NOW)
+        pages.update_machine(cluster_state, "i-1")
+        assert (len(orjson.dumps(pages.encode_segment(pages.segment_by_machine["i-1"]))) <= 2048) == pages.is_writable(
+            pages.segment_by_machine["i-1"]
+        )
+        assert pages.is_writable(pages.segment_by_machine["i-1"]) or before > 40
+    assert pages.is_writable(pages.segment_by_machine["i-1"])
 
 
 class Store:
     """The recorder's state service: takes what is within its limits, refuses some keys, and can be read again."""
 
-    write_rate = 15.0
+    writes_per_s = 15.0
 
     def __init__(self, value_bytes: int = 2048, txn_ops: int = 8, learns: bool = True) -> None:
-        self.limits = Limits(msgspec.convert(WIDE, StateSettings))
+        self.transaction_limits = TransactionLimits(msgspec.convert(WIDE, KeyValueStoreSettings))
         self.value_bytes, self.txn_ops, self.learns = value_bytes, txn_ops, learns
         self.refuses: set[str] = set()
         self.keys: dict[str, Any] = {}
         self.refused = self.changes = 0
 
-    async def writes_turn(self, share: float = 0.0) -> float:
+    async def wait_for_write_capacity(self, reserved_share: float = 0.0) -> float:
         return 12.0
 
-    async def txn(self, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
+    async def compare_and_swap(self, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
         largest = max(len(orjson.dumps(op.get("v"))) for op in ops)
         if len(ops) > self.txn_ops or largest > self.value_bytes or self.refuses & {op.get("put") for op in ops}:
             self.refused += 1
-            raise TooLarge("no", self.learns and self.limits.refused(len(ops), largest, False))
+            raise ValueTooLarge(
+                "no", self.learns and self.transaction_limits.lower_after_refusal(len(ops), largest, False)
+            )
         self.changes += len(ops)
         for op in ops:
             self.keys.pop(op.get("delete", ""), None)
@@ -350,56 +363,64 @@
         return self.changes + 1
 
     def places(self) -> list[Entry]:
-        return [Entry(key, value, 1) for key, value in self.keys.items() if key.startswith(PLACES)]
+        return [Entry(key, value, 1) for key, value in self.keys.items() if key.startswith(LOG_PREFIX)]
 
 
-async def record_for(recorder: Recorder, span: float) -> None:
+async def record_for(recorder: LogWriter, span: float) -> None:
     task = asyncio.create_task(recorder.run())
-    recorder.work.set()
+    recorder.work_available.set()
     await asyncio.sleep(span)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-def start_tasks(board: Board, machines: int, each: int) -> None:
-    run = board.add_job(job(500, tasks=machines * each, cpus=0.01, memory_gb=0.01), 1)
+def start_tasks(cluster_state: ClusterState, machines: int, each: int) -> None:
+    run = cluster_state.add_job(job(500, task_count=machines * each, cpus=0.01, memory_gb=0.01), 1)
     for n in range(machines * each):
-        machine = board.restore_machine(f"i-{n % machines:06d}", CPU, "a", False, NOW)
-        board.place(run, n, machine, board.next_attempt(), NOW)
+        machine = cluster_state.restore_machine(f"i-{n % machines:06d}", CPU, "a", False, NOW)
+        cluster_state.add_placement(run, n, machine, cluster_state.allocate_attempt(), NOW)
 
 
-def is_recorded(board: Board) -> bool:
-    return all(p.phase == Phase.READY for run in board.jobs.values() for p in run.placed.values())
+def is_recorded(cluster_state: ClusterState) -> bool:
+    return all(
+        p.phase == PlacementPhase.COMMITTED for run in cluster_state.jobs.values() for p in run.placements.values()
+    )
 
 
 def test_recorder_learns_a_limit_that_no_setting_announced() -> None:
-    board = new_board()
-    start_tasks(board, 100, 12)
+    cluster_state = new_board()
+    start_tasks(cluster_state, 100, 12)
     store = Store()
-    virtual.run(record_for(Recorder(cast(StateClient, store), board, 1, Bell()), 60.0))
-    assert is_recorded(board) and 0 < store.refused <= 6
+    virtual_time.run_in_virtual_time(
+        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+    )
+    assert is_recorded(cluster_state) and 0 < store.refused <= 6
     assert all(len(orjson.dumps(value)) <= 2048 for value in store.keys.values())
 
 
 def test_checks_catch_refusals_that_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     """As before: the same was written again and again, and nothing else got through."""
-    monkeypatch.setattr(Limits, "refused", lambda *args: False)
-    monkeypatch.setattr(Recorder, "_learn_refusal", lambda *args: None)
-    board = new_board()
-    start_tasks(board, 100, 12)
+    monkeypatch.setattr(TransactionLimits, "lower_after_refusal", lambda *args: False)
+    monkeypatch.setattr(LogWriter, "_handle_refused_batch", lambda *args: None)
+    cluster_state = new_board()
+    start_tasks(cluster_state, 100, 12)
     store = Store()
-    virtual.run(record_for(Recorder(cast(StateClient, store), board, 1, Bell()), 60.0))
-    assert not is_recorded(board) and store.refused > 20
+    virtual_time.run_in_virtual_time(
+        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+    )
+    assert not is_recorded(cluster_state) and store.refused > 20
 
 
 def test_recorder_that_learns_nothing_finds_what_is_refused_and_goes_on_with_the_rest() -> None:
-    board = new_board()
-    start_tasks(board, 100, 12)
+    cluster_state = new_board()
+    start_tasks(cluster_state, 100, 12)
     store = Store(learns=False)
-    store.limits.value_bytes, store.limits.txn_ops = 2048, 8
+    store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
     store.refuses = {"places/0003", "places/note-1"}
-    virtual.run(record_for(Recorder(cast(StateClient, store), board, 1, Bell()), 60.0))
-    assert is_recorded(board) and 0 < store.refused < 60
+    virtual_time.run_in_virtual_time(
+        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+    )
+    assert is_recorded(cluster_state) and 0 < store.refused < 60
     assert "places/0002" in store.keys and "places/note-2" in store.keys
 
 
@@ -408,25 +429,27 @@
     """Pages and notes of 8 KiB: under 2 KiB no start is missing at any time, and in the end every value fits."""
     draw = Random(seed)
     wide = Store(8192, 24)
-    board = busy_fleet(draw, 60)
-    start_tasks(board, 300, 8)
-    virtual.run(record_for(Recorder(cast(StateClient, wide), board, 1, Bell()), 0.5))
+    cluster_state = busy_fleet(draw, 60)
+    start_tasks(cluster_state, 300, 8)
+    virtual_time.run_in_virtual_time(
+        record_for(LogWriter(cast(KeyValueStoreClient, wide), cluster_state, 1, Notifier()), 0.5)
+    )
     assert max(len(orjson.dumps(value)) for key, value in wide.keys.items() if "note" in key) > 4096
 
     store = Store()
-    store.limits.value_bytes, store.limits.txn_ops = 2048, 8
+    store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
     store.keys = dict(wide.keys)
     heir = new_board()
-    heir_recorder = Recorder(cast(StateClient, store), heir, 2, Bell())
-    for run in board.jobs.values():
+    heir_recorder = LogWriter(cast(KeyValueStoreClient, store), heir, 2, Notifier())
+    for run in cluster_state.jobs.values():
         heir.add_job(run.spec, 1)
 
     async def inherit() -> None:
-        heir_recorder._use([], [], store.places(), {})
+        heir_recorder._restore_state([], [], store.places(), {})
         await record_for(heir_recorder, 120.0)
 
     before = starts_in(store)
-    virtual.run(inherit())
+    virtual_time.run_in_virtual_time(inherit())
     assert store.refused == 0
     assert all(len(orjson.dumps(value)) <= 2048 for value in store.keys.values())
     assert starts_in(store) == before
@@ -434,18 +457,22 @@
 
 def starts_in(store: Store) -> dict[tuple[str, int], tuple[int, int]]:
     """Of each task the newest start that a new leader would find."""
-    board = new_board()
-    recorder = Recorder(cast(StateClient, store), board, 3, Bell())
+    cluster_state = new_board()
+    recorder = LogWriter(cast(KeyValueStoreClient, store), cluster_state, 3, Notifier())
     for entry in store.places():
-        for job_id in mentioned(entry.value)[1]:
-            if job_id not in board.jobs:
-                board.add_job(job(int(job_id[2:]), tasks=4000, cpus=0.01, memory_gb=0.01), 1)
+        for job_id in referenced_types_and_jobs(entry.value)[1]:
+            if job_id not in cluster_state.jobs:
+                cluster_state.add_job(job(int(job_id[2:]), task_count=4000, cpus=0.01, memory_gb=0.01), 1)
 
     async def use() -> None:
-        recorder._use([], [], store.places(), {})
+        recorder._restore_state([], [], store.places(), {})
 
-    virtual.run(use())
-    return {(p.run.spec.id, p.index): (p.attempt, p.serial) for run in board.jobs.values() for p in run.placed.values()}
+    virtual_time.run_in_virtual_time(use())
+    return {
+        (p.run.spec.id, p.index): (p.attempt, p.replacement_number)
+        for run in cluster_state.jobs.values()
+        for p in run.placements.values()
+    }
 
 
 # -- days on which the limits fall ---------------------------------------------------------------
@@ -455,27 +482,27 @@
 LENGTH, FALLS_BY, USERS_UNTIL = 120.0, 45.0, 84.0
 
 
-class Fall(World):
+class Fall(SimulatedCluster):
     """Limits fall at a drawn instant, announced or not; what is asked for before the last 40 s has to end."""
 
-    def __init__(self, seed: int, announced: bool, also: str = "", calm: bool = True) -> None:
+    def __init__(self, seed: int, announced: bool, also: str = "", is_calm: bool = True) -> None:
         state = HIGH | ({"next": LOW} if announced else {})
-        super().__init__(seed, calm=calm, scale=3, params={"state": state})
+        super().__init__(seed, is_calm=is_calm, scale=3, params_override={"state": state})
         self.also = also
-        self.spawn_later(lambda _: self._fall())
+        self.schedule_action(lambda _: self._fall())
 
     async def _fall(self) -> None:
-        await asyncio.sleep(self.draw.uniform(10.0, FALLS_BY))
+        await asyncio.sleep(self.rng.uniform(10.0, FALLS_BY))
         if self.also == "outage":
-            self.state.out = True
+            self.state.is_down = True
             await asyncio.sleep(2.0)
-        self.state.lower(**LOW)
+        self.state.lower_limits(**LOW)
         if self.also == "outage":
             await asyncio.sleep(2.0)
-            self.state.outage_ends()
+            self.state.end_outage()
         if self.also == "take-over":
-            await asyncio.sleep(self.draw.uniform(0.5, 5.0))
-            node = self.leader()
+            await asyncio.sleep(self.rng.uniform(0.5, 5.0))
+            node = self.current_leader()
             node.crash()
             await asyncio.sleep(3.0)
             node.start()
@@ -483,36 +510,36 @@
     def make_job(self) -> dict[str, Any]:
         """Arrays of many small tasks: a machine holds tasks of many jobs, and what is recorded outgrows 2 KiB."""
         plain = {"accelerators": 0.0, "shape": "sweep", "rank": "normal", "builds": None, "mistaken": False}
-        more = {"parcels": self.draw.randint(40, 160), "cores": 0.05, "memory_gb": 0.05, "together": False}
+        more = {"parcels": self.rng.randint(40, 160), "cores": 0.05, "memory_gb": 0.05, "together": False}
         rest = {"yard": None, "scatter": False, "guess_s": 8.0, "crew": "t0", "due_s": None}
         return super().make_job() | plain | more | rest
 
     @property
     def unfinished(self) -> list[str]:
-        return sorted(job for job in self.accepted - set(self.told_over) if job not in self.asked_cancel)
+        return sorted(job for job in self.accepted_jobs - set(self.observed_ends) if job not in self.cancel_requested)
 
 
 def played(seed: int, announced: bool, also: str = "") -> Fall:
-    world = Fall(seed, announced, also)
-    world.play(length=LENGTH, jobs=20)
-    return world
+    cluster = Fall(seed, announced, also)
+    cluster.run(length_s=LENGTH, job_count=20)
+    return cluster
 
 
 @pytest.mark.parametrize("also", ["", "outage", "take-over"])
 @pytest.mark.parametrize("announced", [True, False])
 def test_limits_fall_in_mid_run_and_all_jobs_end(announced: bool, also: str) -> None:
     for seed in range(8100, 8102):
-        world = played(seed, announced, also)
-        check(world)
-        assert world.state.fallen is not None and world.accepted and world.unfinished == []
+        cluster = played(seed, announced, also)
+        check(cluster)
+        assert cluster.state.lowered_limits is not None and cluster.accepted_jobs and cluster.unfinished == []
         if announced:
-            assert world.state.fallen.too_large == 0, "nothing beyond the limits to come was written"
+            assert cluster.state.lowered_limits.too_large_count == 0, "nothing beyond the limits to come was written"
 
 
 def test_days_catch_limits_to_come_that_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settings_module, "_lower", lambda now, later: now)
-    fallen = [played(seed, True).state.fallen for seed in range(8100, 8102)]
-    assert any(limits is not None and limits.too_large for limits in fallen)
+    monkeypatch.setattr(settings_module, "_minimum", lambda now, later: now)
+    fallen = [played(seed, True).state.lowered_limits for seed in range(8100, 8102)]
+    assert any(limits is not None and limits.too_large_count for limits in fallen)
 
 
 # -- other records of an earlier leader's --------------------------------------------------------
@@ -527,40 +554,44 @@
         service = Service(8192, 24)
         wide = ChainStore(service.client(), 1)
         chains = {name: chain_of(name, draw.randint(1, 4)) for name in (f"c-{n:03d}" for n in range(60))}
-        numbers = {number for number in map(wide.place, chains.values()) if number is not None}
-        await wide.save({ChainStore.key(n): wide.value(n, chains) for n in numbers})
+        numbers = {number for number in map(wide.assign_page, chains.values()) if number is not None}
+        await wide.save({ChainStore.page_key(n): wide.encode_page(n, chains) for n in numbers})
         stored = [Entry(key, value, 1) for key, value in service.keys.items()]
         client = Service(2048, 8).client()
-        client.limits.value_bytes, client.limits.txn_ops = 2048, 8
+        client.transaction_limits.max_value_bytes, client.transaction_limits.max_txn_ops = 2048, 8
         store = ChainStore(client, 2)
-        found = store.use(stored)
-        assert found.keys() == chains.keys() and store.oversized()
-        old = store.oversized()
-        order = dict.fromkeys([*store.split(found), *sorted(old)])
+        found = store.restore(stored)
+        assert found.keys() == chains.keys() and store.oversized_pages()
+        old = store.oversized_pages()
+        order = dict.fromkeys([*store.split_oversized_pages(found), *sorted(old)])
         keys = {entry.key: entry.value for entry in stored}
         for number in order:
-            keys[ChainStore.key(number)] = value = store.value(number, found)
+            keys[ChainStore.page_key(number)] = value = store.encode_page(number, found)
             assert len(orjson.dumps(value)) <= 2048
             reader = ChainStore(client, 3)
-            assert reader.use([Entry(key, keys[key], 1) for key in sorted(keys)]) == chains
-        assert not store.oversized()
+            assert reader.restore([Entry(key, keys[key], 1) for key in sorted(keys)]) == chains
+        assert not store.oversized_pages()
 
-    virtual.run(work())
+    virtual_time.run_in_virtual_time(work())
 
 
 def test_drains_of_a_higher_limit_end_within_the_lower_one() -> None:
     client = Service(2048, 8).client()
-    client.limits.value_bytes = 2048
+    client.transaction_limits.max_value_bytes = 2048
     store = DrainStore(client, 1)
-    named = Drain(Ask("d", machines=[f"i-{n:06d}" for n in range(400)]), MS, MS, 0.0, "i-999999")
-    assert not store.holds(named) and store.holds(Drain(Ask("e", machines=["i-1"]), MS, MS, 0.0, "i-9"))
-    ended = msgspec.structs.replace(named, outcome="done", ended_ms=MS)
-    assert len(orjson.dumps(store.ended(ended))) <= 2048
-    assert msgspec.convert(store.ended(ended), Drain).outcome == "done"
-    moves = store.moves({"plans": [], "moved": {f"j-{n:06d}-long-name-of-a-replica/{n}": n for n in range(60)}})
+    named = Drain(DrainRequest("d", machines=[f"i-{n:06d}" for n in range(400)]), MS, MS, 0.0, "i-999999")
+    assert not store.fits_value(named) and store.fits_value(
+        Drain(DrainRequest("e", machines=["i-1"]), MS, MS, 0.0, "i-9")
+    )
+    ended = msgspec.structs.replace(named, outcome="done", ended_at_ms=MS)
+    assert len(orjson.dumps(store.encode_ended_drain(ended))) <= 2048
+    assert msgspec.convert(store.encode_ended_drain(ended), Drain).outcome == "done"
+    moves = store.fit_rebalancing(
+        {"plans": [], "moved": {f"j-{n:06d}-long-name-of-a-replica/{n}": n for n in range(60)}}
+    )
     assert len(orjson.dumps(moves)) <= 2048 and max(moves["moved"].values()) == 59
 
 
-def chain_of(name: str, steps: int) -> Chain:
-    made = [Step(f"{name}-step-{n}", "import", list(range(n)), []) for n in range(steps)]
-    return Chain(name, 1, "t0", MS, MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], made)
+def chain_of(name: str, steps: int) -> Workflow:
+    made = [WorkflowStep(f"{name}-step-{n}", "import", list(range(n)), []) for n in range(steps)]
+    return Workflow(name, 1, "t0", MS, MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], made)
