--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -8,11 +8,18 @@
 import pytest
 
 from roseweir.http import Request, Unreachable
-from roseweir.state import Conflict, StateClient
-from roseweir.state.commits import Commits
-from roseweir.submissions.progress import chunks_of, decode_bits, encode_bits
-from tests import virtual
-from tests.world import Cloud, Node, State, World, settings, wall_time
+from roseweir.kv_store import CompareFailed, KeyValueStoreClient
+from roseweir.kv_store.group_commit import GroupCommitter
+from roseweir.submissions.task_bitmap import chunk_numbers, decode_task_numbers, encode_bitmap
+from tests.simulation import virtual_time
+from tests.simulation.cluster import (
+    SimulatedCloud,
+    SimulatedCluster,
+    SimulatedController,
+    SimulatedKeyValueStore,
+    make_settings,
+    virtual_wall_clock,
+)
 
 
 def job(**more: Any) -> dict[str, Any]:
@@ -41,32 +48,32 @@
     return {k: v for k, v in (fields | more).items() if v is not ...}
 
 
-Scene = Callable[[World], Awaitable[None]]
+Scene = Callable[[SimulatedCluster], Awaitable[None]]
 
 
 def play(scene: Scene) -> None:
     async def main() -> None:
-        world = World(1, calm=True)
-        world.state, world.cloud = State(world), Cloud(world)
-        world.nodes = [Node(world, i) for i in range(3)]
-        with wall_time():
-            for node in world.nodes:
+        cluster = SimulatedCluster(1, is_calm=True)
+        cluster.state, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
+        cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
+        with virtual_wall_clock():
+            for node in cluster.nodes:
                 node.start()
             await asyncio.sleep(2)
-            await scene(world)
-            for node in world.nodes:
+            await scene(cluster)
+            for node in cluster.nodes:
                 node.crash()
             await asyncio.sleep(0)
-        assert not world.errors
+        assert not cluster.errors
 
-    virtual.run(main())
+    virtual_time.run_in_virtual_time(main())
 
 
-async def ask(world: World, method: str, path: str, body: Any = None, node: int = 0) -> tuple[int, Any]:
-    service = world.nodes[node].service
+async def ask(cluster: SimulatedCluster, method: str, path: str, body: Any = None, node: int = 0) -> tuple[int, Any]:
+    service = cluster.nodes[node].service
     assert service is not None
     raw = body if isinstance(body, bytes) else orjson.dumps(body) if body is not None else b""
-    response = await service.public(Request(method, path, raw))
+    response = await service.serve_public(Request(method, path, raw))
     if response.status in (429, 503):
         assert any(name == "retry-after" for name, _ in response.headers)
     return response.status, orjson.loads(response.body)
@@ -105,60 +112,60 @@
 
 
 def test_statuses_of_submissions() -> None:
-    async def scene(world: World) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for body in BAD:
-            assert (await ask(world, "POST", "/submissions", body))[0] == 400, body
+            assert (await ask(cluster, "POST", "/submissions", body))[0] == 400, body
         for body in NEVER:
-            assert (await ask(world, "POST", "/submissions", body))[0] == 422, body
-        assert (await ask(world, "GET", "/submissions/j-000412"))[0] == 404
-        assert (await ask(world, "POST", "/submissions/j-000412/cancel"))[0] == 404
+            assert (await ask(cluster, "POST", "/submissions", body))[0] == 422, body
+        assert (await ask(cluster, "GET", "/submissions/j-000412"))[0] == 404
+        assert (await ask(cluster, "POST", "/submissions/j-000412/cancel"))[0] == 404
         plain = job(builds=..., yard=..., due_s=...)
-        assert await ask(world, "POST", "/submissions", plain) == (
+        assert await ask(cluster, "POST", "/submissions", plain) == (
             201,
             {"name_id": "j-000412", "standing": "queued"},
         )
         # A known id is answered 200 before anything else about the request can refuse it.
         for body in (job(), job(cores=-1.0), job(crew="nobody"), job(parcels=0)):
-            assert (await ask(world, "POST", "/submissions", body, node=2))[0] == 200
-        status, answer = await ask(world, "GET", "/submissions/j-000412", node=1)
+            assert (await ask(cluster, "POST", "/submissions", body, node=2))[0] == 200
+        status, answer = await ask(cluster, "GET", "/submissions/j-000412", node=1)
         assert (status, answer["standing"]) == (200, "queued")
         cancelled = (200, {"name_id": "j-000412", "standing": "aborted"})
-        assert await ask(world, "POST", "/submissions/j-000412/cancel", node=1) == cancelled
-        assert await ask(world, "POST", "/submissions/j-000412/cancel") == cancelled
+        assert await ask(cluster, "POST", "/submissions/j-000412/cancel", node=1) == cancelled
+        assert await ask(cluster, "POST", "/submissions/j-000412/cancel") == cancelled
         for node in range(3):
-            assert (await ask(world, "POST", "/submissions", job(), node=node)) == cancelled
+            assert (await ask(cluster, "POST", "/submissions", job(), node=node)) == cancelled
 
     play(scene)
 
 
 def test_outage_and_unknown_machine_types_get_503_not_a_guess() -> None:
-    async def scene(world: World) -> None:
-        await ask(world, "POST", "/submissions", job())
-        service = world.nodes[0].service
+    async def scene(cluster: SimulatedCluster) -> None:
+        await ask(cluster, "POST", "/submissions", job())
+        service = cluster.nodes[0].service
         assert service is not None
-        service.desk.catalog = None
-        assert (await ask(world, "POST", "/submissions", job(name_id="j-000001")))[0] == 503
-        assert (await ask(world, "POST", "/submissions", job()))[0] == 200
-        world.state.out = True
+        service.submission_handlers.catalog = None
+        assert (await ask(cluster, "POST", "/submissions", job(name_id="j-000001")))[0] == 503
+        assert (await ask(cluster, "POST", "/submissions", job()))[0] == 200
+        cluster.state.is_down = True
         for method, path in (("GET", ""), ("POST", "/cancel")):
-            assert (await ask(world, method, f"/submissions/j-000412{path}", node=1))[0] == 503
-        assert (await ask(world, "POST", "/submissions", job(name_id="j-000002"), node=1))[0] == 503
-        assert (await ask(world, "GET", "/submissions/j-000003", node=1))[0] == 503
+            assert (await ask(cluster, method, f"/submissions/j-000412{path}", node=1))[0] == 503
+        assert (await ask(cluster, "POST", "/submissions", job(name_id="j-000002"), node=1))[0] == 503
+        assert (await ask(cluster, "GET", "/submissions/j-000003", node=1))[0] == 503
 
     play(scene)
 
 
 def test_flood_of_polls_is_refused_cheaply_and_does_not_starve_the_leader() -> None:
-    async def scene(world: World) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(5)
-        leader = world.leader()
-        term = leader.service.leadership.term if leader.service else None
-        floods = [ask(world, "GET", f"/submissions/j-7{i:06d}", node=i % 3) for i in range(3000)]
+        leader = cluster.current_leader()
+        term = leader.service.leader_election.leader_lease if leader.service else None
+        floods = [ask(cluster, "GET", f"/submissions/j-7{i:06d}", node=i % 3) for i in range(3000)]
         statuses = [status for status, _ in await asyncio.gather(*floods)]
         assert set(statuses) <= {404, 429} and statuses.count(429) > 2000
-        assert (await ask(world, "GET", "/healthz"))[0] == 200
+        assert (await ask(cluster, "GET", "/healthz"))[0] == 200
         await asyncio.sleep(5)
-        assert leader.service is not None and leader.service.leadership.term is term
+        assert leader.service is not None and leader.service.leader_election.leader_lease is term
 
     play(scene)
 
@@ -166,11 +173,11 @@
 def test_polls_that_wait_share_one_read() -> None:
     """With a read each, the polls of a swarm of small jobs took the leader's renewals with them."""
 
-    async def scene(world: World) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         for i in range(40):
-            assert (await ask(world, "POST", "/submissions", job(name_id=f"j-{i:06d}")))[0] == 201
+            assert (await ask(cluster, "POST", "/submissions", job(name_id=f"j-{i:06d}")))[0] == 201
         reads = 0
-        handle = world.state.handle
+        handle = cluster.state.handle
 
         async def counted(node: str, method: str, path: str, body: Any) -> Any:
             nonlocal reads
@@ -178,44 +185,44 @@
             reads += node == "n1" and (path.startswith("/store/") or "block_ms=0" in path)
             return await handle(node, method, path, body)
 
-        world.state.handle = counted  # type: ignore[method-assign]
-        polls = [ask(world, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
+        cluster.state.handle = counted  # type: ignore[method-assign]
+        polls = [ask(cluster, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
         answers = await asyncio.gather(*polls)
         assert {status for status, _ in answers} == {200}
         assert reads <= 3
-        assert (await ask(world, "POST", "/submissions/j-000007/cancel", node=0))[0] == 200
-        assert (await ask(world, "GET", "/submissions/j-000007", node=1))[1]["standing"] == "aborted"
+        assert (await ask(cluster, "POST", "/submissions/j-000007/cancel", node=0))[0] == 200
+        assert (await ask(cluster, "GET", "/submissions/j-000007", node=1))[1]["standing"] == "aborted"
 
     play(scene)
 
 
 def test_a_guests_swarm_is_told_when_to_come_back_and_an_owners_job_goes_through() -> None:
-    async def scene(world: World) -> None:
+    async def scene(cluster: SimulatedCluster) -> None:
         def guest(i: int) -> dict[str, Any]:
             wire = job(name_id=f"j-1{i:05d}", crew="guest", accelerators=0.0, parcels=1)
-            return world.jobs.setdefault(wire["name_id"], wire)
+            return cluster.jobs.setdefault(wire["name_id"], wire)
 
-        statuses = [(await ask(world, "POST", "/submissions", guest(i)))[0] for i in range(600)]
+        statuses = [(await ask(cluster, "POST", "/submissions", guest(i)))[0] for i in range(600)]
         assert statuses[:20] == [201] * 20
         assert set(statuses) == {201, 429} and statuses.count(429) > 100
-        owners = world.jobs.setdefault("j-000412", job())  # a worker may get one of its tasks at once
-        assert (await ask(world, "POST", "/submissions", owners))[0] == 201
+        owners = cluster.jobs.setdefault("j-000412", job())  # a worker may get one of its tasks at once
+        assert (await ask(cluster, "POST", "/submissions", owners))[0] == 201
         # A retry of an accepted job is answered as such, however full the share is.
-        assert (await ask(world, "POST", "/submissions", guest(0)))[0] == 200
+        assert (await ask(cluster, "POST", "/submissions", guest(0)))[0] == 200
 
     play(scene)
 
 
 def test_group_commit_keeps_a_conflict_to_itself() -> None:
-    async def scene(world: World) -> None:
-        state = StateClient("10.2.0.1:1", settings(0).params.state, world.nodes[0].connect)
-        commits = Commits(state, 100)
-        world.spawn(commits.run())
-        await state.txn([], [{"put": "x/5", "v": 1}])
+    async def scene(cluster: SimulatedCluster) -> None:
+        state = KeyValueStoreClient("10.2.0.1:1", make_settings(0).params.kv_store, cluster.nodes[0].connect)
+        commits = GroupCommitter(state, 100)
+        cluster.spawn(commits.run())
+        await state.compare_and_swap([], [{"put": "x/5", "v": 1}])
         done = await asyncio.gather(
             *(commits.commit([(f"x/{i}", 0)], [{"put": f"x/{i}", "v": i}]) for i in range(60)), return_exceptions=True
         )
-        assert [i for i, result in enumerate(done) if isinstance(result, Conflict)] == [5]
+        assert [i for i, result in enumerate(done) if isinstance(result, CompareFailed)] == [5]
         assert all(isinstance(result, int) for i, result in enumerate(done) if i != 5)
 
     play(scene)
@@ -223,18 +230,18 @@
 
 @pytest.mark.parametrize("ran", [True, False])
 def test_transaction_without_an_answer_is_resolved_by_reading(ran: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(world: World) -> None:
-        service = world.nodes[0].service
+    async def scene(cluster: SimulatedCluster) -> None:
+        service = cluster.nodes[0].service
         assert service is not None
-        txn = service.state.txn
+        txn = service.kv_store.compare_and_swap
 
         async def unanswered(guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
             if ran:
                 await txn(guards, ops)
             raise Unreachable("no answer")
 
-        monkeypatch.setattr(service.state, "txn", unanswered)
-        status, _ = await ask(world, "POST", "/submissions", job())
+        monkeypatch.setattr(service.kv_store, "compare_and_swap", unanswered)
+        status, _ = await ask(cluster, "POST", "/submissions", job())
         assert status == (200 if ran else 503)
 
     play(scene)
@@ -242,7 +249,7 @@
 
 def test_largest_job_fits_the_value_size() -> None:
     done = bytearray(b"\xa5" * 1024)
-    text = encode_bits(bytes(done))
+    text = encode_bitmap(bytes(done))
     assert len(text) < 2048
-    assert list(decode_bits(text, 8192))[:3] == [8192, 8194, 8197]
-    assert len(chunks_of(100_000)) == 13
+    assert list(decode_task_numbers(text, 8192))[:3] == [8192, 8194, 8197]
+    assert len(chunk_numbers(100_000)) == 13
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -10,9 +10,9 @@
 
 from benchmarks import traffic
 from benchmarks.traffic import Message, first_difference, make_world, play
-from roseweir.leadership import leadership
+from roseweir.kv_store import KeyValueStoreClient
+from roseweir.leader_election import election
 from roseweir.settings import Peer
-from roseweir.state import StateClient
 from tests import versions
 from tests.versions import PRESENT, Version, production
 
@@ -38,22 +38,22 @@
 
 
 def test_a_retry_one_millisecond_later_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "RETRY", leadership.RETRY + timedelta(milliseconds=1))
+    monkeypatch.setattr(election, "RETRY_INTERVAL", election.RETRY_INTERVAL + timedelta(milliseconds=1))
     difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
     assert difference is not None and "base: " in difference and "present: " in difference
 
 
 def test_one_more_read_of_the_state_service_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
-    plain: Callable[..., Any] = StateClient.get
+    plain: Callable[..., Any] = KeyValueStoreClient.get
     calls: list[str] = []
 
-    async def get(self: StateClient, key: str, *more: Any, **options: Any) -> Any:
+    async def get(self: KeyValueStoreClient, key: str, *more: Any, **options: Any) -> Any:
         calls.append(key)
         if len(calls) == 10:
             await plain(self, key, *more, **options)
         return await plain(self, key, *more, **options)
 
-    monkeypatch.setattr(StateClient, "get", get)
+    monkeypatch.setattr(KeyValueStoreClient, "get", get)
     difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
     assert len(calls) > 10
     assert difference is not None and "/store/" in difference
@@ -83,7 +83,11 @@
 
 def test_the_seed_alone_makes_the_world() -> None:
     one, other = make_world(SEED, PRESENT), make_world(SEED, production())
-    assert (type(one), one.controllers, one.skew) == (type(other), other.controllers, other.skew)
+    assert (type(one), one.controller_count, one.max_clock_skew_s) == (
+        type(other),
+        other.controller_count,
+        other.max_clock_skew_s,
+    )
 
 
 def test_the_hash_seed_is_fixed_by_a_second_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -135,8 +139,8 @@
     assert (peer.name, peer.zone, peer.address) == ("n1", "a", "10.0.0.2:8081")
     assert old.attribute(peer, "label") == "n1"
     # A class that has moved to a module of another origin.
-    monkeypatch.setitem(versions.NAMES_IN_HISTORY, "service:MovedPeer", "settings:Peer")
-    assert old.find("service", "MovedPeer") is old.find("settings", "Peer")
+    monkeypatch.setitem(versions.NAMES_IN_HISTORY, "controller.process:MovedPeer", "settings:Peer")
+    assert old.find("controller.process", "MovedPeer") is old.find("settings", "Peer")
 
 
 def test_a_version_without_the_old_name_has_the_present_one(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_unanswered_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -10,23 +10,30 @@
 
 import pytest
 
-from roseweir.clock import steady
+from roseweir.clock import monotonic_now
 from roseweir.http import Reply, Request, Unreachable
-from roseweir.leadership.messages import LEADER
-from roseweir.state import Conflict, Entry, Trouble
-from roseweir.state.client import PATIENCE, put
-from roseweir.state.commits import Commits
-from roseweir.state.lookup import LeaderWrites, _canonical
-from roseweir.submissions.jobs import LIVE, OVER
-from roseweir.submissions.proofs import KeyProof, Proofs
-from tests import virtual
+from roseweir.kv_store import CompareFailed, Entry, StoreError
+from roseweir.kv_store.client import REQUEST_TIMEOUT, put
+from roseweir.kv_store.group_commit import GroupCommitter
+from roseweir.kv_store.write_confirmation import LeaderTransactions, _canonical_json
+from roseweir.leader_election.messages import LEADER_KEY
+from roseweir.submissions.idempotency import KeyConfirmation, WriteConfirmations
+from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX
+from tests.simulation import virtual_time
+from tests.simulation.cluster import (
+    SimulatedCloud,
+    SimulatedCluster,
+    SimulatedController,
+    SimulatedKeyValueStore,
+    virtual_now,
+    virtual_wall_clock,
+)
 from tests.test_submissions import job
-from tests.world import Cloud, Node, State, World, now, wall_time
 
 Patch = pytest.MonkeyPatch
 Body = dict[str, Any]
 AT_ONCE, LATE, NEVER = "at once", "late", "never"
-GIVEN_UP = PATIENCE.total_seconds()
+GIVEN_UP = REQUEST_TIMEOUT.total_seconds()
 STATE = {"rps": 120.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 24}
 SOON = 0.2
 
@@ -38,7 +45,7 @@
 class Day:
     """What users were told, each answer checked against the state service in the instant in which it is given."""
 
-    world: World
+    world: SimulatedCluster
     share: float
     fate: Callable[[Random], str]
     wrong: list[str] = field(default_factory=list)
@@ -55,7 +62,7 @@
         self.world.state.handle = self.handle  # type: ignore[method-assign]
 
     async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
-        self.asked[int(now())] += 1
+        self.asked[int(virtual_now())] += 1
         if self.draw.random() < 0.01:
             await asyncio.sleep(self.draw.uniform(0.1, 0.4))
         if path != "/txn" or self.draw.random() >= self.share:
@@ -78,7 +85,7 @@
 
         node = self.draw.choice(self.world.nodes)
         request = Request(method, path, b"" if body is None else orjson.dumps(body))
-        response = await node.serve(lambda service: service.public(request))
+        response = await node.serve(lambda service: service.serve_public(request))
         assert response is not None
         return response.status, orjson.loads(response.body)
 
@@ -89,8 +96,8 @@
         if status not in (200, 201):
             return
         self.accepted.add(job_id)
-        over = keys.get(OVER + job_id)
-        if LIVE + job_id not in keys and over is None:
+        over = keys.get(COMPLETED_JOB_PREFIX + job_id)
+        if LIVE_JOB_PREFIX + job_id not in keys and over is None:
             self.wrong.append(f"{job_id} is called accepted, and is not")
         told = answer["standing"]
         if told in ("aborted", "done"):
@@ -102,27 +109,27 @@
     async def submit(self, wire: Body, first: bool = True) -> None:
         job_id = wire["name_id"]
         for _ in range(20):
-            sent = now()
+            sent = virtual_now()
             was_over = job_id in self.ended
             status, answer = await self.ask("POST", "/submissions", wire)
             self.check(status, answer, job_id)
             if first:
-                self.took.append(now() - sent if status in (200, 201) else 1e9)
+                self.took.append(virtual_now() - sent if status in (200, 201) else 1e9)
                 first = False
             if status in (200, 201):
                 if was_over and answer["standing"] not in ("aborted", "done"):
                     self.wrong.append(f"{job_id} was over, and is called {answer['standing']}")
                 return
-            self.gave_up.append(now() - sent)
+            self.gave_up.append(virtual_now() - sent)
             await asyncio.sleep(1)
 
     async def cancel(self, job_id: str) -> None:
         for _ in range(20):
-            sent = now()
+            sent = virtual_now()
             status, answer = await self.ask("POST", f"/submissions/{job_id}/cancel")
             self.check(status, answer, job_id)
             if status == 200:
-                self.cancels.append(now() - sent)
+                self.cancels.append(virtual_now() - sent)
                 return
             await asyncio.sleep(1)
 
@@ -155,32 +162,32 @@
 
 def play(seed: int, share: float, fate: Callable[[Random], str], jobs: int = 160) -> Day:
     async def main() -> Day:
-        world = World(seed, calm=True, params={"state": STATE})
-        world.state, world.cloud = State(world), Cloud(world)
-        world.nodes = [Node(world, i) for i in range(3)]
-        with wall_time():
-            for node in world.nodes:
+        cluster = SimulatedCluster(seed, is_calm=True, params_override={"state": STATE})
+        cluster.state, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
+        cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
+        with virtual_wall_clock():
+            for node in cluster.nodes:
                 node.start()
             await asyncio.sleep(5)
-            day = Day(world, share, fate)
+            day = Day(cluster, share, fate)
             users = []
             for number in range(jobs):
-                users.append(world.spawn(day.user(number)))
+                users.append(cluster.spawn(day.user(number)))
                 await asyncio.sleep(day.draw.expovariate(4.0))
             await asyncio.wait(users)
-            left = {job_id for job_id in day.ended if LIVE + job_id in world.state.keys}
+            left = {job_id for job_id in day.ended if LIVE_JOB_PREFIX + job_id in cluster.state.keys}
             await asyncio.sleep(14)  # all that was held has run
-            left |= {job_id for job_id in day.ended if LIVE + job_id in world.state.keys}
+            left |= {job_id for job_id in day.ended if LIVE_JOB_PREFIX + job_id in cluster.state.keys}
             day.wrong += [f"{job_id} is over, and lives" for job_id in sorted(left)]
-            for node in world.nodes:
+            for node in cluster.nodes:
                 node.crash()
-            for task in list(world.tasks):
+            for task in list(cluster.tasks):
                 task.cancel()
             await asyncio.sleep(0)
-        assert not world.errors, world.errors
+        assert not cluster.errors, cluster.errors
         return day
 
-    return virtual.run(main())  # type: ignore[no-any-return]
+    return virtual_time.run_in_virtual_time(main())  # type: ignore[no-any-return]
 
 
 SEEDS = range(7900, 7904)
@@ -221,33 +228,33 @@
 
 
 def missing_is_failed(patch: Patch) -> None:
-    prove = Commits._prove
+    prove = GroupCommitter._confirm_change
 
-    async def hasty(self: Commits, change: Any, proof: Any) -> None:
-        if await proof() is None and not change.done.done():
-            change.done.set_exception(Trouble("it did not run"))
+    async def hasty(self: GroupCommitter, change: Any, proof: Any) -> None:
+        if await proof() is None and not change.result.done():
+            change.result.set_exception(StoreError("it did not run"))
         await prove(self, change, proof)
 
-    patch.setattr(Commits, "_prove", hasty)
+    patch.setattr(GroupCommitter, "_confirm_change", hasty)
 
 
 def any_look_is_proof(patch: Patch) -> None:
     """A job is called accepted as soon as anything is read."""
 
-    def live(self: Proofs, job_id: str) -> Any:
+    def live(self: WriteConfirmations, job_id: str) -> Any:
         async def proof() -> int | None:
-            return (await self._view.look_up(job_id)).revision
+            return (await self._live_job_cache.read_liveness(job_id)).revision
 
-        return KeyProof(proof)
+        return KeyConfirmation(proof)
 
-    patch.setattr(Proofs, "live", live)
+    patch.setattr(WriteConfirmations, "job_accepted", live)
 
 
 def no_lookups(patch: Patch) -> None:
-    async def nothing(self: Commits, batch: Any) -> None:
+    async def nothing(self: GroupCommitter, batch: Any) -> None:
         await asyncio.Event().wait()
 
-    patch.setattr(Commits, "_pursue", nothing)
+    patch.setattr(GroupCommitter, "_confirm_or_resend", nothing)
 
 
 def test_a_missing_key_taken_for_a_failed_write_is_caught(monkeypatch: Patch) -> None:
@@ -273,22 +280,22 @@
 
     def __init__(self, seed: int) -> None:
         self.draw = Random(seed)
-        self.state = State(World(seed, calm=True))
-        self.state.txn({"guards": [], "then": [put(LEADER, {"term": 1})]})
+        self.state = SimulatedKeyValueStore(SimulatedCluster(seed, is_calm=True))
+        self.state.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 1})]})
         self.ran: dict[int, int] = {}  # by the number of a transaction, the revision that it made
         self.sent = 0
         self.at_once: set[int] = set()  # those that were carried out as they were sent, or had their conflict
         self.held: set[asyncio.Task[None]] = set()
 
-    async def get(self, key: str, patience: timedelta = PATIENCE) -> Entry | None:
+    async def get(self, key: str, timeout: timedelta = REQUEST_TIMEOUT) -> Entry | None:
         await asyncio.sleep(0.005)
         found = self.state.keys.get(key)
         return None if found is None else Entry(key, found[0], found[1])
 
     def carry_out(self, number: int, guards: list[tuple[str, int]], ops: list[Body]) -> int:
-        answer = self.state.txn({"guards": [{"path": k, "stamp": v} for k, v in guards], "then": ops})
+        answer = self.state.commit_transaction({"guards": [{"path": k, "stamp": v} for k, v in guards], "then": ops})
         if answer.status == 409:
-            raise Conflict(answer.json()["failed"])
+            raise CompareFailed(answer.json()["failed"])
         self.ran[number] = int(answer.json()["ledger"])
         return self.ran[number]
 
@@ -296,10 +303,10 @@
         await asyncio.sleep(self.draw.uniform(0.1, 6))
         try:
             self.carry_out(number, guards, ops)
-        except Conflict:
+        except CompareFailed:
             pass
 
-    async def txn(self, guards: list[tuple[str, int]], ops: list[Body]) -> int:
+    async def compare_and_swap(self, guards: list[tuple[str, int]], ops: list[Body]) -> int:
         self.sent += 1
         number, luck = self.sent, self.draw.random()
         await asyncio.sleep(0.005)
@@ -310,7 +317,7 @@
         if luck < 0.6:
             try:
                 self.carry_out(number, guards, ops)
-            except Conflict:
+            except CompareFailed:
                 pass
         elif luck < 0.95:
             self.held.add(asyncio.create_task(self.hold(number, guards, ops)))
@@ -325,8 +332,8 @@
     """
     store = Scripted(seed)
     draw = store.draw
-    leader = store.state.keys[LEADER][1]
-    writes = LeaderWrites(store, leader, written_once=("over/",), resend=resend)  # type: ignore[arg-type]
+    leader = store.state.keys[LEADER_KEY][1]
+    writes = LeaderTransactions(store, leader, write_once_prefixes=("over/",), may_resend=resend)  # type: ignore[arg-type]
     ended: set[str] = set()
     wrong: list[str] = []
     took: list[float] = []
@@ -335,11 +342,11 @@
 
     async def successor() -> None:
         await asyncio.sleep(draw.uniform(30, 60))
-        store.state.txn({"guards": [], "then": [put(LEADER, {"term": 2})]})
+        store.state.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 2})]})
         while True:
             await asyncio.sleep(draw.uniform(0.01, 0.3))
             key = f"k{draw.randrange(3)}"
-            store.state.txn({"guards": [], "then": [put(key, {"n": draw.randrange(2)})]})
+            store.state.commit_transaction({"guards": [], "then": [put(key, {"n": draw.randrange(2)})]})
 
     def tries() -> set[int]:
         return set(range(mine, store.sent + 1))
@@ -351,20 +358,20 @@
         end = f"over/{number // 3}"
         if draw.random() < 0.5 and end not in ended:
             ops.append(put(end, {"state": "done"}))
-        guards = [(LEADER, leader), *((key, versions.get(key, 0)) for key in keys)]
-        began, mine = steady(), store.sent + 1
+        guards = [(LEADER_KEY, leader), *((key, versions.get(key, 0)) for key in keys)]
+        began, mine = monotonic_now(), store.sent + 1
         try:
             revision = await writes.commit(guards, ops)
-        except Conflict:
+        except CompareFailed:
             versions |= {key: store.state.keys[key][1] if key in store.state.keys else 0 for key in keys}
             continue
         except Unreachable:
             if mine in store.ran and mine in store.at_once:
-                took.append((steady() - began).total_seconds())
+                took.append((monotonic_now() - began).total_seconds())
             continue
         good += 1
         if mine in store.at_once:
-            took.append((steady() - began).total_seconds())
+            took.append((monotonic_now() - began).total_seconds())
         if revision not in {store.ran.get(each) for each in tries()}:
             wrong.append(f"transaction {mine} did not run at {revision}")
         versions |= dict.fromkeys(keys, revision)
@@ -383,7 +390,7 @@
     took: list[float] = []
     good = 0
     for seed in LEADERS:
-        wrong, each, done = virtual.run(_leads(seed, resend))
+        wrong, each, done = virtual_time.run_in_virtual_time(_leads(seed, resend))
         assert not wrong, f"seed {seed}: {wrong}"
         took, good = took + each, good + done
     assert good > (4000 if resend else 2000)
@@ -394,25 +401,25 @@
 def earlier_tries_forgotten(patch: Patch) -> None:
     """A try without an answer is taken for failed: what an earlier try may have written is this one's."""
 
-    async def find_any(self: LeaderWrites, guards: Any, ops: Any) -> int:
-        self._unproven.clear()
+    async def find_any(self: LeaderTransactions, guards: Any, ops: Any) -> int:
+        self._unconfirmed_writes.clear()
         return await commit(self, guards, ops)
 
-    commit = LeaderWrites.commit
-    patch.setattr(LeaderWrites, "commit", find_any)
+    commit = LeaderTransactions.commit
+    patch.setattr(LeaderTransactions, "commit", find_any)
 
 
 def whoever_leads(patch: Patch) -> None:
-    async def find(self: LeaderWrites, key: str, guard: int, value: bytes) -> int | None:
-        entry = await self._state.get(key)
-        if entry is None or entry.version <= guard or _canonical(entry.value) != value:
+    async def find(self: LeaderTransactions, key: str, guard: int, value: bytes) -> int | None:
+        entry = await self._kv_store.get(key)
+        if entry is None or entry.version <= guard or _canonical_json(entry.value) != value:
             return None
         return entry.version
 
-    patch.setattr(LeaderWrites, "_find", find)
+    patch.setattr(LeaderTransactions, "_find_written_version", find)
 
 
 @pytest.mark.parametrize("broken", [earlier_tries_forgotten, whoever_leads])
 def test_somebody_elses_write_taken_for_ones_own_is_caught(broken: Callable[[Patch], None], monkeypatch: Patch) -> None:
     broken(monkeypatch)
-    assert any(virtual.run(_leads(seed))[0] for seed in LEADERS)
+    assert any(virtual_time.run_in_virtual_time(_leads(seed))[0] for seed in LEADERS)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tests import versions
+from tests.simulation.cluster import SimulatedCluster
 from tests.versions import PRESENT, HistoryMissing, extract, production
-from tests.world import World
 
 
 def test_a_commit_that_the_history_lacks_fails_with_one_line(tmp_path: Path) -> None:
@@ -31,16 +31,20 @@
 
 def test_the_versions_share_no_module() -> None:
     old = production()
-    for path in ("service", "submissions.jobs", "leadership.leadership", "promises.desk"):
+    for path in ("controller.process", "submissions.jobs", "leader_election.election", "delivery_deadlines.controller"):
         assert old.module(path) is not PRESENT.module(path)
         assert old.module(path).__file__ != PRESENT.module(path).__file__
-    assert old.find("leadership.leadership", "Term").__module__.startswith(old.package)
-    assert old.find("service", "Desk") is old.find("submissions.desk", "Desk")
+    assert old.find("leader_election.election", "LeaderLease").__module__.startswith(old.package)
+    assert old.find("controller.process", "SubmissionHandlers") is old.find(
+        "submissions.handlers", "SubmissionHandlers"
+    )
 
 
 def test_a_world_of_production_alone_runs_production_alone() -> None:
     old = production()
-    world = World(1, calm=True, versions=[old] * 3)
-    world.play(length=20, jobs=8)
-    assert not world.errors and not world.broken
-    assert {type(service) for service in world.terms.values()} == {old.find("service", "Service")}
+    cluster = SimulatedCluster(1, is_calm=True, versions=[old] * 3)
+    cluster.run(length_s=20, job_count=8)
+    assert not cluster.errors and not cluster.rule_violations
+    assert {type(service) for service in cluster.leader_by_term.values()} == {
+        old.find("controller.process", "ControllerProcess")
+    }
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -28,8 +28,8 @@
 import msgspec
 
 from roseweir.http import Reply, Request, Response, Unreachable
+from roseweir.operator_config import OperatorConfig
 from roseweir.settings import Settings
-from roseweir.tuning import Tuning
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOYMENT = ROOT / "deploy" / "service.toml"
@@ -41,17 +41,133 @@
 # the history that lacks the name then is looked at under the name now, so the tables serve commits on both sides of a
 # renaming.
 #
-# Modules below the package: {"service": "service"}.
-MODULES_IN_HISTORY: dict[str, str] = {}
-# Classes and functions, by module and name now: {"service:Service": "Service"}. One that was in another module than
+# Modules below the package: {"notifier": "bell"}.
+MODULES_IN_HISTORY: dict[str, str] = {
+    "controller.process": "service",
+    "delivery_deadlines.controller": "promises.desk",
+    "delivery_deadlines.deadline_status": "promises.track",
+    "delivery_deadlines.handlers": "promises.messages",
+    "delivery_deadlines.settings": "promises.settings",
+    "drain.api": "drain.messages",
+    "forecast.demand_history": "forecast.history",
+    "forecast.predictive_scaler": "forecast.desk",
+    "kv_store": "state",
+    "leader_election.election": "leadership.leadership",
+    "leader_election.messages": "leadership.messages",
+    "notifier": "bell",
+    "operator_config": "tuning",
+    "rebalancing.move_planning": "packing.moves",
+    "rebalancing.settings": "packing.settings",
+    "scheduler.cluster_state": "placement.board",
+    "scheduler.log_writer": "placement.recorder",
+    "scheduler.write_ahead_log": "placement.record",
+    "service_levels.accounting": "served.account",
+    "service_levels.messages": "served.messages",
+    "submissions.handlers": "submissions.desk",
+    "submissions.task_bitmap": "submissions.progress",
+    "workflows.handlers": "chains.messages",
+    "workflows.settings": "chains.settings",
+    "workflows.store": "chains.store",
+}
+# Classes and functions, by module and name now: {"notifier:Notifier": "Bell"}. One that was in another module than
 # MODULES_IN_HISTORY has for its module now is given with the module then: {"service:Service": "service:Service"}.
-NAMES_IN_HISTORY: dict[str, str] = {}
-# Attributes of a running service that tests read, and fields of requests and responses: {"reign": "reign"}.
-ATTRIBUTES_IN_HISTORY: dict[str, str] = {}
-# Fields of settings by their encoded names, where these differ too: {"tuning:Tuning.ahead": "ahead"}.
+NAMES_IN_HISTORY: dict[str, str] = {
+    "calendars:CalendarEvent": "Event",
+    "clock:monotonic_now": "steady",
+    "clock:utc_now": "wall",
+    "controller.process:ControllerProcess": "Service",
+    "controller.process:SubmissionHandlers": "Desk",
+    "delivery_deadlines.controller:SAVE_INTERVAL": "SAVE",
+    "delivery_deadlines.deadline_status:NightReport": "Night",
+    "delivery_deadlines.deadline_status:StepDurations": "Times",
+    "delivery_deadlines.handlers:DeadlineRequest": "Question",
+    "delivery_deadlines.settings:DeadlinePolicy": "Promise",
+    "delivery_deadlines.settings:DeadlineSettings": "PromiseSettings",
+    "drain.api:DrainCommand": "Order",
+    "drain.settings:AutoReplacementSettings": "OwnReasons",
+    "drain.settings:DisruptionBudget": "Budget",
+    "drain.settings:QuietHours": "Quiet",
+    "drain.store:CORDONS_KEY_PREFIX": "STEPS",
+    "drain.store:DISRUPTIONS_KEY_PREFIX": "ACCOUNT",
+    "drain.store:DrainStore": "Store",
+    "drain.store:REBALANCING_KEY": "MOVES",
+    "drain.store:REQUEST_KEY_PREFIX": "ASK",
+    "forecast.demand_history:DemandHistory": "History",
+    "forecast.predictive_scaler:SAVE_INTERVAL": "SAVE",
+    "forecast.settings:PredictiveScalingSettings": "AheadSettings",
+    "leader_election.election:LeaderLease": "Term",
+    "leader_election.messages:ReachabilityAnswer": "Reach",
+    "leader_election.messages:ReachabilityQuery": "Ask",
+    "membership.messages:AcknowledgedCancellations": "Told",
+    "membership.messages:AcknowledgedCancellationsQuery": "AskTold",
+    "notifier:Notifier": "Bell",
+    "operator_config:OperatorConfig": "Tuning",
+    "rebalancing.move_planning:MovePlan": "Plan",
+    "rebalancing.settings:RebalancingSettings": "PackingSettings",
+    "scheduler.cluster_state:ClusterState": "Board",
+    "scheduler.log_writer:LogWriter": "Recorder",
+    "scheduler.write_ahead_log:SegmentTable": "Pages",
+    "service_levels.accounting:ServiceLevelAccount": "Account",
+    "service_levels.messages:RejectedRequests": "Turned",
+    "settings:AnnouncedStoreLimits": "NextStateLimits",
+    "settings:ClusterParameters": "Params",
+    "settings:KeyValueStoreSettings": "StateSettings",
+    "settings:NonNegative": "NotNegative",
+    "settings:ServiceLevelObjective": "Objective",
+    "settings:ValueKib": "ValueKb",
+    "submissions.handlers:SubmissionHandlers": "Desk",
+    "submissions.jobs:LIVE_JOB_PREFIX": "LIVE",
+    "submissions.jobs:decode_completed_job": "read_ended",
+    "submissions.jobs:decode_job_spec": "read_spec",
+    "submissions.jobs:to_stored": "stored",
+    "submissions.task_bitmap:decode_task_numbers": "decode_bits",
+    "submissions.task_bitmap:encode_bitmap": "encode_bits",
+    "workflows.handlers:WorkflowRequest": "Order",
+    "workflows.settings:WorkflowSettings": "ChainSettings",
+    "workflows.store:WorkflowStore": "Store",
+}
+# Attributes of a running service that tests read, and fields of requests and responses: {"leader_term": "reign"}.
+ATTRIBUTES_IN_HISTORY: dict[str, str] = {
+    "_fetch_progress": "_progress",
+    "_gather_rejections": "_gather_turned_away",
+    "_restore_state": "_use",
+    "acknowledged_cancellations_since": "cancelled_since",
+    "auto_replacement": "own",
+    "cluster_state": "board",
+    "deltas": "notes",
+    "drain_controller": "drain",
+    "encode_cordons": "steps",
+    "encode_disruptions": "account",
+    "encode_segment": "value",
+    "failed_terms": "faults",
+    "failure": "broken",
+    "fetch_acknowledged_cancellations": "ask_told",
+    "fetch_latest_leader": "ask_peers",
+    "is_ready": "open",
+    "job_ids": "cancelled",
+    "leader_election": "leadership",
+    "leader_lease": "term",
+    "leader_term": "reign",
+    "load_block": "take",
+    "load_records": "use",
+    "load_segment": "load",
+    "encode": "value",
+    "encode_page": "value",
+    "open_blocks": "blocks",
+    "restore": "use",
+    "placement_progress": "reached",
+    "rate_windows": "windows",
+    "rebalancing": "moves",
+    "run_background_tasks": "duties",
+    "serve_peer": "back",
+    "serve_public": "public",
+    "submission_handlers": "desk",
+    "term": "number",
+}
+# Fields of settings by their encoded names, where these differ too: {"operator_config:OperatorConfig.ahead": "ahead"}.
 FIELDS_IN_HISTORY: dict[str, str] = {}
-# Keywords that a service gives its transport: {"patience": "patience"}.
-KEYWORDS_IN_HISTORY: dict[str, str] = {}
+# Keywords that a service gives its transport.
+KEYWORDS_IN_HISTORY: dict[str, str] = {"timeout": "patience"}
 
 
 class HistoryMissing(Exception):
@@ -110,16 +226,16 @@
     def is_present(self) -> bool:
         return self.package == PACKAGE
 
-    def make_service(self, settings: Settings, tuning: Tuning, connect: Callable[..., Any]) -> Any:
+    def make_service(self, settings: Settings, tuning: OperatorConfig, connect: Callable[..., Any]) -> Any:
         """A controller of this version's, which talks to its surroundings by `connect`."""
-        service_class = self.find("service", "Service")
+        service_class = self.find("controller.process", "ControllerProcess")
         if self.is_present:
             return service_class(settings, tuning, connect)
         service = service_class(self.adopt(settings), self.adopt(tuning), self._translated(connect))
         # Under the names that they have now, so that the world finds them there.
-        service.public, service.back = (
-            self._with_own_messages(self.attribute(service, "public")),
-            self._with_own_messages(self.attribute(service, "back")),
+        service.serve_public, service.serve_peer = (
+            self._with_own_messages(self.attribute(service, "serve_public")),
+            self._with_own_messages(self.attribute(service, "serve_peer")),
         )
         return service
 
@@ -155,7 +271,7 @@
         own_request = self.find("http", "Request")
 
         async def serve(request: Request) -> Response:
-            response = await handler(own_request(request.method, request.path, request.body, request.too_large))
+            response = await handler(own_request(request.method, request.path, request.body, request.is_too_large))
             status, body, headers, close = (
                 self.attribute(response, name) for name in ("status", "body", "headers", "close")
             )
