--- /dev/null
+++ b/roseweir/kv_store/concurrency.py
@@ -0,0 +1,27 @@
+"""Concurrent calls whose failure is reported only once all of them are over."""
+
+import asyncio
+from collections.abc import Awaitable
+from typing import TypeVar
+
+T = TypeVar("T")
+U = TypeVar("U")
+
+
+async def gather_all(*awaitables: Awaitable[T]) -> list[T]:
+    """Return all results in order, or raise the first failure once every call is over."""
+    results = await asyncio.gather(*awaitables, return_exceptions=True)
+    for result in results:
+        if isinstance(result, BaseException):
+            raise result
+    return [result for result in results if not isinstance(result, BaseException)]
+
+
+async def gather_pair(first_awaitable: Awaitable[T], second_awaitable: Awaitable[U]) -> tuple[T, U]:
+    """Return the results of two concurrent calls, or raise the first failure once both are over."""
+    first, second = await asyncio.gather(first_awaitable, second_awaitable, return_exceptions=True)
+    if isinstance(first, BaseException):
+        raise first
+    if isinstance(second, BaseException):
+        raise second
+    return first, second
--- a/roseweir/kv_store/group_commit.py
+++ b/roseweir/kv_store/group_commit.py
@@ -1,57 +1,54 @@
-"""Group commits: small independent changes share a transaction, and one's conflict or refusal is its own.
+"""Group commit: small independent changes share a transaction, and each has an outcome of its own.
 
-A transaction without an answer holds up nothing behind it: the next one goes out beside it, reads look for what it
-has written, and its changes are sent once more. So each change must be harmless when it is carried out late or
-twice: guards of its own have to fail from its first run on, for as long as its keys' names are used.
+A transaction without an answer blocks nothing behind it: the next one is sent beside it, reads look for what it has
+written, and its changes are sent once more. So each change must be harmless when it is carried out late or twice: its
+own guards have to fail from the first time on, for as long as its keys are used.
 """
 
 import asyncio
 import logging
 from collections import deque
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from datetime import timedelta
-from typing import Any
 
 import orjson
 
 from roseweir.clock import seconds, sleep
 from roseweir.http import Unreachable
-from roseweir.kv_store.client import (
-    CompareFailed,
-    KeyValueStoreClient,
-    RateLimited,
-    RateLimiter,
-    StoreError,
-    ValueTooLarge,
-)
+from roseweir.kv_store.client import KeyValueStoreClient
+from roseweir.kv_store.errors import CompareFailed, QueueFull, RateLimited, StoreError, ValueTooLarge
+from roseweir.kv_store.operations import Guards, Operations
+from roseweir.kv_store.rate_limiter import RateLimiter
+from roseweir.kv_store.write_confirmation import ConfirmWrite
+
+__all__ = ["ConfirmWrite", "GroupCommitter", "QueueFull"]  # other packages import all of them from here
 
 log = logging.getLogger(__name__)
 
 MAX_TXN_BYTES = 56 * 1024
-# A change refused for the service's rate is tried again so often, before whoever asked for it hears of it.
+# Attempts of a change that the store refuses for its request rate, before the caller gets the error.
 MAX_RATE_LIMITED_ATTEMPTS = 4
 RATE_LIMITED_RETRY_INTERVAL = seconds(0.25)
-# Most answers come within 10 ms. While one takes longer than this, the next transaction goes out beside it,
+# Most answers come within 10 ms. While one takes longer than this, the next transaction is sent beside it,
 NEXT_TXN_DELAY = timedelta(milliseconds=25)
 # and no more of them than this.
 MAX_TXNS_IN_FLIGHT = 8
-# A transaction that takes longer than this is looked up, again and again at intervals that double,
-CONFIRM_DELAY, CONFIRM_INTERVAL = timedelta(milliseconds=50), timedelta(milliseconds=100)
-# and its changes that are not proven by then are sent once more.
+# After this delay an unanswered transaction is looked up by reads,
+CONFIRM_DELAY = timedelta(milliseconds=50)
+# again after this interval, which doubles each time,
+CONFIRM_INTERVAL = timedelta(milliseconds=100)
+# and its changes that are not confirmed by then are sent once more.
 RESEND_DELAY = timedelta(milliseconds=300)
-# This part of the state service's changes may be spent on that, so many seconds' worth at once: while the service is
-# slow, nothing is proven by then.
-RESEND_WRITE_SHARE, RESEND_BURST_S = 0.05, 4.0
-
-# The revision by which a change is proven to have been carried out; None: nothing is known, as it may run yet.
-ConfirmWrite = Callable[[], Awaitable[int | None]]
+# The share of the store's changes per second that may be spent on that: while the store is slow, nothing is confirmed
+# in time.
+RESEND_WRITE_SHARE = 0.05
+RESEND_BURST_S = 4.0
 
 
 @dataclass(slots=True, eq=False)
 class _PendingChange:
-    guards: list[tuple[str, int]]
-    ops: list[dict[str, Any]]
+    guards: Guards
+    ops: Operations
     size_bytes: int
     result: asyncio.Future[int]
     confirm: ConfirmWrite | None
@@ -60,12 +57,11 @@
     last_error: Exception | None = None
 
 
-class QueueFull(StoreError):
-    """Too many changes wait already."""
-
-
 class GroupCommitter:
+    """Queues changes and commits them in shared transactions; `run` must be running for that."""
+
     def __init__(self, kv_store: KeyValueStoreClient, max_queued: int) -> None:
+        """Begin with an empty queue, which never holds more than `max_queued` changes of new callers."""
         self.kv_store = kv_store
         self.max_queued = max_queued
         self._queue: deque[_PendingChange] = deque()
@@ -73,12 +69,15 @@
         self._resend_limiter = RateLimiter(kv_store.settings.max_writes_per_s * RESEND_WRITE_SHARE, RESEND_BURST_S)
         self._txns_in_flight: set[asyncio.Task[None]] = set()
 
-    async def commit(
-        self, guards: list[tuple[str, int]], ops: list[dict[str, Any]], confirm: ConfirmWrite | None = None
-    ) -> int:
-        """The revision, or one by which `proof` tells that it ran, or Conflict or Trouble.
+    async def commit(self, guards: Guards, ops: Operations, confirm: ConfirmWrite | None = None) -> int:
+        """Commit one change; return its revision, or the one by which `confirm` finds that it was carried out.
 
-        Unreachable and Conflict mean that the caller has to read.
+        Raises:
+            QueueFull: Too many changes wait; this one was not queued.
+            CompareFailed: One of its guards failed, perhaps since an earlier attempt succeeded: the caller has to read.
+            ValueTooLarge: The store refuses the change by itself.
+            StoreError: It was not carried out.
+            Unreachable: It may have been carried out: the caller has to read.
         """
         if len(self._queue) >= self.max_queued:
             raise QueueFull("too many changes wait")
@@ -88,6 +87,7 @@
         return await result
 
     async def run(self) -> None:
+        """Commit queued changes until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await self._has_queued.wait()
@@ -130,7 +130,7 @@
         return batch
 
     async def _commit_batch(self, batch: list[_PendingChange]) -> None:
-        """Until the transaction is answered, or each of its changes is settled otherwise."""
+        """Send a batch, until it is answered or each of its changes has its outcome otherwise."""
         for change in batch:
             change.txns_in_flight += 1
         send_task = asyncio.create_task(self._send_batch(batch))
@@ -145,7 +145,7 @@
             confirm_task.cancel()
 
     async def _confirm_or_resend(self, batch: list[_PendingChange]) -> None:
-        """Look for what an unanswered transaction has written, and send it again, until all its changes are settled."""
+        """Look for what an unanswered transaction has written, and send it again, until all changes have an outcome."""
         await sleep(CONFIRM_DELAY)
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(self._confirm_change(c, c.confirm)) for c in batch if c.confirm is not None]
@@ -184,18 +184,7 @@
             try:
                 revision = await self.kv_store.compare_and_swap(guards, ops)
             except CompareFailed as e:
-                failed_keys = set(e.failed_keys)
-                remaining: list[_PendingChange] = []
-                for change in batch:
-                    if any(key in failed_keys for key, _ in change.guards):
-                        _fail_change(change, CompareFailed([k for k, _ in change.guards if k in failed_keys]))
-                    else:
-                        remaining.append(change)
-                if len(remaining) == len(batch):
-                    for change in remaining:
-                        _fail_change(change, StoreError("conflict names no guard"))
-                    return
-                batch = remaining
+                batch = _fail_conflicting(batch, e)
                 continue
             except ValueTooLarge as e:
                 await self._send_halves(batch, e)
@@ -205,12 +194,10 @@
                 if rate_refusals < MAX_RATE_LIMITED_ATTEMPTS:
                     await sleep(RATE_LIMITED_RETRY_INTERVAL)
                     continue
-                for change in batch:
-                    self._record_failed_txn(change, e)
+                self._record_failed_txn(batch, e)
                 return
             except (StoreError, Unreachable) as e:
-                for change in batch:
-                    self._record_failed_txn(change, e)
+                self._record_failed_txn(batch, e)
                 return
             for change in batch:
                 if not change.result.done():
@@ -218,23 +205,43 @@
             return
 
     async def _send_halves(self, batch: list[_PendingChange], error: ValueTooLarge) -> None:
-        """Halves of a refused batch, so that what is too large by itself fails alone."""
+        """Send halves of a refused batch, so that a change that is too large by itself fails alone."""
         if len(batch) > 1:
             half = len(batch) // 2
             await self._send_batch(batch[:half])
             await self._send_batch(batch[half:])
             return
         keys = ", ".join(key for key, _ in batch[0].guards)
-        log.warning("refused as too large for the state service: %s", keys)
+        log.warning("change refused as too large: keys=%s", keys)
         _fail_change(batch[0], error)
 
-    def _record_failed_txn(self, change: _PendingChange, error: Exception) -> None:
-        """Of one of the transactions that hold the change; the last of them fails it, as one that may have run."""
-        change.txns_in_flight -= 1
-        if change.last_error is None or isinstance(error, Unreachable):
-            change.last_error = error
-        if change.txns_in_flight == 0 and change not in self._queue:
-            _fail_change(change, change.last_error)
+    def _record_failed_txn(self, batch: list[_PendingChange], error: Exception) -> None:
+        """Record the failure of one of the transactions that hold these changes.
+
+        The last of its transactions fails a change: as one that may have been carried out, if any of them may have.
+        """
+        for change in batch:
+            change.txns_in_flight -= 1
+            if change.last_error is None or isinstance(error, Unreachable):
+                change.last_error = error
+            if change.txns_in_flight == 0 and change not in self._queue:
+                _fail_change(change, change.last_error)
+
+
+def _fail_conflicting(batch: list[_PendingChange], error: CompareFailed) -> list[_PendingChange]:
+    """Fail the changes whose guards failed; return the others. All fail if the error names no guard of theirs."""
+    failed_keys = set(error.failed_keys)
+    remaining: list[_PendingChange] = []
+    for change in batch:
+        if any(key in failed_keys for key, _ in change.guards):
+            _fail_change(change, CompareFailed([key for key, _ in change.guards if key in failed_keys]))
+        else:
+            remaining.append(change)
+    if len(remaining) < len(batch):
+        return remaining
+    for change in remaining:
+        _fail_change(change, StoreError("conflict names no guard"))
+    return []
 
 
 def _fail_change(change: _PendingChange, error: Exception) -> None:
--- a/roseweir/kv_store/transaction_limits.py
+++ b/roseweir/kv_store/transaction_limits.py
@@ -1,8 +1,8 @@
-"""The state service's limits on one transaction, as far as they are known: handed over, or learnt from refusals.
+"""The store's limits on one transaction, as far as they are known: configured, or learnt from refusals.
 
 The limits may fall without notice. A refusal (400) proves that a value or the number of changes was too large, though
-not which of the two, so one is lowered after the other until transactions pass. They are never raised again: what is
-written within too low a limit costs more transactions, what is written beyond the real one is refused.
+not which of the two, so one is lowered after the other until transactions pass. They are never raised again: too
+low a limit costs more transactions, too high a one is refused.
 """
 
 import logging
@@ -15,17 +15,21 @@
 
 
 class TransactionLimits:
-    """Bytes of one value and changes of one transaction."""
+    """The largest value, in bytes, and the most operations that one transaction may have."""
 
     def __init__(self, settings: KeyValueStoreSettings) -> None:
+        """Start from the configured limits."""
         self.max_value_bytes = int(settings.max_value_kib * 1024)
         self.max_txn_ops = settings.max_txn_ops
 
     def lower_after_refusal(self, op_count: int, largest_bytes: int, is_value_named: bool) -> bool:
-        """Learn from a refused transaction; False if nothing could be learnt.
+        """Lower a limit after a refused transaction; return False if the refusal proves nothing new.
 
-        `changes`: how many it had; `largest`: bytes of its largest value; `value_named`: whether the answer speaks of a
-        value. The wording is no part of the protocol: it only decides which limit is lowered first.
+        Args:
+            op_count: Operations in the transaction.
+            largest_bytes: Bytes of its largest value.
+            is_value_named: Whether the answer's text mentions a value. The wording is no part of the protocol: it only
+                decides which limit is lowered first.
         """
         if op_count > self.max_txn_ops or largest_bytes > self.max_value_bytes:
             return False  # sent before an earlier refusal was learnt from
@@ -35,8 +39,7 @@
             is_lowered = self._lower_ops_limit(op_count) or self._lower_value_limit(largest_bytes)
         if is_lowered:
             log.warning(
-                "the state service refused %d changes, the largest value of %d bytes: from now on values of up to %d"
-                " bytes, %d changes a transaction",
+                "transaction limits lowered: op_count=%d largest_bytes=%d max_value_bytes=%d max_txn_ops=%d",
                 op_count,
                 largest_bytes,
                 self.max_value_bytes,
--- a/roseweir/leader_election/messages.py
+++ b/roseweir/leader_election/messages.py
@@ -2,8 +2,10 @@
 
 import msgspec
 
+# Other packages import it from here, among the other keys of the election.
+from roseweir.kv_store.keys import LEADER_KEY as LEADER_KEY
+
 LEADER_ELECTION_PREFIX = "lead/"
-LEADER_KEY = "lead/leader"
 TERM_KEY = "lead/term"
 # The leader asks whether others reach the workers that it no longer hears; each node answers under its name.
 REACHABILITY_QUERY_KEY = "lead/ask"
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -15,7 +15,7 @@
 from roseweir.kv_store import CompareFailed, Entry, StoreError
 from roseweir.kv_store.client import REQUEST_TIMEOUT, put
 from roseweir.kv_store.group_commit import GroupCommitter
-from roseweir.kv_store.write_confirmation import LeaderTransactions, _canonical_json
+from roseweir.kv_store.write_confirmation import LeaderTransactions, canonical_json
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.submissions.idempotency import KeyConfirmation, WriteConfirmations
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX
@@ -412,7 +412,7 @@
 def whoever_leads(patch: Patch) -> None:
     async def find(self: LeaderTransactions, key: str, guard: int, value: bytes) -> int | None:
         entry = await self._kv_store.get(key)
-        if entry is None or entry.version <= guard or _canonical_json(entry.value) != value:
+        if entry is None or entry.version <= guard or canonical_json(entry.value) != value:
             return None
         return entry.version
 
