--- a/roseweir/leader_election/__init__.py
+++ b/roseweir/leader_election/__init__.py
@@ -1,1 +1,1 @@
-"""One leader at a time: a lease in the state service, and a term that only rises."""
+"""Election of one leader at a time: a lease in the key-value store, and terms that only rise."""
--- a/roseweir/leader_election/messages.py
+++ b/roseweir/leader_election/messages.py
@@ -1,4 +1,6 @@
-"""What the keys about leading hold."""
+"""Keys of the election in the key-value store, and what they hold."""
+
+from typing import NamedTuple
 
 import msgspec
 
@@ -6,19 +8,32 @@
 from roseweir.kv_store.keys import LEADER_KEY as LEADER_KEY
 
 LEADER_ELECTION_PREFIX = "lead/"
+# Holds the term of the latest election.
 TERM_KEY = "lead/term"
-# The leader asks whether others reach the workers that it no longer hears; each node answers under its name.
+# The leader's query whether others reach the workers whose heartbeats it misses; each node answers under its own name.
 REACHABILITY_QUERY_KEY = "lead/ask"
 REACHABILITY_ANSWER_PREFIX = "lead/reach/"
 
-
-# The feature level of this version: raised with each change of what is stored or said that the version before can't
-# live with. A version that states none has level 0.
+# The feature level of this version: raised with each change of what is stored or sent that the version before can't
+# handle. A version that states none has level 0.
 FEATURE_LEVEL = 1
 
+# Incarnation and sequence number of a heartbeat: the message with the larger pair is the newer one.
+HeartbeatId = tuple[int, int]
+
+
+class PeerLeader(NamedTuple):
+    """A leader as another controller knows it: its name and term."""
+
+    name: str
+    term: int
+
 
 class LeaderRecord(msgspec.Struct, rename={"peer_address": "back", "lease_id": "lease", "feature_level": "level"}):
-    """Who leads. Versions ignore fields that they do not know, so one more may be added; none may be left out."""
+    """Who leads, as stored with the leader's key.
+
+    Versions ignore fields that they do not know, so fields may be added; none may be left out.
+    """
 
     name: str
     peer_address: str
@@ -28,21 +43,27 @@
 
 
 class ReachabilityQuery(msgspec.Struct, rename={"query_number": "number", "worker_addresses": "workers"}):
-    """A question of the leader's: who reaches these workers? Term and number make it unlike any other."""
+    """The leader's query which nodes reach these workers; term and number identify it.
+
+    The addresses are by worker name, and empty where they are not known.
+    """
 
     term: int
     query_number: int
-    worker_addresses: dict[str, str]  # their names, and their addresses as far as known
+    worker_addresses: dict[str, str]
 
 
 class ReachabilityAnswer(
     msgspec.Struct,
     rename={"query_number": "number", "reachable": "reached", "redirected": "came", "heartbeat_ids": "tallies"},
 ):
-    """Which of those asked about answer this node, and which came to it and were sent on in vain."""
+    """Which of the queried workers answer this node, and which sent it heartbeats and were redirected in vain.
+
+    `heartbeat_ids` holds the newest heartbeat of each redirected worker: one that was delivered late is older.
+    """
 
     term: int
     query_number: int
     reachable: list[str]
     redirected: list[str]
-    heartbeat_ids: dict[str, tuple[int, int]] = {}  # newest of those that came: a copy that came late is older
+    heartbeat_ids: dict[str, HeartbeatId] = {}
--- a/roseweir/membership/__init__.py
+++ b/roseweir/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Who is up, who leads and who reaches whom: learnt by peers, used for health, routing and stepping down."""
+"""Membership: who is up, who leads and who reaches whom, as a controller concludes from its peers and workers.
+
+Used for health checks, for redirecting workers and for resigning from leadership.
+"""
--- /dev/null
+++ b/roseweir/membership/store_reachability.py
@@ -0,0 +1,87 @@
+"""Checks whether this node alone can't reach the key-value store."""
+
+import logging
+
+from roseweir.clock import monotonic_now, seconds, sleep
+from roseweir.http import Unreachable
+from roseweir.kv_store import KeyValueStoreClient, StoreError
+from roseweir.leader_election.messages import TERM_KEY
+from roseweir.membership.peers import PeerClients
+from roseweir.membership.probes import PROBE_TIMEOUT
+from roseweir.membership.store_isolation import StoreIsolationDetector
+
+log = logging.getLogger(__name__)
+
+STORE_CHECK_INTERVAL = seconds(0.5)
+
+
+class StoreReachability:
+    """Concludes from this node's requests, its peers' answers and its workers' terms whether it alone is cut off.
+
+    Attributes:
+        latest_known_term: The latest of all terms that this process has seen in the store, its own among them.
+    """
+
+    def __init__(self, kv_store: KeyValueStoreClient, peers: PeerClients) -> None:
+        """Begin with a store that can be reached."""
+        self.latest_known_term = 0
+        self._kv_store = kv_store
+        self._peers = peers
+        self._isolation = StoreIsolationDetector()
+        # The latest term that a worker has shown since the store was last reached.
+        self._max_worker_term = 0
+
+    @property
+    def store_unreachable(self) -> bool:
+        """Whether the store can't be reached by this node alone, as last concluded."""
+        return self._isolation.store_unreachable
+
+    def observe_term(self, term: int) -> None:
+        """Take note of a term that the store holds."""
+        self.latest_known_term = max(self.latest_known_term, term)
+
+    def observe_worker_term(self, term: int) -> None:
+        """Take note of a term that a worker's heartbeat shows."""
+        self._max_worker_term = max(self._max_worker_term, term)
+
+    async def monitor(self) -> None:
+        """Check every STORE_CHECK_INTERVAL until cancelled."""
+        while True:
+            await sleep(STORE_CHECK_INTERVAL)
+            was_unreachable = self.store_unreachable
+            if not self._kv_store.is_failing or await self.can_reach_store():
+                self._record_reached()
+            else:
+                await self._evaluate_failing()
+            if self.store_unreachable != was_unreachable:
+                log.info("store reachability changed: store_unreachable=%s", self.store_unreachable)
+
+    async def can_reach_store(self) -> bool:
+        """Read one key, and return whether the store answers in time."""
+        try:
+            await self._kv_store.get(TERM_KEY, timeout=PROBE_TIMEOUT)
+        except (StoreError, Unreachable):
+            return False
+        return True
+
+    def _record_reached(self) -> None:
+        self._isolation.evaluate(
+            is_failing=False,
+            peers_asked=0,
+            peers_answered=0,
+            is_peer_served=False,
+            is_later_term_seen=False,
+            now=monotonic_now(),
+        )
+        self._max_worker_term = 0
+
+    async def _evaluate_failing(self) -> None:
+        peer_statuses = await self._peers.fetch_store_reachability()
+        self._isolation.evaluate(
+            is_failing=True,
+            peers_asked=len(peer_statuses),
+            peers_answered=sum(1 for status in peer_statuses if status),
+            is_peer_served=200 in peer_statuses,
+            is_later_term_seen=self._max_worker_term > self.latest_known_term > 0,
+            now=monotonic_now(),
+        )
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -5,7 +5,7 @@
 import pytest
 
 from roseweir.http import Request
-from roseweir.membership.failure_detector import StoreIsolationDetector
+from roseweir.membership.store_isolation import StoreIsolationDetector
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.load_balancer import LoadBalancer, PollingUsers
 from tests.test_simulated_days import check
@@ -68,7 +68,7 @@
 ) -> None:
     """Two of three lack state service and peers for two minutes: the balancer prefers them, as they have no work."""
     if stays_healthy:
-        monkeypatch.setattr(StoreIsolationDetector, "evaluate", lambda self, *told: False)
+        monkeypatch.setattr(StoreIsolationDetector, "evaluate", lambda self, **told: False)
     cluster = SimulatedCluster(7600, is_calm=True)
     found = watched(cluster, 25.0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,21 +5,21 @@
 import pytest
 
 from roseweir.clock import PROCESS_PAUSE_THRESHOLD, seconds
-from roseweir.leader_election.messages import ReachabilityAnswer, ReachabilityQuery
-from roseweir.membership.failure_detector import (
-    HEARTBEAT_CHECK_INTERVAL,
+from roseweir.leader_election.leader_search import LeaderSearch
+from roseweir.leader_election.messages import PeerLeader, ReachabilityAnswer, ReachabilityQuery
+from roseweir.leader_election.worker_reachability import (
+    MAX_WORKERS_IN_QUERY,
+    find_better_connected_node,
+    sample_workers,
+)
+from roseweir.membership.failure_detector import HEARTBEAT_CHECK_INTERVAL, HeartbeatMonitor, HeartbeatVerdict
+from roseweir.membership.peers import latest_leader
+from roseweir.membership.redirected_workers import RedirectedWorkers
+from roseweir.membership.store_isolation import (
     MAJORITY_UNREACHABLE_TIMEOUT,
     MAX_REMOVALS,
-    MAX_WORKERS_IN_QUERY,
     MINORITY_UNREACHABLE_TIMEOUT,
-    HeartbeatMonitor,
-    HeartbeatVerdict,
-    LeaderSearch,
-    RedirectedWorkers,
     StoreIsolationDetector,
-    find_better_connected_node,
-    latest_leader,
-    sample_workers,
 )
 from tests.test_scheduler import NOW
 
@@ -91,8 +91,8 @@
         find_better_connected_node({"n1": ReachabilityAnswer(4, 1, [], ["i-1"], {"i-1": (1, 6)})}, ask, 2, missing)
         == "n1"
     )
-    assert latest_leader([]) is None and latest_leader([("", 0), ("", 0)]) is None
-    assert latest_leader([("n1", 4), ("", 0), ("n2", 6)]) == ("n2", 6)
+    assert latest_leader([]) is None and latest_leader([PeerLeader("", 0), PeerLeader("", 0)]) is None
+    assert latest_leader([PeerLeader("n1", 4), PeerLeader("", 0), PeerLeader("n2", 6)]) == PeerLeader("n2", 6)
 
 
 def test_a_node_without_state_service_and_peers_is_alone_and_in_an_outage_of_all_it_is_not() -> None:
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -14,7 +14,7 @@
 from roseweir.http import Reply, Response
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.leader_election.election import LeaderLease
-from roseweir.membership.failure_detector import LeaderSearch
+from roseweir.leader_election.leader_search import LeaderSearch
 from roseweir.scheduler import cluster_state as board_module
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
 from roseweir.workers.handlers import HeartbeatHandler
@@ -405,23 +405,23 @@
 def most_are_enough(patch: Patch) -> None:
     """The word of those that answer counts for all."""
     from roseweir.membership.messages import AcknowledgedCancellations
-    from roseweir.membership.monitor import MembershipMonitor
+    from roseweir.membership.peers import PeerClients
 
-    plain = MembershipMonitor.fetch_acknowledged_cancellations
+    plain = PeerClients.fetch_acknowledged_cancellations
 
-    async def some(self: MembershipMonitor, span: Any) -> AcknowledgedCancellations | None:
-        peers, found = self._peers, AcknowledgedCancellations(0, [])
+    async def some(self: PeerClients, span: Any) -> AcknowledgedCancellations | None:
+        peers, found = self._transports, AcknowledgedCancellations(0, [])
         for name, peer in peers.items():
-            self._peers = {name: peer}
+            self._transports = {name: peer}
             told = await plain(self, span)
             if told is not None:
                 found = AcknowledgedCancellations(
                     max(found.term, told.term), (found.job_ids or []) + (told.job_ids or [])
                 )
-        self._peers = peers
+        self._transports = peers
         return found
 
-    patch.setattr(MembershipMonitor, "fetch_acknowledged_cancellations", some)
+    patch.setattr(PeerClients, "fetch_acknowledged_cancellations", some)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -34,7 +34,7 @@
     for path in ("controller.process", "submissions.jobs", "leader_election.election", "delivery_deadlines.controller"):
         assert old.module(path) is not PRESENT.module(path)
         assert old.module(path).__file__ != PRESENT.module(path).__file__
-    assert old.find("leader_election.election", "LeaderLease").__module__.startswith(old.package)
+    assert old.find("leader_election.lease", "LeaderLease").__module__.startswith(old.package)
     assert old.find("controller.process", "SubmissionHandlers") is old.find(
         "submissions.handlers", "SubmissionHandlers"
     )
