--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 from roseweir.clock import NEVER, seconds
 
@@ -14,6 +15,14 @@
 REMOVAL_WINDOW = timedelta(minutes=2)
 
 
+class PeerReachability(NamedTuple):
+    """How many peers were asked whether they reach the store, how many answered, and whether one of them reaches it."""
+
+    asked: int
+    answered: int
+    is_store_reached: bool
+
+
 @dataclass(slots=True)
 class StoreIsolationDetector:
     """Whether this node's users are better served by its peers, since it alone can't reach the store.
@@ -43,34 +52,28 @@
     failing_since: datetime = NEVER
     removals: list[datetime] = field(default_factory=list)
 
-    def evaluate(
-        self,
-        is_failing: bool,
-        peers_asked: int,
-        peers_answered: int,
-        is_peer_served: bool,
-        is_later_term_seen: bool,
-        now: datetime,
-    ) -> bool:
-        """Return whether this node alone can't reach the store.
+    def record_not_isolated(self) -> None:
+        """Conclude that this node is not cut off alone."""
+        self.store_unreachable, self.failing_since = False, NEVER
+
+    def evaluate_failing(self, peers: PeerReachability, *, is_later_term_seen: bool, now: datetime) -> bool:
+        """Return whether this node alone can't reach the store, while its requests to the store fail.
 
         Args:
-            is_failing: Whether this node's requests to the store fail.
-            peers_asked: Number of peers that were asked whether they reach the store.
-            peers_answered: How many of them answered, whatever they said.
-            is_peer_served: Whether one of them reaches the store.
+            peers: What the peers have answered.
             is_later_term_seen: Whether a worker has shown a later term than any known here.
             now: The current instant.
         """
-        if not is_failing or (peers_answered == peers_asked and not is_peer_served and not is_later_term_seen):
-            self.store_unreachable, self.failing_since = False, NEVER
+        if peers.answered == peers.asked and not peers.is_store_reached and not is_later_term_seen:
+            # An outage of the whole store: the peers say that they don't reach it either.
+            self.record_not_isolated()
             return False
         if self.failing_since == NEVER:
             self.failing_since = now
-        if self.store_unreachable or is_peer_served or is_later_term_seen:
+        if self.store_unreachable or peers.is_store_reached or is_later_term_seen:
             self.store_unreachable = True
             return True
-        is_minority = (1 + peers_answered) * 2 <= 1 + peers_asked
+        is_minority = (1 + peers.answered) * 2 <= 1 + peers.asked
         timeout = MAJORITY_UNREACHABLE_TIMEOUT if is_minority else MINORITY_UNREACHABLE_TIMEOUT
         self.removals = [removed_at for removed_at in self.removals if now - removed_at < REMOVAL_WINDOW]
         if now - self.failing_since >= timeout and len(self.removals) < MAX_REMOVALS:
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -8,7 +8,7 @@
 from roseweir.leader_election.messages import TERM_KEY
 from roseweir.membership.peers import PeerClients
 from roseweir.membership.probes import PROBE_TIMEOUT
-from roseweir.membership.store_isolation import StoreIsolationDetector
+from roseweir.membership.store_isolation import PeerReachability, StoreIsolationDetector
 
 log = logging.getLogger(__name__)
 
@@ -65,23 +65,15 @@
         return True
 
     def _record_reached(self) -> None:
-        self._isolation.evaluate(
-            is_failing=False,
-            peers_asked=0,
-            peers_answered=0,
-            is_peer_served=False,
-            is_later_term_seen=False,
-            now=monotonic_now(),
-        )
+        self._isolation.record_not_isolated()
         self._max_worker_term = 0
 
     async def _evaluate_failing(self) -> None:
-        peer_statuses = await self._peers.fetch_store_reachability()
-        self._isolation.evaluate(
-            is_failing=True,
-            peers_asked=len(peer_statuses),
-            peers_answered=sum(1 for status in peer_statuses if status),
-            is_peer_served=200 in peer_statuses,
-            is_later_term_seen=self._max_worker_term > self.latest_known_term > 0,
-            now=monotonic_now(),
+        statuses = await self._peers.fetch_store_reachability()
+        peers = PeerReachability(
+            asked=len(statuses),
+            answered=sum(1 for status in statuses if status),
+            is_store_reached=200 in statuses,
         )
+        is_later_term_seen = self._max_worker_term > self.latest_known_term > 0
+        self._isolation.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=monotonic_now())
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Two of three lack state service and peers for two minutes: the balancer prefers them, as they have no work."""
     if stays_healthy:
-        monkeypatch.setattr(StoreIsolationDetector, "evaluate", lambda self, **told: False)
+        monkeypatch.setattr(StoreIsolationDetector, "evaluate_failing", lambda self, *args, **more: False)
     cluster = SimulatedCluster(7600, is_calm=True)
     found = watched(cluster, 25.0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,20 +19,21 @@
     MAJORITY_UNREACHABLE_TIMEOUT,
     MAX_REMOVALS,
     MINORITY_UNREACHABLE_TIMEOUT,
+    PeerReachability,
     StoreIsolationDetector,
 )
 from tests.test_scheduler import NOW
 
 
 def test_a_leader_is_unheard_only_if_it_looked_on_time_and_twice() -> None:
-    vigil, missed = HeartbeatMonitor(), {"i-1": "10.1.0.1:9000"}
+    monitor, missed = HeartbeatMonitor(), {"i-1": "10.1.0.1:9000"}
     on_time, late, still = (
         HEARTBEAT_CHECK_INTERVAL,
         HEARTBEAT_CHECK_INTERVAL * 3,
         HEARTBEAT_CHECK_INTERVAL + PROCESS_PAUSE_THRESHOLD * 2,
     )
     findings = [
-        vigil.evaluate(NOW, NOW + took, missed if all_missed else {})
+        monitor.evaluate(NOW, NOW + took, missed if all_missed else {})
         for took, all_missed in [
             (on_time, True),
             (late, True),  # a loaded moment delays the looking too
@@ -95,55 +96,62 @@
     assert latest_leader([PeerLeader("n1", 4), PeerLeader("", 0), PeerLeader("n2", 6)]) == PeerLeader("n2", 6)
 
 
-def test_a_node_without_state_service_and_peers_is_alone_and_in_an_outage_of_all_it_is_not() -> None:
-    def look(solitude: StoreIsolationDetector, span: float, *told: object) -> bool:
-        at = NOW
-        while at <= NOW + seconds(span):
-            alone = solitude.evaluate(*told, at)  # type: ignore[arg-type, call-arg]
-            at += seconds(0.5)
-        return alone
-
-    assert not look(StoreIsolationDetector(), 60, True, 4, 4, False, False), "an outage of all: every peer says so"
-    assert look(StoreIsolationDetector(), 0, True, 4, 4, True, False), "a peer's word"
-    assert look(StoreIsolationDetector(), 0, True, 4, 0, False, True), "a worker that has met a later leader"
+def _evaluate_for(
+    detector: StoreIsolationDetector, span_s: float, peers: PeerReachability, *, is_later_term_seen: bool = False
+) -> bool:
+    """What it concludes after this time, in which it evaluates the same evidence every half second."""
+    now = NOW
+    while now <= NOW + seconds(span_s):
+        is_isolated = detector.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=now)
+        now += seconds(0.5)
+    return is_isolated
+
+
+def test_a_node_without_store_and_peers_is_isolated_and_in_an_outage_of_all_it_is_not() -> None:
+    nobody, one_of_two = PeerReachability(2, 0, False), PeerReachability(2, 1, False)
+    outage_of_all, one_is_served = PeerReachability(4, 4, False), PeerReachability(4, 4, True)
+    assert not _evaluate_for(StoreIsolationDetector(), 60, outage_of_all), "every peer says so"
+    assert _evaluate_for(StoreIsolationDetector(), 0, one_is_served), "a peer's answer"
+    no_answer = PeerReachability(4, 0, False)
+    assert _evaluate_for(StoreIsolationDetector(), 0, no_answer, is_later_term_seen=True), "a worker met a later leader"
     within, after = MAJORITY_UNREACHABLE_TIMEOUT.total_seconds() - 0.5, MAJORITY_UNREACHABLE_TIMEOUT.total_seconds()
-    assert not look(StoreIsolationDetector(), within, True, 2, 0, False, False) and look(
-        StoreIsolationDetector(), after, True, 2, 0, False, False
-    )
-    # Two that see one another and miss the third: it may have ended in an outage, and is back by then.
+    assert not _evaluate_for(StoreIsolationDetector(), within, nobody)
+    assert _evaluate_for(StoreIsolationDetector(), after, nobody)
+    # Two that reach one another and miss the third: it may have crashed in an outage, and is back by then.
     within, after = MINORITY_UNREACHABLE_TIMEOUT.total_seconds() - 0.5, MINORITY_UNREACHABLE_TIMEOUT.total_seconds()
-    assert not look(StoreIsolationDetector(), within, True, 2, 1, False, False) and look(
-        StoreIsolationDetector(), after, True, 2, 1, False, False
-    )
-    assert not look(StoreIsolationDetector(), 60, True, 0, 0, False, False), "a single controller"
+    assert not _evaluate_for(StoreIsolationDetector(), within, one_of_two)
+    assert _evaluate_for(StoreIsolationDetector(), after, one_of_two)
+    assert not _evaluate_for(StoreIsolationDetector(), 60, PeerReachability(0, 0, False)), "a single controller"
     flapping = StoreIsolationDetector()
     for _ in range(MAX_REMOVALS):
-        assert look(flapping, after, True, 2, 0, False, False) and not flapping.evaluate(False, 2, 2, True, False, NOW)
-    assert not look(flapping, after, True, 2, 0, False, False), "the balancer's pause doubles"
+        assert _evaluate_for(flapping, after, nobody)
+        flapping.record_not_isolated()
+        assert not flapping.store_unreachable
+    assert not _evaluate_for(flapping, after, nobody), "the balancer's pause doubles"
 
 
 @pytest.mark.parametrize("found", [True, False])
-def test_scouts_stay_away_if_another_leads_and_come_back_in_an_outage(found: bool) -> None:
-    scouts = LeaderSearch()
-    scouts.start(3, seconds(1), NOW)
-    assert not scouts.should_redirect("i-0", True, NOW), "those without tasks go first"
-    assert scouts.should_redirect("i-1", False, NOW) and scouts.should_redirect("i-2", True, NOW + seconds(1.3))
+def test_redirected_workers_stay_away_if_another_leads_and_come_back_in_an_outage(found: bool) -> None:
+    search = LeaderSearch()
+    search.start(3, seconds(1), NOW)
+    assert not search.should_redirect("i-0", True, NOW), "those without tasks go first"
+    assert search.should_redirect("i-1", False, NOW) and search.should_redirect("i-2", True, NOW + seconds(1.3))
     if not found:
-        assert not scouts.should_redirect("i-1", False, NOW + seconds(3)), "answered again as it returns"
-    assert not scouts.has_found_leader(NOW + seconds(4))
-    assert scouts.has_found_leader(NOW + seconds(30)) == found
-    scouts.start(3, seconds(1), NOW + seconds(2))
-    assert scouts.sent_at_by_worker == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
+        assert not search.should_redirect("i-1", False, NOW + seconds(3)), "answered again as it returns"
+    assert not search.has_found_leader(NOW + seconds(4))
+    assert search.has_found_leader(NOW + seconds(30)) == found
+    search.start(3, seconds(1), NOW + seconds(2))
+    assert search.sent_at_by_worker == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
 
 
-def test_callers_count_for_a_while_and_are_bounded() -> None:
-    callers = RedirectedWorkers()
+def test_redirected_workers_count_for_a_while_and_are_bounded() -> None:
+    redirected_workers = RedirectedWorkers()
     for number in range(9000):
-        callers.record_heartbeat(f"i-{number}", (1, 7), NOW)
-    assert not callers.find_redirected(["i-8999", "i-0"], NOW), (
+        redirected_workers.record_heartbeat(f"i-{number}", (1, 7), NOW)
+    assert not redirected_workers.find_redirected(["i-8999", "i-0"], NOW), (
         "one that came this instant may be with the leader in the next"
     )
-    assert callers.find_redirected(["i-8999", "i-0"], NOW + seconds(2)) == {"i-8999": (1, 7)}
-    callers.record_heartbeat("i-8999", (1, 7), NOW + seconds(8))
-    assert not callers.find_redirected(["i-8999"], NOW + seconds(9)), "a copy that came late"
+    assert redirected_workers.find_redirected(["i-8999", "i-0"], NOW + seconds(2)) == {"i-8999": (1, 7)}
+    redirected_workers.record_heartbeat("i-8999", (1, 7), NOW + seconds(8))
+    assert not redirected_workers.find_redirected(["i-8999"], NOW + seconds(9)), "a copy that came late"
     assert len(sample_workers({f"i-{n}": "" for n in range(9000)})) <= MAX_WORKERS_IN_QUERY
