--- a/roseweir/cloud/client.py
+++ b/roseweir/cloud/client.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud, within its rate."""
+"""Calls to the cloud's API, within its rate limit."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,70 +7,83 @@
 import msgspec
 
 from roseweir.cloud import messages as wire
+from roseweir.cloud.errors import CloudRequestFailed, NoCapacity, NotLeading
+from roseweir.cloud.offers import MachineOffer
 from roseweir.http import Connect, Unreachable, connect
-from roseweir.kv_store.client import RateLimiter, StoreError
+from roseweir.kv_store.client import RateLimiter
 from roseweir.settings import CloudSettings
 from roseweir.submissions.jobs import MachineType
 
 REQUEST_TIMEOUT = timedelta(seconds=3)
-T = TypeVar("T")
-
+CONNECTION_POOL_SIZE = 4
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_RELEASE = 100
+MACHINES_PER_PAGE = 500
+# The leader makes almost all calls; the rest of the rate is left to nodes that read the catalog.
+LEADER_RATE_FRACTION = 0.8
+RATE_BURST_S = 2.0
 
-
-class NoCapacity(Exception):
-    """None available for this type, zone and kind."""
+MessageT = TypeVar("MessageT")
 
 
 class CloudClient:
-    def __init__(self, address: str, settings: CloudSettings, connect: Connect = connect) -> None:
-        self._send = connect(address, 4)
-        # The leader makes almost all calls; the rest is left to nodes that read the catalog.
-        self._rate_limiter = RateLimiter(settings.max_requests_per_s * 0.8, burst_s=2.0)
+    """The cloud's API. Every call may raise `CloudError`, or `Unreachable` if its outcome is unknown."""
 
-    async def _call(
-        self, method: str, path: str, body: object = None, may_act: Callable[[], bool] | None = None
-    ) -> object:
-        await self._rate_limiter.acquire()
-        # A turn may be long in coming, and the node may have stood still: the right is looked at last.
-        if may_act is not None and not may_act():
-            raise StoreError("this node may not lead any more")
-        reply = await self._send(method, path, body, timeout=REQUEST_TIMEOUT)
-        if reply.status == 503 and b"no capacity" in reply.body:
-            raise NoCapacity
-        if reply.status != 200:
-            raise StoreError(f"cloud answered {reply.status} to {path}")
-        return reply.json() if reply.body else {}
+    def __init__(self, address: str, settings: CloudSettings, connect: Connect = connect) -> None:
+        self._send = connect(address, CONNECTION_POOL_SIZE)
+        self._rate_limiter = RateLimiter(settings.max_requests_per_s * LEADER_RATE_FRACTION, burst_s=RATE_BURST_S)
 
     async def read_catalog(self) -> list[MachineType]:
+        """The machine types that can be rented."""
         value = _decode(await self._call("GET", "/catalog"), wire.Catalog)
         return [entry.to_machine_type() for entry in value.machine_types]
 
     async def rent_machines(
-        self, request_id: str, type_name: str, zone: str, spot: bool, count: int, may_act: Callable[[], bool]
+        self, request_id: str, offer: MachineOffer, count: int, may_act: Callable[[], bool]
     ) -> list[str]:
-        body = wire.rental_request(request_id, type_name, zone, spot, min(count, MAX_MACHINES_PER_RENTAL))
+        """Rent up to `count` machines, at most `MAX_MACHINES_PER_RENTAL`; returns the names of those obtained.
+
+        Idempotent: a repeated call with the same `request_id` rents nothing more. Raises `NoCapacity` if there is
+        none, `NotLeading` if `may_act` is false when the request's turn comes.
+        """
+        body = wire.rental_request(
+            request_id, offer.type_name, offer.zone, offer.is_spot, min(count, MAX_MACHINES_PER_RENTAL)
+        )
         return _decode(await self._call("POST", "/machines", body, may_act), wire.RentedMachines).machine_names
 
     async def release_machines(self, machine_names: list[str], may_act: Callable[[], bool]) -> None:
-        await self._call(
-            "POST", "/machines/release", wire.release_request(machine_names[:MAX_MACHINES_PER_RELEASE]), may_act
-        )
+        """Release machines, the first `MAX_MACHINES_PER_RELEASE` of those named. Errors as in `rent_machines`."""
+        body = wire.release_request(machine_names[:MAX_MACHINES_PER_RELEASE])
+        await self._call("POST", "/machines/release", body, may_act)
 
     async def list_machines(self) -> list[wire.ListedMachine]:
+        """All machines that the cloud lists as rented, read page by page. The list lags behind rentals and releases."""
         listed: list[wire.ListedMachine] = []
         after = ""
         while True:
-            path = "/machines?limit=500" + (f"&after={after}" if after else "")
+            path = f"/machines?limit={MACHINES_PER_PAGE}" + (f"&after={after}" if after else "")
             page = _decode(await self._call("GET", path), wire.MachineList)
             listed += page.machines
             if not page.has_more or not page.machines:
                 return listed
             after = page.machines[-1].name
 
+    async def _call(
+        self, method: str, path: str, body: object = None, may_act: Callable[[], bool] | None = None
+    ) -> object:
+        await self._rate_limiter.acquire()
+        # The rate limiter may have taken long, and the process may have been paused: the right to act is checked last.
+        if may_act is not None and not may_act():
+            raise NotLeading
+        reply = await self._send(method, path, body, timeout=REQUEST_TIMEOUT)
+        if reply.status == 503 and b"no capacity" in reply.body:
+            raise NoCapacity(path)
+        if reply.status != 200:
+            raise CloudRequestFailed(path, reply.status)
+        return reply.json() if reply.body else {}
+
 
-def _decode(value: object, message_type: type[T]) -> T:
+def _decode(value: object, message_type: type[MessageT]) -> MessageT:
     try:
         return msgspec.convert(value, message_type)
     except msgspec.ValidationError as e:
--- /dev/null
+++ b/roseweir/cloud/offers.py
@@ -0,0 +1,118 @@
+"""What the cloud has on offer, and which offers are the cheapest for a job. Pure."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+from math import ceil
+from typing import NamedTuple
+
+from roseweir.clock import NEVER
+from roseweir.cloud.capacity import tasks_per_machine, units_per_task
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.submissions.jobs import JobSpec, MachineType
+
+# After a refusal the same type, zone and pricing is requested again this much later.
+OFFER_RETRY_INTERVAL = timedelta(seconds=12)
+MAX_MACHINES_PER_REQUEST = 10
+# Differences between sums of units below this are rounding errors.
+UNIT_TOLERANCE = 1e-6
+# Tasks that need less of their pool count as this much, so that no machine takes endlessly many.
+MIN_UNITS = 1e-3
+
+
+class MachineOffer(NamedTuple):
+    """Machines of one type in one zone, as spot instances or at the full price."""
+
+    type_name: str
+    zone: str
+    is_spot: bool
+
+
+@dataclass(slots=True, frozen=True)
+class MachineRequest:
+    """How many machines of one offer to rent, and what for."""
+
+    type_name: str
+    zone: str
+    is_spot: bool
+    count: int
+    is_forecast: bool = False  # for demand that is only expected
+    is_surge: bool = False  # to take the place of one that is drained
+
+    @property
+    def offer(self) -> MachineOffer:
+        """The offer that the request is for."""
+        return MachineOffer(self.type_name, self.zone, self.is_spot)
+
+
+class _RankedOffer(NamedTuple):
+    """An offer that a job may use. The first three fields give the order: cheapest, fewest machines, zone name."""
+
+    price_per_task: float
+    machine_count: int  # of the type that are in the zone already
+    zone: str
+    offer: MachineOffer
+    tasks_per_machine: int
+
+
+def choose_offers(
+    cluster_state: ClusterState,
+    spec: JobSpec,
+    requested_units: float,
+    refused_until: dict[MachineOffer, datetime],
+    machine_requests: list[MachineRequest],
+    now: datetime,
+) -> float:
+    """Add requests for a job's missing units to `machine_requests`, the cheapest offer for a task first.
+
+    Returns the units that the added requests bring: fewer than requested if the offers do not suffice.
+    """
+    requested_offers = {request.offer for request in machine_requests}
+    offers: list[_RankedOffer] = []
+    for machine_type in cluster_state.catalog.values():
+        offers += _usable_offers(cluster_state, spec, machine_type, refused_until, requested_offers, now)
+    offers.sort(key=lambda ranked: ranked[:3])
+    obtained_units = 0.0
+    for ranked in offers:
+        if obtained_units >= requested_units - UNIT_TOLERANCE:
+            break
+        units_per_machine = max(units_per_task(spec) * ranked.tasks_per_machine, MIN_UNITS)
+        missing_machines = (requested_units - obtained_units) / units_per_machine
+        count = min(MAX_MACHINES_PER_REQUEST, ceil(missing_machines - UNIT_TOLERANCE))
+        machine_requests.append(MachineRequest(*ranked.offer, count))
+        obtained_units += count * units_per_machine
+    return obtained_units
+
+
+def _usable_offers(
+    cluster_state: ClusterState,
+    spec: JobSpec,
+    machine_type: MachineType,
+    refused_until: dict[MachineOffer, datetime],
+    requested_offers: set[MachineOffer],
+    now: datetime,
+) -> Iterable[_RankedOffer]:
+    """The offers of one machine type that the job may use, and that are neither refused nor requested already."""
+    if not spec.fits_machine_type(machine_type):
+        return
+    tasks_per_offer = tasks_per_machine(cluster_state, spec, machine_type)
+    if tasks_per_offer <= 0:
+        return
+    for zone in machine_type.zones:
+        if spec.zone is not None and zone != spec.zone:
+            continue
+        candidates = [
+            MachineOffer(machine_type.name, zone, is_spot)
+            for is_spot in ((True, False) if spec.allows_spot else (False,))
+        ]
+        offers = [
+            offer for offer in candidates if refused_until.get(offer, NEVER) <= now and offer not in requested_offers
+        ]
+        if not offers:
+            continue
+        machine_count = sum(
+            1 for m in cluster_state.machines.values() if m.zone == zone and m.machine_type is machine_type
+        )
+        for offer in offers:
+            price = machine_type.spot_price if offer.is_spot else machine_type.price
+            yield _RankedOffer(price / tasks_per_offer, machine_count, zone, offer, tasks_per_offer)
--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -359,10 +359,10 @@
                 cluster_state.needs_scheduling or now - last_pass_at >= MAX_SCHEDULING_INTERVAL
             ) and self.leader_lease.is_valid():
                 cluster_state.needs_scheduling = False
-                self.cloud_controller.last_scheduling_pass = run_scheduling_pass(cluster_state, now)
+                self.cloud_controller.record_scheduling_pass(run_scheduling_pass(cluster_state, now))
                 last_pass_at = now
             elif not self.leader_lease.is_valid():
-                self.cloud_controller.last_scheduling_pass = SchedulingPassResult()
+                self.cloud_controller.record_scheduling_pass(SchedulingPassResult())
             if cluster_state.dirty_machines or cluster_state.dirty_jobs:
                 self.log_writer.work_available.set()
             rest_duration = (monotonic_now() - now) * SCHEDULING_REST_FACTOR
--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -13,7 +13,8 @@
 import orjson
 
 from roseweir.clock import NEVER, monotonic_now, seconds, sleep
-from roseweir.cloud.client import CloudClient, NoCapacity
+from roseweir.cloud.client import CloudClient
+from roseweir.cloud.errors import NoCapacity
 from roseweir.connections import ConnectionAdmission, ConnectionClass
 from roseweir.controller.leader import LeaderTerm
 from roseweir.delivery_deadlines import handlers as promises
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -11,7 +11,7 @@
 from roseweir import clock
 from roseweir.clock import monotonic_now, seconds, sleep, utc_now_ms
 from roseweir.cloud.controller import CloudController
-from roseweir.cloud.scale_out import MachineOffer, MachineRequest
+from roseweir.cloud.offers import MachineOffer, MachineRequest
 from roseweir.drain import status_report
 from roseweir.drain.auto_replacement import AutoReplacement
 from roseweir.drain.disruption_budget import DisruptionAccount
@@ -208,7 +208,7 @@
         if released and cloud is not None:
             for machine in released:
                 # The cloud has one of this kind again in a moment.
-                cloud.refused_until.pop((machine.machine_type.name, machine.zone, machine.is_spot), None)
+                cloud.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
             log.info("drained: %s", format_machine_names(released))
         self._log_progress(now)
 
--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -21,6 +21,7 @@
 
 from roseweir.clock import ZERO, seconds
 from roseweir.cloud.liveness import silence_timeout
+from roseweir.cloud.offers import MachineOffer
 from roseweir.drain.auto_replacement import REPLACEMENT_REASONS, AutoReplacement
 from roseweir.drain.disruption_budget import DisruptionAccount
 from roseweir.drain.model import Drain
@@ -267,7 +268,7 @@
         return Cordon(
             owner,
             machine_type,
-            (machine_type, machine.zone, machine.is_spot),
+            MachineOffer(machine_type, machine.zone, machine.is_spot),
             wall_ms,
             needs_replacement,
             has_replacement,
--- a/roseweir/drain/store.py
+++ b/roseweir/drain/store.py
@@ -14,6 +14,7 @@
 import msgspec
 import orjson
 
+from roseweir.cloud.offers import MachineOffer
 from roseweir.drain.model import Drain
 from roseweir.drain.surge_pool import Cordon
 from roseweir.kv_store import Entry, KeyValueStoreClient, StoreError
@@ -102,7 +103,12 @@
                 "machines"
             ].items():
                 stored.cordons[name] = Cordon(
-                    owner, machine_type, (machine_type, zone, spot), cordoned_at_ms, needs_replacement, has_replacement
+                    owner,
+                    machine_type,
+                    MachineOffer(machine_type, zone, spot),
+                    cordoned_at_ms,
+                    needs_replacement,
+                    has_replacement,
                 )
                 self._page_by_machine[name] = int(entry.key.removeprefix(CORDONS_KEY_PREFIX))
         elif entry.key.startswith(DISRUPTIONS_KEY_PREFIX):
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -19,7 +19,8 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from roseweir.cloud.scale_out import LATE_BOOT_FACTOR, MAX_MACHINES_PER_REQUEST, MachineOffer, MachineRequest
+from roseweir.cloud.boot_times import LATE_BOOT_FACTOR
+from roseweir.cloud.offers import MAX_MACHINES_PER_REQUEST, MachineOffer, MachineRequest
 from roseweir.limits.rules import fetch_tag
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import Machine
@@ -165,7 +166,7 @@
     def is_sold_out(self, machine_type: str, spot: bool, now: datetime) -> bool:
         catalog_entry = self.cluster_state.catalog.get(machine_type)
         return catalog_entry is not None and all(
-            self.sold_out_until.get((machine_type, zone, spot), now) > now for zone in catalog_entry.zones
+            self.sold_out_until.get(MachineOffer(machine_type, zone, spot), now) > now for zone in catalog_entry.zones
         )
 
     def cordon_capacity(
@@ -281,7 +282,7 @@
             return []
         zone_order = sorted(catalog_entry.zones, key=lambda zone: (-machines_by_zone.get(zone, 0), zone))
         pricings = (spot, not spot) if self.gaps.get(machine_type) else (spot,)
-        return [(machine_type, zone, each) for each in pricings for zone in zone_order]
+        return [MachineOffer(machine_type, zone, each) for each in pricings for zone in zone_order]
 
     def _affordable_image_fetches(self, now: datetime) -> dict[str, int]:
         """New machines whose first images each zone's bucket pays for soon, others' fetches beside them."""
--- a/roseweir/forecast/capacity_plan.py
+++ b/roseweir/forecast/capacity_plan.py
@@ -11,7 +11,8 @@
 from math import ceil
 from typing import NamedTuple
 
-from roseweir.cloud.scale_out import MachineOffer, MachineRequest, available_machines, choose_offers, units_per_task
+from roseweir.cloud.capacity import available_machines, units_per_task
+from roseweir.cloud.offers import MachineOffer, MachineRequest, choose_offers
 from roseweir.forecast.forecaster import CapacityNeed
 from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.scheduler.capacity_snapshot import allows_machine
--- a/roseweir/forecast/predictive_scaler.py
+++ b/roseweir/forecast/predictive_scaler.py
@@ -7,7 +7,7 @@
 
 from roseweir import clock
 from roseweir.clock import NEVER, monotonic_now, sleep
-from roseweir.cloud.scale_out import MachineOffer, MachineRequest
+from roseweir.cloud.offers import MachineOffer, MachineRequest
 from roseweir.forecast.capacity_plan import CapacityHold, CapacityPlan
 from roseweir.forecast.history_store import DemandHistoryStore, LeadershipLost
 from roseweir.forecast.scaling_planner import ScalingPlanner
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -5,7 +5,9 @@
 from datetime import datetime
 
 from roseweir.clock import ZERO
-from roseweir.cloud.scale_out import MachineOffer, MachineRequest, time_budget, units_per_task
+from roseweir.cloud.capacity import units_per_task
+from roseweir.cloud.offers import MachineOffer, MachineRequest
+from roseweir.cloud.scale_out import time_budget
 from roseweir.forecast.capacity_plan import CapacityPlan, lead_time_s, plan_capacity, representative_job
 from roseweir.forecast.demand_history import Demand, DemandHistory, Pool, SeriesKey, TaskShape
 from roseweir.forecast.forecaster import CapacityNeed, DemandForecaster, find_best_effort_teams
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -19,7 +19,9 @@
 
 from roseweir.clock import MONOTONIC_ORIGIN, seconds
 from roseweir.cloud.controller import OVERFLOW_DURATION
-from roseweir.cloud.scale_out import OFFER_RETRY_INTERVAL, MachineOffer, MachineRequest, plan_scale_in, plan_scale_out
+from roseweir.cloud.offers import OFFER_RETRY_INTERVAL, MachineOffer, MachineRequest
+from roseweir.cloud.scale_in import plan_scale_in
+from roseweir.cloud.scale_out import plan_scale_out
 from roseweir.forecast.demand_history import Pool
 from roseweir.forecast.scaling_planner import ScalingPlanner
 from roseweir.forecast.settings import PredictiveScalingSettings
@@ -233,7 +235,7 @@
         self._prewarmed_counted_at = at
 
     def _scale_out(self, want: MachineRequest, at: float) -> None:
-        offer = (want.type_name, want.zone, want.is_spot)
+        offer = want.offer
         cluster_state, now = self.cluster_state, self._monotonic_at(at)
         machine_type = cluster_state.catalog[want.type_name]
         rented_count = sum((m.machine_type.name, m.zone, m.is_spot) == offer for m in cluster_state.machines.values())
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from roseweir.clock import NEVER
-from roseweir.cloud.scale_out import MachineOffer
+from roseweir.cloud.offers import MachineOffer
 from roseweir.drain.eviction_state_machine import Decision, EvictionStateMachine, has_room_elsewhere
 from roseweir.rebalancing.fragmentation import FragmentationReport, format_report, measure_fragmentation
 from roseweir.rebalancing.fragmentation_scoring import FragmentationScorer
@@ -225,7 +225,7 @@
         if catalog_entry is None:
             return True
         offers = [
-            (machine_type, zone, spot)
+            MachineOffer(machine_type, zone, spot)
             for zone in catalog_entry.zones
             for spot in ((True, False) if run.spec.allows_spot else (False,))
         ]
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -10,6 +10,7 @@
 
 from roseweir.cli import main
 from roseweir.clock import seconds
+from roseweir.cloud.offers import MachineOffer
 from roseweir.drain.auto_replacement import (
     REPLACE_FAILING,
     REPLACE_OLD,
@@ -426,11 +427,11 @@
     assert pool.cordon_capacity("cpu", False, True, [], NOW) == 0, "nothing is in place yet"
     wants = pool.plan_rentals({"cpu": machines}, {}, [], NOW)
     assert sum(w.count for w in wants) == 2 and all(w.is_surge for w in wants)
-    refused = {("cpu", zone, False): NOW + seconds(12) for zone in "ab"}
+    refused = {MachineOffer("cpu", zone, False): NOW + seconds(12) for zone in "ab"}
     pool.update([False], refused, NOW)
     assert pool.plan_rentals({"cpu": machines}, refused, [], NOW) == []
     assert pool.cordon_capacity("cpu", False, True, [], NOW) == 2
-    cordons = [Cordon("x", "cpu", ("cpu", "a", False), MS, True) for _ in range(2)]
+    cordons = [Cordon("x", "cpu", MachineOffer("cpu", "a", False), MS, True) for _ in range(2)]
     assert pool.cordon_capacity("cpu", False, True, cordons, NOW) == 0
     pool.record_departure(cordons.pop(), NOW)
     assert pool.cordon_capacity("cpu", False, True, cordons, NOW) == 0, "gone is not replaced"
@@ -540,7 +541,8 @@
 def test_ten_thousand_machines_take_a_bounded_number_of_keys_within_their_size() -> None:
     store = DrainStore(cast(KeyValueStoreClient, Small()), 1)
     cordons = {
-        f"i-{n:06d}": Cordon("replace-older", "starter", ("starter", "kaohsiung", True), MS, True) for n in range(1000)
+        f"i-{n:06d}": Cordon("replace-older", "starter", MachineOffer("starter", "kaohsiung", True), MS, True)
+        for n in range(1000)
     }
     values = store.encode_cordons(cordons)
     assert len(values) == MAX_CORDON_PAGES and all(len(orjson.dumps(v)) <= 8192 for v in values.values())
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,6 +10,7 @@
 
 from roseweir.clock import seconds
 from roseweir.cloud import scale_out as cloud_plan
+from roseweir.cloud.capacity import available_machines
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.kv_store.transaction_limits import TransactionLimits
 from roseweir.notifier import Notifier
@@ -189,7 +190,7 @@
     cluster_state, _ = fleet(50)
     left = SchedulingPassResult(unplaced=[(cluster_state.add_job(job(number), 1), 1) for number in range(100)])
     looks = 0
-    standing = cloud_plan.available_machines
+    standing = available_machines
 
     def counted(cluster_state: ClusterState, now: datetime) -> Iterable[Machine]:
         nonlocal looks
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -8,7 +8,9 @@
 
 from roseweir.calendars import Calendar, CalendarEvent
 from roseweir.clock import seconds
-from roseweir.cloud.scale_out import plan_scale_in, plan_scale_out
+from roseweir.cloud.offers import MachineOffer
+from roseweir.cloud.scale_in import plan_scale_in
+from roseweir.cloud.scale_out import plan_scale_out
 from roseweir.forecast.capacity_plan import late_factor, lead_time_s, plan_capacity, representative_job
 from roseweir.forecast.demand_history import Pool, TaskShape
 from roseweir.forecast.forecaster import CapacityNeed, weighted_quantile
@@ -221,7 +223,12 @@
     if draw.random() < 0.7:
         cluster_state.add_job(job(1, task_count=draw.randint(1, 60), cpus=2.0), 1)
     left = run_scheduling_pass(cluster_state, NOW)
-    refused = {("cpu", zone, spot): NOW + seconds(9) for zone in "ab" for spot in (True, False) if draw.random() < 0.4}
+    refused = {
+        MachineOffer("cpu", zone, spot): NOW + seconds(9)
+        for zone in "ab"
+        for spot in (True, False)
+        if draw.random() < 0.4
+    }
     settings = PredictiveScalingSettings(machines_most=draw.randint(0, 8), money_most=draw.choice([1.0, 5.0, 40.0]))
     pools = [
         need(draw.uniform(1, 120)),
@@ -280,7 +287,10 @@
     now = weeks.timestamp("2026-05-04T16:29")
     weeks.watch_until(now)
     refused = {
-        (kind, zone, spot): NOW + seconds(9) for kind in ("cpu", "gpu") for zone in "ab" for spot in (True, False)
+        MachineOffer(kind, zone, spot): NOW + seconds(9)
+        for kind in ("cpu", "gpu")
+        for zone in "ab"
+        for spot in (True, False)
     }
     before = weeks.planner.lead_times_s(now)[CPU_POOL]
     for second in range(30):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -4,6 +4,7 @@
 from datetime import datetime, timedelta
 
 from roseweir.clock import seconds
+from roseweir.cloud.capacity import available_machines
 from roseweir.cloud.liveness import (
     MAX_HUNG_LEASES,
     MIN_FAILED_PROBES,
@@ -13,7 +14,7 @@
     record_probe_result,
     silence_timeout,
 )
-from roseweir.cloud.scale_out import available_machines, plan_scale_in
+from roseweir.cloud.scale_in import plan_scale_in
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roseweir.clock import monotonic_now
-from roseweir.cloud.controller import CloudController
+from roseweir.cloud.machine_inventory import MachineInventory
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine, PlacementPhase
@@ -265,16 +265,16 @@
 
 def unlisted_machines_are_gone(patch: Patch) -> None:
     """What the cloud's list does not show yet is taken for gone, with the tasks on it."""
-    learn = CloudController._reconcile_machine_list
+    learn = MachineInventory.reconcile
 
-    def forget(self: CloudController, listed: list[Any], at: Any) -> None:
+    def forget(self: MachineInventory, listed: list[Any], at: Any) -> None:
         learn(self, listed, at)
         names = {entry.name for entry in listed}
         for machine in list(self.cluster_state.machines.values()):
             if machine.name not in names:
                 self.cluster_state.expire_machine(machine, at, "not listed")
 
-    patch.setattr(CloudController, "_reconcile_machine_list", forget)
+    patch.setattr(MachineInventory, "reconcile", forget)
 
 
 def test_work_on_machines_that_are_seconds_old_is_known_to_the_next_leader() -> None:
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -6,8 +6,9 @@
 import pytest
 
 from roseweir.clock import seconds
+from roseweir.cloud.capacity import available_machines
 from roseweir.cloud.liveness import MIN_FAILED_PROBES, PROBE_TIMEOUT, machines_to_probe, record_probe_result
-from roseweir.cloud.scale_out import available_machines, plan_scale_in
+from roseweir.cloud.scale_in import plan_scale_in
 from roseweir.http import Reply
 from roseweir.scheduler import heartbeat_reconciliation, one_way_partition
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,7 +8,9 @@
 import pytest
 
 from roseweir.clock import ZERO, seconds
-from roseweir.cloud.scale_out import plan_scale_in, plan_scale_out
+from roseweir.cloud.offers import MachineOffer
+from roseweir.cloud.scale_in import plan_scale_in
+from roseweir.cloud.scale_out import plan_scale_out
 from roseweir.limits.rules import renew_fetch_limits
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.cluster_state import ClusterState
@@ -302,7 +304,7 @@
     cluster_state.add_job(job(1, task_count=16, allows_spot=False), 1)
     wants, exhausted = plan_scale_out(cluster_state, run_scheduling_pass(cluster_state, NOW), {}, 0, NOW)
     assert {w.type_name for w in wants} == {"cpu"} and not any(w.is_spot for w in wants) and not exhausted
-    refused = {("cpu", zone, spot): NOW + seconds(9) for zone in "ab" for spot in (True, False)}
+    refused = {MachineOffer("cpu", zone, spot): NOW + seconds(9) for zone in "ab" for spot in (True, False)}
     wants, exhausted = plan_scale_out(cluster_state, run_scheduling_pass(cluster_state, NOW), refused, 0, NOW)
     assert {w.type_name for w in wants} == {"gpu"} or exhausted
 
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -6,6 +6,7 @@
 import pytest
 
 from roseweir.clock import seconds
+from roseweir.cloud.offers import MachineOffer
 from roseweir.cloud.scale_out import plan_scale_out
 from roseweir.controller.leader import LeaderTerm
 from roseweir.scheduler.cluster_state import ClusterState
@@ -47,7 +48,7 @@
     wants, _ = plan_scale_out(cluster_state, left, {}, 0, at)
     assert [(w.type_name, w.zone) for w in wants if w.type_name == "cpu"] == [("cpu", "a")]
     # None to be had: then it may use the CPUs of the idle GPUs.
-    refused = {("cpu", "a", spot): at + seconds(9) for spot in (True, False)}
+    refused = {MachineOffer("cpu", "a", spot): at + seconds(9) for spot in (True, False)}
     assert plan_scale_out(cluster_state, left, refused, 0, at)[1]
 
 
