--- a/roseweir/cloud/__init__.py
+++ b/roseweir/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""Machines by the second: the catalog, what to rent, and what to give back."""
+"""Machines rented by the second: catalog, scale out and in, liveness, and the control loops over the cloud's API."""
--- a/roseweir/cloud/boot_times.py
+++ b/roseweir/cloud/boot_times.py
@@ -14,7 +14,7 @@
 
 
 def boot_slowdown(cluster_state: ClusterState, now: datetime) -> dict[str, float]:
-    """By how much boots of each type are slower than the catalog says; 1.0 if they are as usual.
+    """By which factor boots of each type are slower than the catalog says; 1.0 if they are as usual.
 
     The machines that are late always make up most of those still booting, so they are held against
     those that came up on time of late. When they outnumber these, others would be as late: ordering all
--- a/roseweir/cloud/liveness.py
+++ b/roseweir/cloud/liveness.py
@@ -1,14 +1,15 @@
-"""Which silent machines hang and will go on, and which are gone. Pure.
-
-A machine without power, or behind a cut, lets a connection attempt run out. One that hangs has an operating system
-that takes the connection, and only its worker says nothing. So a silent machine is asked: one that takes the connection
-is waited for, one that does not is given back sooner than patience alone would allow. Before, 200 machines that hung
-for less than their lease were given back after two reports, and others booted for 50 s in their place (own day,
-mass-fall at 1.8 times the size).
-
-Bounds: a machine that hangs is waited for HANGS leases from its last report. One that takes no connection goes after
-OVERDUE and MISSES attempts, if most of its zone is heard: what holds for it alone is not a cut, and its release proves
-its tasks gone. One that could not be asked goes after `patience`, as if there were nobody to ask.
+"""Which silent machines are hung and will go on, and which are lost. Pure.
+
+On a machine without power, or behind a network partition, a connection attempt times out. A hung machine's operating
+system still accepts the connection, and only its worker does not answer. So a silent machine is probed: one that
+accepts the connection is waited for, one that does not is released sooner than `silence_timeout` alone would allow.
+Before, 200 machines that hung for less than their lease were released after two missed heartbeats, and others booted
+for 50 s in their place (simulated day, mass-fall at 1.8 times the size).
+
+Bounds: a hung machine is waited for MAX_HUNG_LEASES leases from its last heartbeat. One that accepts no connection is
+lost once its heartbeat is overdue and MIN_FAILED_PROBES probes have failed, if most of its zone is heard: what holds
+for it alone is not a partition, and its release proves its tasks gone. One that could not be probed is lost after
+`silence_timeout`.
 """
 
 import logging
@@ -21,24 +22,35 @@
 
 log = logging.getLogger(__name__)
 
-# A report comes a quarter of its interval late at most, and its answer may have been held: this much more is overdue.
+# A heartbeat comes a quarter of its interval late at most, and its response may have been held: with this added to the
+# interval and the quarter, it is overdue.
+LATEST_HEARTBEAT_FACTOR = 1.25
 HEARTBEAT_OVERDUE_GRACE = timedelta(seconds=2.5)
-# How often a silent machine is asked, how long an attempt may take, and how many must fail.
-PROBE_INTERVAL, PROBE_TIMEOUT, MIN_FAILED_PROBES = timedelta(seconds=1), timedelta(milliseconds=500), 2
+# How often a silent machine is probed, how long a probe may take, and how many must fail.
+PROBE_INTERVAL = timedelta(seconds=1)
+PROBE_TIMEOUT = timedelta(milliseconds=500)
+MIN_FAILED_PROBES = 2
+# A hung machine is lost after this many leases without a heartbeat.
 MAX_HUNG_LEASES = 2
 
 
 def silence_timeout(cluster_state: ClusterState) -> timedelta:
-    """How long a machine may be silent of which nothing else is known."""
+    """How long a machine of which nothing else is known may be silent before it is lost."""
     return min(
         cluster_state.settings.params.workers.heartbeat_interval * 2 + LEADER_SEARCH_TOLERANCE,
         cluster_state.max_lease_duration,
     )
 
 
+def heartbeat_overdue_after(cluster_state: ClusterState) -> timedelta:
+    """Time since the last heartbeat from which the next one is overdue."""
+    interval = cluster_state.settings.params.workers.heartbeat_interval
+    return interval * LATEST_HEARTBEAT_FACTOR + HEARTBEAT_OVERDUE_GRACE
+
+
 def machines_to_probe(cluster_state: ClusterState, now: datetime) -> list[Machine]:
-    """Silent machines that should be asked now, those silent for the shortest first: their tasks can still be saved."""
-    overdue_after = cluster_state.settings.params.workers.heartbeat_interval * 1.25 + HEARTBEAT_OVERDUE_GRACE
+    """Silent machines to probe now, those silent for the shortest first: their tasks can still be saved."""
+    overdue_after = heartbeat_overdue_after(cluster_state)
     silent_machines = [
         m
         for m in cluster_state.machines.values()
@@ -55,9 +67,11 @@
 def record_probe_result(
     cluster_state: ClusterState, machine: Machine, probed_at: datetime, is_connected: bool, now: datetime
 ) -> None:
-    """What came of asking. An attempt that ran out late says more about this node than about the machine.
+    """Record whether a probe's connection was accepted.
 
-    A report since then says that a silent machine lives, and nothing about one in doubt: its reports come all the time.
+    A probe that timed out late says more about this node than about the machine, and is not counted. A heartbeat since
+    the probe proves that a silent machine is alive, and nothing about one that is suspected of a one-way partition:
+    heartbeats come from it all the time.
     """
     if machine.last_heartbeat_at >= probed_at and not machine.is_suspected:
         return
@@ -67,26 +81,25 @@
         machine.is_hung = False
         machine.missed_probe_count += 1
         if machine.missed_probe_count >= MIN_FAILED_PROBES and mark_unreachable(machine, now):
-            log.info("machine %s is heard, and neither answers nor commands reach it", machine.name)
+            log.info("one-way partition: machine=%s heartbeats=received responses=lost commands=lost", machine.name)
             for task_id in unsent_placement_keys(machine):
                 cluster_state.request_stop(machine.placements[task_id], ZERO, now)
 
 
 def is_lost(cluster_state: ClusterState, machine: Machine, now: datetime) -> bool:
-    """Whether it should go back: it has been silent, and waiting for it pays no longer."""
+    """Whether the machine should be released: it has been silent or unreachable for longer than it is waited for."""
     if machine.is_unreachable:
         return now - machine.unreachable_since > cluster_state.max_lease_duration
     silent_for = cluster_state.time_since_heartbeat(machine, now)
     if machine.is_hung:
         return silent_for > cluster_state.max_lease_duration * MAX_HUNG_LEASES
     return silent_for > silence_timeout(cluster_state) or (
-        machine.missed_probe_count >= MIN_FAILED_PROBES
-        and silent_for > cluster_state.settings.params.workers.heartbeat_interval * 1.25 + HEARTBEAT_OVERDUE_GRACE
+        machine.missed_probe_count >= MIN_FAILED_PROBES and silent_for > heartbeat_overdue_after(cluster_state)
     )
 
 
 def counts_as_capacity(cluster_state: ClusterState, machine: Machine, now: datetime) -> bool:
-    """Whether it counts as capacity: it runs, or is expected to go on."""
+    """Whether the machine counts as capacity: it runs, or is hung and expected to go on."""
     return cluster_state.time_since_heartbeat(machine, now) <= cluster_state.max_lease_duration * (
         MAX_HUNG_LEASES if machine.is_hung else 1
     )
--- a/roseweir/cloud/messages.py
+++ b/roseweir/cloud/messages.py
@@ -1,4 +1,4 @@
-"""The cloud's wire names."""
+"""Messages of the cloud's API. The published names occur here only, in `rename=` and in the request bodies."""
 
 from typing import Any
 
@@ -11,6 +11,8 @@
     msgspec.Struct,
     rename={"gpus": "accelerators", "cpus": "cores", "spot_price": "low_price", "boot_s": "ready_s", "zones": "yards"},
 ):
+    """A machine type that can be rented. `boot_s` is in seconds, prices are in the catalog's unit."""
+
     name: str
     cpus: float
     gpus: float
@@ -23,6 +25,7 @@
     zones: list[str]
 
     def to_machine_type(self) -> MachineType:
+        """The entry as the scheduler's machine type."""
         return MachineType(
             self.name,
             self.cpus,
@@ -38,6 +41,8 @@
 
 
 class Catalog(msgspec.Struct, rename={"machine_types": "builds"}):
+    """Answer to `GET /catalog`."""
+
     machine_types: list[CatalogEntry]
 
 
@@ -53,6 +58,8 @@
         "age_s": "held_s",
     },
 ):
+    """A rented machine. `age_s`: seconds since it was rented."""
+
     name: str
     address: str
     machine_type: str
@@ -63,21 +70,28 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "hosts", "has_more": "truncated"}):
+    """Answer to `GET /machines`: one page of the list."""
+
     machines: list[ListedMachine]
     has_more: bool = False
 
 
 class RentedMachines(msgspec.Struct, rename={"machine_names": "hosts"}):
+    """Answer to `POST /machines`: the machines that were obtained."""
+
     machine_names: list[str]
 
 
+# Values of `ListedMachine.state`.
 BOOTING = "booting"
 FAILED = "failed"
 
 
 def rental_request(request_id: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """Body of `POST /machines`. The request id makes the call idempotent."""
     return {"requisition": request_id, "build": type_name, "yard": zone, "loaners": spot, "how_many": count}
 
 
 def release_request(machine_names: list[str]) -> dict[str, Any]:
+    """Body of `POST /machines/release`."""
     return {"hosts": machine_names}
--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -51,11 +51,11 @@
 
 
 def _update_zone_contact(cluster_state: ClusterState, silent_by_zone: dict[str, list[bool]], now: datetime) -> None:
-    """Since when most machines of a zone, and of all, have been heard.
+    """Record since when most machines of each zone, and of all zones, have been heard.
 
-    While most of a zone is silent it may only be cut off from us, and its tasks go on. Once it is heard
-    again, or a new leader is, the last workers to turn up are not at fault either: 276 machines
-    were given back so within seconds of a cut's end and a take-over (apart, log p2).
+    While most of a zone is silent it may only be partitioned from this node, and its tasks go on. Once the zone is
+    heard again, or after a failover, the last workers to send a heartbeat are not at fault either: 276 machines were
+    released so within seconds of the end of a partition and a failover (measured, see the journal).
     """
     all_silent = [silent for zones in silent_by_zone.values() for silent in zones]
     for zone, silent in silent_by_zone.items():
--- a/roseweir/connections/__init__.py
+++ b/roseweir/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Connections as a resource: who may hold one, who is asked to come back, and who pays when there is no room."""
+"""Admission of connections: which are accepted, kept alive, evicted or told to retry when they are scarce."""
 
 from roseweir.connections.admission import ConnectionAdmission, ConnectionClass
 
--- a/roseweir/connections/admission.py
+++ b/roseweir/connections/admission.py
@@ -1,47 +1,60 @@
 """Which connections a listener keeps when they are scarce. Pure: no I/O, and no clock.
 
-A controller has a number of sockets and more machines than that may report to it. What the leader itself needs (the
-state service, the cloud, direct commands) and what peers need never comes here: `Room` divides what is left. The order
-in which a lack of room spares those who come is `ConnectionClass`'s. It is kept by four means, the mildest first:
-
-1. Above HELD_BELOW no answer is held back for an idle worker, and its connection ends with the answer. The worker
-   stays with this node and opens another for its next report: that costs a handshake, and the connection is in use
-   for milliseconds instead of seconds.
-2. Above KEPT_BELOW the same goes for workers with tasks, and for users above their share.
-3. At the brim a newcomer takes the place of the connection that has been idle the longest, of a side above its share
-   if there is one, else of the last side in the order.
-4. Users above their share and above KEPT_BELOW are told at once to come back.
-
-A side's share is what nobody else can take from it. A flood from one side is above that side's share, so it is that
-side's own connections that make way for it.
+A controller has a limited number of sockets and more machines than that may send it heartbeats. Sockets that the leader
+itself needs (for the key-value store, the cloud, direct commands) and that peers need are set aside elsewhere:
+`ConnectionAdmission` divides what is left between the classes of clients, in the order of `ConnectionClass`. It uses
+four measures, the mildest first:
+
+1. From MAX_HOLD_USAGE on no response is held back for an idle worker, and its connection ends with the response. The
+   worker stays with this node and opens another for its next heartbeat: that costs a handshake, and the connection is
+   in use for milliseconds instead of seconds.
+2. From MAX_KEEP_ALIVE_USAGE on the same goes for workers with tasks, and for users above their share.
+3. At the limit a new connection replaces the one that has been idle the longest, of a class above its share if there
+   is one, else of the last class in the order.
+4. Users above their share are told to retry later from MAX_KEEP_ALIVE_USAGE on.
+
+A class's share is reserved for it. A flood from one class is above that class's share, so it is that class's own
+connections that are evicted for it.
 """
 
 from collections.abc import Hashable
 from enum import IntEnum
-from typing import Any, Generic, TypeVar
+from typing import Any, Generic, NamedTuple, TypeVar
 
 
 class ConnectionClass(IntEnum):
-    """Who is at the other end; a lack of room spares them in this order."""
+    """The kind of client at the other end; when connections are scarce, the first are spared the longest."""
 
     HEALTH = 0  # the load balancer's checks
     USER = 1
     WORKER = 2  # with tasks
     IDLE_WORKER = 3
-    NEW = 4  # has not said yet who it is
+    NEW = 4  # has sent no request yet
 
 
-# Parts of the room that belong to a side; what is left over belongs to workers.
+# Fractions of the connections that are reserved for a class; the rest is reserved for workers.
 CLASS_SHARES = {ConnectionClass.HEALTH: 0.03, ConnectionClass.USER: 0.25, ConnectionClass.NEW: 0.12}
-# The room's parts in use from which answers are not held, and connections not kept.
-MAX_HOLD_USAGE, MAX_KEEP_ALIVE_USAGE = 0.75, 0.87
+# Fraction of the connections in use from which responses to idle workers are not held.
+MAX_HOLD_USAGE = 0.75
+# Fraction from which connections of workers with tasks, and of users above their share, are not kept alive.
+MAX_KEEP_ALIVE_USAGE = 0.87
+MIN_RESERVED_CONNECTIONS = 4
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
 
+class Admission(NamedTuple, Generic[ConnectionT]):
+    """Whether a new connection is accepted, and the one to close in its place, if any."""
+
+    is_admitted: bool
+    evicted: ConnectionT | None
+
+
 class ConnectionAdmission(Generic[ConnectionT]):
+    """The open connections of a listener by class, and which are accepted and kept."""
+
     def __init__(self, max_connections: int) -> None:
-        """`most`: connections at once."""
+        """`max_connections`: how many may be open at once."""
         self.max_connections = max_connections
         self._class_by_connection: dict[ConnectionT, ConnectionClass] = {}
         self._open_counts = dict.fromkeys(ConnectionClass, 0)
@@ -51,35 +64,37 @@
         }
         worker_share = 1.0 - sum(CLASS_SHARES.values())
         self._reserved_counts = {
-            connection_class: max(4, int(max_connections * CLASS_SHARES.get(connection_class, worker_share)))
+            connection_class: max(
+                MIN_RESERVED_CONNECTIONS, int(max_connections * CLASS_SHARES.get(connection_class, worker_share))
+            )
             for connection_class in ConnectionClass
         }
         self.refused_counts = dict.fromkeys(ConnectionClass, 0)
         self.evicted_counts = dict.fromkeys(ConnectionClass, 0)
-        self.closed_counts = dict.fromkeys(ConnectionClass, 0)  # ended with an answer, to make room
+        self.closed_counts = dict.fromkeys(ConnectionClass, 0)  # ended with a response, since connections were scarce
 
     def __len__(self) -> int:
         return len(self._class_by_connection)
 
-    # -- what is decided ----------------------------------------------------------------------
+    # -- decisions ----------------------------------------------------------------------------
 
-    def admit(self, connection: ConnectionT) -> tuple[bool, ConnectionT | None]:
-        """Whether a newcomer gets in, and whose connection ends for it."""
+    def admit(self, connection: ConnectionT) -> Admission[ConnectionT]:
+        """Whether a new connection is accepted, and the one to close in its place, if any."""
         evicted = None
         if len(self) >= self.max_connections:
             evicted = self._longest_idle()
             if evicted is None:
                 self.refused_counts[ConnectionClass.NEW] += 1
-                return False, None
+                return Admission(False, None)
             self.evicted_counts[self._class_by_connection[evicted]] += 1
             self.remove(evicted)
         self._class_by_connection[connection] = ConnectionClass.NEW
         self._open_counts[ConnectionClass.NEW] += 1
         self._idle_connections[ConnectionClass.NEW][connection] = None
-        return True, evicted
+        return Admission(True, evicted)
 
     def admit_request(self, connection: ConnectionT, connection_class: ConnectionClass) -> bool:
-        """A request has come in. False: it is to be told to come back later."""
+        """Record a request and its class. Returns False if the client is to be told to retry later."""
         self._reclassify(connection, connection_class)
         if (
             connection_class == ConnectionClass.USER
@@ -91,11 +106,14 @@
         return True
 
     def may_hold_response(self) -> bool:
-        """Whether an idle worker's answer may wait for work."""
+        """Whether the response to an idle worker may be held until there is work for it."""
         return len(self) < self.max_connections * MAX_HOLD_USAGE
 
     def may_keep_alive(self, connection: ConnectionT, connection_class: ConnectionClass | None = None) -> bool:
-        """Whether the connection goes on after this answer; `side`: who it turned out to be."""
+        """Whether the connection stays open after this response.
+
+        `connection_class`: the client's class as the handler has found it; None leaves it as it was.
+        """
         if connection not in self._class_by_connection:
             return False
         connection_class = self._class_by_connection[connection] if connection_class is None else connection_class
@@ -115,22 +133,23 @@
             return False
         return True
 
-    # -- what has happened --------------------------------------------------------------------
+    # -- events and status --------------------------------------------------------------------
 
     def mark_idle(self, connection: ConnectionT) -> None:
-        """It waits for its next request."""
+        """Record that the connection waits for its next request."""
         connection_class = self._class_by_connection.get(connection)
         if connection_class is not None:
             self._idle_connections[connection_class][connection] = None
 
     def remove(self, connection: ConnectionT) -> None:
+        """Record that the connection has ended; does nothing if it is not open."""
         connection_class = self._class_by_connection.pop(connection, None)
         if connection_class is not None:
             self._open_counts[connection_class] -= 1
             self._idle_connections[connection_class].pop(connection, None)
 
     def describe(self) -> dict[str, Any]:
-        """For operators: {"open", "most", "by_side": {side: {"open", "refused", "evicted", "parted"}}}."""
+        """Counts for operators: {"open", "most", "by_side": {class: {"open", "refused", "evicted", "parted"}}}."""
         by_class = {
             connection_class.name.lower(): {
                 "open": self._open_counts[connection_class],
@@ -142,8 +161,6 @@
         }
         return {"open": len(self), "most": self.max_connections, "by_side": by_class}
 
-    # -- within -------------------------------------------------------------------------------
-
     def _reclassify(self, connection: ConnectionT, connection_class: ConnectionClass) -> None:
         known_class = self._class_by_connection.get(connection)
         if known_class is None:
--- a/roseweir/http/client.py
+++ b/roseweir/http/client.py
@@ -1,4 +1,4 @@
-"""The client side: pooled connections to one address, every request with an end."""
+"""The client side: pooled connections to one address, and a timeout on every request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,24 +9,20 @@
 import h11
 import orjson
 
+from roseweir.http.errors import Unreachable
 
-class Unreachable(Exception):
-    """No answer came. The request may have run, or may still run later.
-
-    `connected`: the other side took the connection, so something runs there.
-    """
-
-    def __init__(self, message: str, connected: bool = False) -> None:
-        super().__init__(message)
-        self.connected = connected
+READ_SIZE_BYTES = 64 * 1024
 
 
 @dataclass(slots=True)
 class Reply:
+    """An answer of any status, with its whole body."""
+
     status: int
     body: bytes
 
     def json(self) -> Any:
+        """The decoded body. Raises `Unreachable` if it is not JSON."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError as e:
@@ -45,12 +41,12 @@
 
 
 def connect(address: str, pool_size: int) -> Transport:
-    """The way out to an address. Tests put their own in its place."""
+    """A transport to an address, `host:port`. Tests pass their own function in its place."""
     return Client(address, pool_size).request
 
 
 class Client:
-    """Requests to one host and port. Connections idle in a small pool and are dropped on any doubt."""
+    """Requests to one host and port. Idle connections are kept in a small pool, and dropped after any error."""
 
     def __init__(self, address: str, pool_size: int = 4) -> None:
         host, _, port = address.rpartition(":")
@@ -59,6 +55,10 @@
         self._max_idle_connections = pool_size
 
     async def request(self, method: str, path: str, body: object = None, *, timeout: timedelta) -> Reply:
+        """Send one request, with `body` as JSON if there is one, and read the whole answer.
+
+        Raises `Unreachable` if no answer came within `timeout`, which covers connecting, sending and reading.
+        """
         payload = b"" if body is None else orjson.dumps(body)
         connection: _PooledConnection | None = None
         try:
@@ -88,7 +88,7 @@
                 return connection
             connection.writer.transport.abort()
         reader, writer = await asyncio.open_connection(self.host, self.port)
-        # What is asked for by a right that may end leaves in the step that has looked at the clock.
+        # A request sent under a lease must leave in the same step in which the lease was checked, not be buffered.
         writer.transport.set_write_buffer_limits(high=0)
         return _PooledConnection(reader, writer, h11.Connection(h11.CLIENT))
 
@@ -110,7 +110,7 @@
         while True:
             event = h11_connection.next_event()
             if event is h11.NEED_DATA:
-                h11_connection.receive_data(await connection.reader.read(65536))
+                h11_connection.receive_data(await connection.reader.read(READ_SIZE_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
@@ -122,5 +122,6 @@
                 raise EOFError("closed early")
 
     def close(self) -> None:
+        """Close all idle connections."""
         while self._idle_connections:
             self._idle_connections.pop().writer.transport.abort()
--- a/roseweir/http/server.py
+++ b/roseweir/http/server.py
@@ -1,4 +1,4 @@
-"""The server side: a routine per connection, with every wait and buffer bounded."""
+"""The server side: one coroutine per connection, with every wait and buffer bounded."""
 
 import asyncio
 import logging
@@ -24,7 +24,7 @@
 READ_TIMEOUT = timedelta(seconds=5)
 IDLE_TIMEOUT = timedelta(seconds=60)
 WRITE_TIMEOUT = timedelta(seconds=5)
-# How often a listener looks for connections whose patience is over.
+# How often a listener looks for connections whose deadline has passed.
 DEADLINE_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 END_OF_MESSAGE = h11.EndOfMessage()
@@ -32,6 +32,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request with its whole body, which is empty if it was too large."""
+
     method: str
     path: str
     body: bytes
@@ -40,20 +42,23 @@
 
 @dataclass(slots=True)
 class Response:
+    """An answer. `close`: the connection ends with it."""
+
     status: int
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
     close: bool = False
-    connection_class: ConnectionClass | None = None  # who it turned out to be that asked
+    connection_class: ConnectionClass | None = None  # the class of the client as the handler has found it
 
 
 Handler = Callable[[Request], Awaitable[Response]]
-# Who asks, as far as the request tells.
+# The class of the client, as far as the request tells.
 ClassifyRequest = Callable[[Request], ConnectionClass]
 RETRY_AFTER = timedelta(seconds=1)
 
 
 def json_response(status: int, value: object, retry_after: timedelta | None = None) -> Response:
+    """A response with `value` as JSON; `retry_after` is sent in whole seconds, one at least."""
     headers = []
     if retry_after is not None:
         headers.append(("retry-after", str(max(1, round(retry_after.total_seconds())))))
@@ -61,21 +66,21 @@
 
 
 class ServerConnection:
-    """A connection: until when its next step may take, and the state of its HTTP."""
+    """A connection: the deadline of its next step, and the state of its HTTP protocol."""
 
     __slots__ = ("deadline", "h11_connection", "reader", "writer")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        # An answer leaves in the step that makes it: the rights that it uses are looked at in that step. uvloop
-        # would keep it to the end of the iteration, which may have a planning pass in it.
+        # A response leaves in the step that makes it, since the leases that it relies on are checked in that step.
+        # uvloop would keep it to the end of the loop's iteration, which may have a scheduling pass in it.
         writer.transport.set_write_buffer_limits(high=0)
         self.h11_connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.deadline = FOREVER
 
 
 class Listener:
-    """Listens and answers; `room` decides which connections stay when there are too many."""
+    """Listens and answers; `admission` decides which connections stay when there are too many."""
 
     def __init__(
         self, handler: Handler, admission: "ConnectionAdmission[ServerConnection]", classify_request: ClassifyRequest
@@ -88,6 +93,7 @@
         self._deadline_task: asyncio.Task[None] | None = None
 
     async def listen(self, host: str, port: int) -> None:
+        """Start to accept connections. Raises `OSError` if the port cannot be bound."""
         backlog = min(256, self.admission.max_connections)
         self._server = await asyncio.start_server(
             self._handle_connection, host, port, limit=MAX_BODY_BYTES, backlog=backlog
@@ -96,6 +102,7 @@
 
     @property
     def sockets(self) -> Sequence[socket]:
+        """The sockets that are listened on."""
         assert self._server is not None
         return self._server.sockets
 
@@ -108,6 +115,7 @@
         await self.close()
 
     async def close(self) -> None:
+        """Stop listening."""
         assert self._server is not None and self._deadline_task is not None
         self._deadline_task.cancel()
         await asyncio.gather(self._deadline_task, return_exceptions=True)
@@ -115,7 +123,7 @@
         await self._server.wait_closed()
 
     async def _close_expired(self) -> None:
-        """One look at all connections now and then: timers for each wait were a quarter of what a request cost."""
+        """Check all connections' deadlines now and then: a timer for each wait was a quarter of a request's cost."""
         while True:
             await sleep(DEADLINE_CHECK_INTERVAL)
             now = monotonic_now()
@@ -128,7 +136,7 @@
         if evicted is not None:
             evicted.writer.transport.abort()
         if not is_admitted:
-            # Everybody is being answered: the newcomer is closed at once, cheaply.
+            # No connection is idle: the new one is closed at once, cheaply.
             writer.transport.abort()
             return
         self._connections.add(connection)
@@ -137,7 +145,7 @@
         except (ConnectionError, TimeoutError, OSError):
             pass
         except asyncio.CancelledError:
-            # The loop is closing; streams would log a cancellation that nobody can act on.
+            # The event loop is closing; streams would log a cancellation that nobody can act on.
             pass
         finally:
             self._connections.discard(connection)
@@ -182,7 +190,7 @@
         head: h11.Request | None = None
         parts: list[bytes] = []
         size = 0
-        # Idle time is generous; once a head has begun, the whole request has READ_PATIENCE.
+        # IDLE_TIMEOUT is long; once a head has begun, the whole request has READ_TIMEOUT.
         connection.deadline = monotonic_now() + IDLE_TIMEOUT
         has_begun = False
         event: Any = h11_connection.next_event() if h11_connection.trailing_data[0] else h11.NEED_DATA
@@ -219,7 +227,10 @@
     admission: "ConnectionAdmission[ServerConnection]",
     classify_request: ClassifyRequest = lambda _: ConnectionClass.HEALTH,
 ) -> Listener:
-    """Listen for as many connections as there is room for; the listener is a context that ends with them."""
+    """Start a listener that keeps as many connections as `admission` allows.
+
+    The listener is an async context manager that closes on exit. Raises `OSError` if the port cannot be bound.
+    """
     listener = Listener(handler, admission, classify_request)
     await listener.listen(host, port)
     return listener
@@ -232,7 +243,7 @@
 
 @lru_cache(maxsize=1024)
 def _response_head(status: int, length: int, headers: tuple[tuple[str, str], ...], should_close: bool) -> h11.Response:
-    """Most answers share a few heads, and checking one costs as much as sending it."""
+    """Cached: most responses share a few heads, and validating one costs as much as sending it."""
     fields = [("content-type", "application/json"), ("content-length", str(length)), *headers]
     if should_close:
         fields.append(("connection", "close"))
@@ -249,9 +260,9 @@
         outgoing += h11_connection.send(h11.Data(data=response.body)) or b""
     outgoing += h11_connection.send(END_OF_MESSAGE) or b""
     if writer.is_closing():
-        # Reset while the answer was made. uvloop raises an error of its own kind on such a write, and 63 connections
-        # that were reset with a zone filled the log.
-        raise ConnectionResetError("reset under its answer")
+        # Reset while the response was made. uvloop raises an error of its own kind on such a write, and 63 connections
+        # that were reset when a zone failed filled the log.
+        raise ConnectionResetError("connection reset before the response was sent")
     writer.write(outgoing)
     if writer.transport.get_write_buffer_size():
         connection.deadline = monotonic_now() + WRITE_TIMEOUT
--- a/roseweir/limits/__init__.py
+++ b/roseweir/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Startup limits: leased token buckets that gate starts. See docs/design.md."""
+"""Startup limits: token buckets with an expiry that gate task starts. See docs/design.md."""
 
 from roseweir.limits.bucket import TokenBucket
 from roseweir.limits.startup_limits import StartupLimit, StartupLimits, TaskStart
--- a/roseweir/limits/bucket.py
+++ b/roseweir/limits/bucket.py
@@ -3,6 +3,9 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
+# Differences between sums of tokens below this are rounding errors.
+TOKEN_TOLERANCE = 1e-9
+
 
 @dataclass(slots=True)
 class TokenBucket:
@@ -23,10 +26,11 @@
     def full(
         cls, now: datetime, capacity: float, window: timedelta, burst: float = 0.0, draw_cap: float = 0.0
     ) -> "TokenBucket":
+        """A bucket that starts with all its tokens."""
         return cls(capacity, window, burst, draw_cap, capacity, now)
 
     def resize(self, capacity: float, now: datetime) -> None:
-        """A new rate keeps the debt or savings, within the new bounds."""
+        """Change the capacity, and so the rate; debt or savings stay, within the new bounds."""
         self.refill(now)
         # New capacity comes full, like a new bucket's.
         if capacity > self.capacity:
@@ -35,15 +39,18 @@
         self.tokens = self._clamp(self.tokens)
 
     def refill(self, now: datetime) -> None:
+        """Add the tokens that have come in since the last refill."""
         if now > self.refilled_at:
             self.tokens = self._clamp(self.tokens + self.capacity * ((now - self.refilled_at) / self.window))
             self.refilled_at = now
 
     def can_pay(self, cost: float, now: datetime) -> bool:
+        """Whether a draw of this cost passes now."""
         self.refill(now)
-        return self.tokens + self.burst + 1e-9 >= self._capped_draw(cost)
+        return self.tokens + self.burst + TOKEN_TOLERANCE >= self._capped_draw(cost)
 
     def debit(self, cost: float, now: datetime) -> None:
+        """Take the cost, capped, whether or not the bucket can pay it."""
         self.refill(now)
         self.tokens = self._clamp(self.tokens - self._capped_draw(cost))
 
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -1,22 +1,23 @@
-"""The two rules that come with the service, and the operators' own class limits."""
+"""The startup limits of the service itself (image fetches, restarts), and the operators' own class limits."""
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from datetime import datetime
 
-from roseweir.limits.bucket import TokenBucket
+from roseweir.limits.bucket import TOKEN_TOLERANCE, TokenBucket
 from roseweir.limits.settings import ClassLimit, LimitSettings
 from roseweir.limits.startup_limits import LimitRule, MachineView, StartupLimit, StartupLimits, TaskStart
 from roseweir.submissions.jobs import GANG, JobSpec, MachineType
 
 
 def fetch_tag(zone: str) -> str:
+    """The tag of a zone's limit on uncached image fetches."""
     return f"fetch:{zone}"
 
 
 def renew_fetch_limits(
     limits: StartupLimits, machines: Iterable[tuple[str, MachineType]], limit_settings: LimitSettings, now: datetime
 ) -> None:
-    """Uncached image fetches, per zone: cost in GB, rate by what the zone's machines can pull."""
+    """Limit uncached image fetches in each zone: cost in GB, rate by what the zone's machines can pull."""
     rates: dict[str, float] = {}
     for zone, machine_type in machines:
         rates[zone] = rates.get(zone, 0.0) + machine_type.fetch_gb_per_s
@@ -38,7 +39,7 @@
                 is_job_only=False,
             )
         )
-        if abs(limit.bucket.capacity - capacity) > 1e-9:
+        if abs(limit.bucket.capacity - capacity) > TOKEN_TOLERANCE:
             limit.bucket.resize(capacity, now)
 
 
@@ -54,11 +55,15 @@
 
 
 def restart_tag(job_id: str) -> str:
+    """The tag of a job's limit on restarts."""
     return f"restart:{job_id}"
 
 
 def renew_restart_limit(limits: StartupLimits, job_id: str, limit_settings: LimitSettings, now: datetime) -> None:
-    """A job that failed repeatedly restarts one task a window, or its gang as a whole (the sum makes one)."""
+    """Limit a job that failed repeatedly to one restarted task a window, or one restart of its whole gang.
+
+    Each task of a gang costs its part of one token, so the restart of all of them costs one.
+    """
     limits.install_or_renew(
         StartupLimit(
             tag=restart_tag(job_id),
@@ -74,6 +79,7 @@
 
 
 def renew_class_limits(limits: StartupLimits, limit_settings: LimitSettings, now: datetime) -> None:
+    """Install the operators' own limits, or renew them."""
     for class_limit in limit_settings.class_limits:
         limits.install_or_renew(
             StartupLimit(
@@ -93,7 +99,7 @@
     return float(start.task_count)
 
 
-def _class_rule(class_limit: ClassLimit) -> Callable[[JobSpec, MachineView | None], bool]:
+def _class_rule(class_limit: ClassLimit) -> LimitRule:
     def matches(job: JobSpec, machine: MachineView | None) -> bool:
         if class_limit.job_class is not None and job.job_class != class_limit.job_class:
             return False
--- a/roseweir/limits/settings.py
+++ b/roseweir/limits/settings.py
@@ -10,7 +10,7 @@
 
 
 class ClassLimit(msgspec.Struct):
-    """An operator's own startup limit: which jobs on which machines, and how fast."""
+    """An operator's own startup limit: which jobs on which machines, and `count` starts each `window`."""
 
     name: str
     count: float
@@ -49,7 +49,10 @@
 
 
 def parse_limits(limit_settings: LimitSettings, entries: list[Any]) -> None:
-    """Read the entries of `(startup-limits (fetch-share 1.0) ... (limit (name "x") ...))`."""
+    """Read the entries of `(startup-limits (fetch-share 1.0) ... (limit (name "x") ...))` into the settings.
+
+    Raises `SettingsError` for an unknown name or a value out of range.
+    """
     for entry in entries:
         name, args = read_form(entry)
         if name == "limit":
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -1,6 +1,6 @@
-"""The set of limits in force, what they block, and how a blocked source's requests shrink.
+"""The startup limits in force, what they block, and by how much the requests of a blocked source shrink.
 
-Pure: the current instant is always an argument, nothing here waits or sends.
+Pure: the current time is always an argument, nothing here waits or sends.
 """
 
 import logging
@@ -11,26 +11,30 @@
 from typing import Any, Protocol
 
 from roseweir.clock import ZERO
-from roseweir.limits.bucket import TokenBucket
+from roseweir.limits.bucket import TOKEN_TOLERANCE, TokenBucket
 from roseweir.submissions.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
 
 class MachineView(Protocol):
-    """What a rule may ask about a machine."""
+    """What a limit's rule may read of a machine."""
 
     zone: str
 
     @property
-    def machine_type_name(self) -> str: ...
+    def machine_type_name(self) -> str:
+        """The name of the machine's type."""
+        ...
 
-    def has_image(self, image: str) -> bool: ...
+    def has_image(self, image: str) -> bool:
+        """Whether the machine has the image in its cache."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
 class TaskStart:
-    """A job about to start `tasks` of its tasks on one machine."""
+    """A job about to start `task_count` of its tasks on one machine."""
 
     job: JobSpec
     machine: MachineView | None
@@ -43,10 +47,10 @@
 
 @dataclass(slots=True)
 class StartupLimit:
-    """A leased bucket with its job-and-machine rule.
+    """A token bucket with an expiry, and the rule for the jobs and machines that it limits.
 
-    `matches(job, None)` asks about the job alone: False there means that no machine can match.
-    A `is_job_only` rule never looks at the machine.
+    `matches(job, None)` is about the job alone: False means that no machine can match.
+    A rule with `is_job_only` never looks at the machine.
     """
 
     tag: str
@@ -56,12 +60,12 @@
     expires_at: datetime
     is_job_only: bool
     blocked_count: int = 0
-    blocked_decisions: int = 0
     last_blocked_at: datetime | None = None
     blocked_duration: timedelta = ZERO
     blocked_sources: dict[str, datetime] = field(default_factory=dict)
 
     def describe(self, now: datetime) -> dict[str, Any]:
+        """The limit's state for operators; durations in seconds."""
         self.bucket.refill(now)
         return {
             "tag": self.tag,
@@ -73,7 +77,7 @@
             "expires_in_s": round((self.expires_at - now).total_seconds(), 1),
             "job_only": self.is_job_only,
             "skipped": self.blocked_count,
-            "ignored": self.blocked_decisions,
+            "ignored": self.blocked_count,  # always equal; both keys are published
             "blocked_s": round(self.blocked_duration.total_seconds(), 1),
             "last_ignored_s_ago": None
             if self.last_blocked_at is None
@@ -83,7 +87,11 @@
 
 
 class StartupLimits:
-    """All limits by tag. In memory only: a new leader begins with none and full buckets."""
+    """All limits by tag. In memory only: a new leader starts with none, and so with full buckets.
+
+    A source that was blocked stays banned for `ban_window`: its requests shrink to what the buckets can pay within
+    `lookahead`.
+    """
 
     def __init__(self, ban_window: timedelta, lookahead: timedelta) -> None:
         self.ban_window = ban_window
@@ -92,24 +100,32 @@
         self._reported_counts: dict[str, int] = {}
 
     def install_or_renew(self, limit: StartupLimit) -> StartupLimit:
-        """Install a limit, or renew the lease of the one already there (its bucket and counters stay)."""
+        """Install a limit, or extend the expiry of the one already there (its bucket and counters stay).
+
+        Returns the limit that is in force.
+        """
         existing = self.by_tag.get(limit.tag)
         if existing is None:
             self.by_tag[limit.tag] = limit
-            log.info("limit %s installed: %.4g per %s", limit.tag, limit.bucket.capacity, limit.bucket.window)
+            log.info(
+                "limit installed: tag=%s capacity=%.4g window=%s", limit.tag, limit.bucket.capacity, limit.bucket.window
+            )
             return limit
         existing.expires_at = max(existing.expires_at, limit.expires_at)
         return existing
 
     def remove_expired(self, now: datetime) -> None:
-        """Drop what nobody renewed: the system lapses to plain behaviour."""
+        """Drop the limits that nobody renewed: starts are then unlimited again."""
         for tag in [tag for tag, limit in self.by_tag.items() if limit.expires_at <= now]:
-            log.info("limit %s lapsed", tag)
+            log.info("limit expired: tag=%s", tag)
             del self.by_tag[tag]
             self._reported_counts.pop(tag, None)
 
     def try_start(self, starts: list[TaskStart], source: str, now: datetime) -> bool:
-        """Gate one decision. All limits are asked before any is debited; a gang draws its sum once."""
+        """Whether all these starts may go ahead; if so, each matching limit is debited by the sum of their costs.
+
+        All limits are checked before any is debited. `source` names who is blocked if one cannot pay.
+        """
         draws: list[tuple[StartupLimit, float]] = []
         is_blocked = False
         for limit in self.by_tag.values():
@@ -132,7 +148,6 @@
 
     def _record_blocked(self, limit: StartupLimit, source: str, now: datetime) -> None:
         limit.blocked_count += 1
-        limit.blocked_decisions += 1
         limit.last_blocked_at = now
         last_blocked_at = limit.blocked_sources.get(source)
         blocked_duration = self.ban_window if last_blocked_at is None else min(self.ban_window, now - last_blocked_at)
@@ -140,34 +155,38 @@
         limit.blocked_sources[source] = now
 
     def limits_blocking(self, source: str, now: datetime) -> Iterable[StartupLimit]:
+        """The limits that have blocked the source within the ban window."""
         for limit in self.by_tag.values():
             last_blocked_at = limit.blocked_sources.get(source)
             if last_blocked_at is not None and now - last_blocked_at < self.ban_window and limit.expires_at > now:
                 yield limit
 
     def adjust_request(self, job: JobSpec, source: str, count: int, now: datetime) -> tuple[int, list[StartupLimit]]:
-        """Shrink a matchmaker request: a smaller count, and limits whose machines are not wanted."""
+        """Shrink a placement request of a blocked source.
+
+        Returns how many tasks may be placed, and the limits whose machines are to be left out.
+        """
         excluded: list[StartupLimit] = []
         for limit in self.limits_blocking(source, now):
-            # The rule against the job alone: proven false, the request stays as it is.
+            # Checked against the job alone: if that does not match, no machine can.
             if not limit.matches(job, None):
                 continue
             if limit.is_job_only:
                 cost_per_task = limit.cost(TaskStart(job, None, 1))
                 if cost_per_task > 0:
                     payable = limit.bucket.capacity_in(self.lookahead, now)
-                    count = min(count, max(0, floor(payable / cost_per_task + 1e-9)))
+                    count = min(count, max(0, floor(payable / cost_per_task + TOKEN_TOLERANCE)))
             else:
                 excluded.append(limit)
         return count, excluded
 
     def log_blocked(self, now: datetime) -> None:
-        """Log what was held back since the last call, and forget sources whose ban is over."""
+        """Log how many decisions were blocked since the last call, and forget sources whose ban is over."""
         for limit in self.by_tag.values():
             reported_count = self._reported_counts.get(limit.tag, 0)
             if limit.blocked_count > reported_count:
                 log.info(
-                    "limit %s blocked %d starts, %.1f tokens",
+                    "limit blocked starts: tag=%s blocked=%d tokens=%.1f",
                     limit.tag,
                     limit.blocked_count - reported_count,
                     limit.bucket.tokens,
@@ -177,4 +196,5 @@
                 del limit.blocked_sources[source]
 
     def describe(self, now: datetime) -> list[dict[str, Any]]:
+        """All limits for operators, by tag."""
         return [self.by_tag[tag].describe(now) for tag in sorted(self.by_tag)]
