--- a/roseweir/cloud/scale_out.py
+++ b/roseweir/cloud/scale_out.py
@@ -147,9 +147,7 @@
 ) -> float:
     """Units that should be rented now: known work over the time that its SLOs leave, less available capacity.
 
-    Of what gets done while a machine boots, half is taken off, since work arrives meanwhile too: with all
-    of it off, bursts were rented for too late, with none, one GPU machine in five was never used. Tasks
-    that wait for their team's quota need no machine.
+    Work that gets done while a machine boots is subtracted. Tasks that wait for their team's quota need no machine.
     """
     available_units = sum(pool_capacity(m.machine_type, is_gpu_pool, cluster_state.max_cpus_per_gpu) for m in machines)
     # Replicas of a service do not end: what they hold, and what those that wait need, is there for nothing else.
@@ -177,12 +175,16 @@
         if pending > 0:
             age = timedelta(milliseconds=max(0, wall_ms - run.eligible_from_ms))
             budget = max(time_budget(cluster_state, run, age + min_boot_duration), estimate)
-            done_meanwhile = (
-                max(0.0, available_units - service_units)
-                * min_boot_duration.total_seconds()
-                * WORK_DONE_WHILE_BOOTING_FRACTION
-            )
+            done_meanwhile = _work_done_while_booting(available_units - service_units, min_boot_duration)
             needed_units = max(
                 needed_units, service_units + (work_unit_seconds - done_meanwhile) / budget.total_seconds()
             )
     return needed_units - available_units
+
+
+def _work_done_while_booting(free_units: float, boot_duration: timedelta) -> float:
+    """Unit seconds that count as done while a machine boots: half of them, since work arrives meanwhile too.
+
+    With all of them subtracted, bursts were rented for too late; with none, one GPU machine in five was never used.
+    """
+    return max(0.0, free_units) * boot_duration.total_seconds() * WORK_DONE_WHILE_BOOTING_FRACTION
--- a/roseweir/http/__init__.py
+++ b/roseweir/http/__init__.py
@@ -2,7 +2,8 @@
 
 from roseweir.http.client import Client, Connect, Reply, Transport, connect
 from roseweir.http.errors import HttpError, Unreachable
-from roseweir.http.server import Listener, Request, Response, ServerConnection, json_response, serve
+from roseweir.http.messages import Request, Response, json_response
+from roseweir.http.server import Listener, ServerConnection, serve
 
 __all__ = [
     "Client",
--- a/roseweir/http/server.py
+++ b/roseweir/http/server.py
@@ -3,7 +3,6 @@
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable, Sequence
-from dataclasses import dataclass, field
 from datetime import timedelta
 from functools import lru_cache
 from socket import socket
@@ -11,10 +10,10 @@
 from typing import Any
 
 import h11
-import orjson
 
 from roseweir.clock import FOREVER, monotonic_now, sleep
 from roseweir.connections import ConnectionAdmission, ConnectionClass
+from roseweir.http.messages import Request, Response, json_response
 
 log = logging.getLogger(__name__)
 
@@ -24,47 +23,20 @@
 READ_TIMEOUT = timedelta(seconds=5)
 IDLE_TIMEOUT = timedelta(seconds=60)
 WRITE_TIMEOUT = timedelta(seconds=5)
+# Connections that the operating system accepts ahead of the listener.
+MAX_BACKLOG = 256
 # How often a listener looks for connections whose deadline has passed.
 DEADLINE_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 END_OF_MESSAGE = h11.EndOfMessage()
 
-
-@dataclass(slots=True)
-class Request:
-    """A request with its whole body, which is empty if it was too large."""
-
-    method: str
-    path: str
-    body: bytes
-    is_too_large: bool = False
-
-
-@dataclass(slots=True)
-class Response:
-    """An answer. `close`: the connection ends with it."""
-
-    status: int
-    body: bytes = b""
-    headers: list[tuple[str, str]] = field(default_factory=list)
-    close: bool = False
-    connection_class: ConnectionClass | None = None  # the class of the client as the handler has found it
-
-
 Handler = Callable[[Request], Awaitable[Response]]
 # The class of the client, as far as the request tells.
 ClassifyRequest = Callable[[Request], ConnectionClass]
+# When a client that is refused for lack of connections is told to retry.
 RETRY_AFTER = timedelta(seconds=1)
 
 
-def json_response(status: int, value: object, retry_after: timedelta | None = None) -> Response:
-    """A response with `value` as JSON; `retry_after` is sent in whole seconds, one at least."""
-    headers = []
-    if retry_after is not None:
-        headers.append(("retry-after", str(max(1, round(retry_after.total_seconds())))))
-    return Response(status, orjson.dumps(value), headers)
-
-
 class ServerConnection:
     """A connection: the deadline of its next step, and the state of its HTTP protocol."""
 
@@ -94,7 +66,7 @@
 
     async def listen(self, host: str, port: int) -> None:
         """Start to accept connections. Raises `OSError` if the port cannot be bound."""
-        backlog = min(256, self.admission.max_connections)
+        backlog = min(MAX_BACKLOG, self.admission.max_connections)
         self._server = await asyncio.start_server(
             self._handle_connection, host, port, limit=MAX_BODY_BYTES, backlog=backlog
         )
@@ -156,7 +128,7 @@
         h11_connection = connection.h11_connection
         while True:
             try:
-                request = await self._receive(connection)
+                request = await _receive_request(connection)
             except h11.RemoteProtocolError:
                 if h11_connection.our_state in {h11.IDLE, h11.SEND_RESPONSE} and not connection.writer.is_closing():
                     await _send(connection, json_response(400, {"error": "malformed request"}), True)
@@ -184,41 +156,6 @@
             log.exception("request failed: %s %s", request.method, request.path)
             return json_response(500, {"error": "internal"})
 
-    async def _receive(self, connection: ServerConnection) -> Request | None:
-        """Read one whole request; None when the other side is done."""
-        h11_connection = connection.h11_connection
-        head: h11.Request | None = None
-        parts: list[bytes] = []
-        size = 0
-        # IDLE_TIMEOUT is long; once a head has begun, the whole request has READ_TIMEOUT.
-        connection.deadline = monotonic_now() + IDLE_TIMEOUT
-        has_begun = False
-        event: Any = h11_connection.next_event() if h11_connection.trailing_data[0] else h11.NEED_DATA
-        while True:
-            if event is h11.NEED_DATA:
-                data = await connection.reader.read(MAX_BODY_BYTES)
-                if data and not has_begun:
-                    has_begun = True
-                    connection.deadline = monotonic_now() + READ_TIMEOUT
-                h11_connection.receive_data(data)
-            elif isinstance(event, h11.Request):
-                head = event
-            elif isinstance(event, h11.Data):
-                size += len(event.data)
-                if size <= MAX_BODY_BYTES:
-                    parts.append(bytes(event.data))
-                else:
-                    # Read on for a while without keeping anything: closing on unread data would
-                    # reset the connection, and the answer with it.
-                    parts.clear()
-                    if size > MAX_DRAINED_BYTES:
-                        return _to_request(head, b"", is_too_large=True)
-            elif isinstance(event, h11.EndOfMessage):
-                return _to_request(head, b"".join(parts), is_too_large=size > MAX_BODY_BYTES)
-            else:
-                return None
-            event = h11_connection.next_event()
-
 
 async def serve(
     host: str,
@@ -236,6 +173,42 @@
     return listener
 
 
+async def _receive_request(connection: ServerConnection) -> Request | None:
+    """Read one whole request; None when the other side is done."""
+    h11_connection = connection.h11_connection
+    head: h11.Request | None = None
+    parts: list[bytes] = []
+    size = 0
+    # IDLE_TIMEOUT is long; once a head has begun, the whole request has READ_TIMEOUT.
+    connection.deadline = monotonic_now() + IDLE_TIMEOUT
+    has_begun = False
+    event: Any = h11_connection.next_event() if h11_connection.trailing_data[0] else h11.NEED_DATA
+    while True:
+        if event is h11.NEED_DATA:
+            data = await connection.reader.read(MAX_BODY_BYTES)
+            if data and not has_begun:
+                has_begun = True
+                connection.deadline = monotonic_now() + READ_TIMEOUT
+            h11_connection.receive_data(data)
+        elif isinstance(event, h11.Request):
+            head = event
+        elif isinstance(event, h11.Data):
+            size += len(event.data)
+            if size <= MAX_BODY_BYTES:
+                parts.append(bytes(event.data))
+            else:
+                # Read on for a while without keeping anything: closing on unread data would
+                # reset the connection, and the answer with it.
+                parts.clear()
+                if size > MAX_DRAINED_BYTES:
+                    return _to_request(head, b"", is_too_large=True)
+        elif isinstance(event, h11.EndOfMessage):
+            return _to_request(head, b"".join(parts), is_too_large=size > MAX_BODY_BYTES)
+        else:
+            return None
+        event = h11_connection.next_event()
+
+
 def _to_request(head: h11.Request | None, body: bytes, is_too_large: bool = False) -> Request:
     assert head is not None
     return Request(head.method.decode(), head.target.decode("ascii", "replace"), body, is_too_large)
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -4,8 +4,9 @@
 from datetime import datetime
 
 from roseweir.limits.bucket import TOKEN_TOLERANCE, TokenBucket
+from roseweir.limits.limit import LimitRule, MachineView, StartupLimit, TaskStart
 from roseweir.limits.settings import ClassLimit, LimitSettings
-from roseweir.limits.startup_limits import LimitRule, MachineView, StartupLimit, StartupLimits, TaskStart
+from roseweir.limits.startup_limits import StartupLimits
 from roseweir.submissions.jobs import GANG, JobSpec, MachineType
 
 
