--- a/roseweir/http/__init__.py
+++ b/roseweir/http/__init__.py
@@ -1,11 +1,14 @@
 """HTTP/1.1 over asyncio streams and h11: one small server, one small client."""
 
-from roseweir.http.client import Client, Connect, Reply, Transport, Unreachable, connect
-from roseweir.http.server import Listener, Request, Response, ServerConnection, json_response, serve
+from roseweir.http.client import Client, Connect, Reply, Transport, connect
+from roseweir.http.errors import HttpError, Unreachable
+from roseweir.http.messages import Request, Response, json_response
+from roseweir.http.server import Listener, ServerConnection, serve
 
 __all__ = [
     "Client",
     "Connect",
+    "HttpError",
     "Listener",
     "Reply",
     "Request",
