--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -110,7 +110,8 @@
             await self.run_background_tasks()
 
     async def run_background_tasks(self) -> None:
-        self._started_at = self.submission_handlers.started_at = monotonic_now()
+        self._started_at = monotonic_now()
+        self.submission_handlers.start(self._started_at)
         async with asyncio.TaskGroup() as group:
             group.create_task(self.submission_handlers.group_commit.run())
             group.create_task(self.submission_handlers.live_job_cache.run())
@@ -149,7 +150,7 @@
 
     def _set_catalog(self, machine_types: list[MachineType]) -> None:
         self.machine_types = machine_types
-        self.submission_handlers.catalog = machine_types
+        self.submission_handlers.set_catalog(machine_types)
 
     # -- the workers --------------------------------------------------------------------------
 
@@ -336,7 +337,7 @@
 
     def _describe_rejections(self) -> dict[str, Any]:
         uptime_s = (monotonic_now() - self._started_at).total_seconds()
-        return served.encode_rejected_requests(self._process_id, uptime_s, self.submission_handlers.rejection_counts)
+        return served.encode_rejected_requests(self._process_id, uptime_s, self.submission_handlers.rejections.counts)
 
     async def _gather_rejections(self) -> dict[str, served.RejectedRequests]:
         async def fetch_own() -> Any:
--- a/roseweir/service_levels/accounting.py
+++ b/roseweir/service_levels/accounting.py
@@ -24,8 +24,8 @@
     size_bucket,
     sum_largest,
 )
-from roseweir.submissions.handlers import OTHER_ROW
 from roseweir.submissions.jobs import ARRAY, SERVICE, CompletedJob, JobSpec
+from roseweir.submissions.rejections import OTHER_ROW
 from roseweir.workers import messages as wire
 
 # Team and class. What finds no room in the record is kept together under REST.
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -11,8 +11,9 @@
 
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.kv_store.client import MAX_PAGE_KEYS
+from roseweir.submissions.errors import ReadBudgetExhausted
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, decode_completed_job
-from roseweir.submissions.read_budget import ReadBudget, ReadBudgetExhausted
+from roseweir.submissions.read_budget import ReadBudget
 
 # So many are read one by one.
 MAX_SINGLE_READS = 16
--- a/roseweir/submissions/read_budget.py
+++ b/roseweir/submissions/read_budget.py
@@ -6,16 +6,13 @@
 from collections import OrderedDict
 
 from roseweir.kv_store.client import RateLimiter
+from roseweir.submissions.errors import ReadBudgetExhausted
 
 # The part of the state service's requests that this node may spend on reads for polls, what of it is for jobs that were
 # refused one before, and how many of these it remembers.
 READ_SHARE, RETRIED_READ_SHARE, MAX_REFUSED_JOBS = 0.25, 0.05, 4096
 
 
-class ReadBudgetExhausted(Exception):
-    """More than this node may ask of the state service."""
-
-
 class ReadBudget:
     def __init__(self, requests_per_second: float) -> None:
         self._read_rate_limiter = RateLimiter(requests_per_second * (READ_SHARE - RETRIED_READ_SHARE))
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -86,7 +86,7 @@
 
         given = self.settings[index]
         desk = SubmissionHandlers(given, KeyValueStoreClient("10.2.0.1:1", given.params.kv_store, connect), progress)
-        desk.catalog = [MACHINE]
+        desk.set_catalog([MACHINE])
         return desk
 
     async def ask(self, method: str, path: str, body: Any = None, node: int = 0) -> tuple[int, Any]:
@@ -174,7 +174,7 @@
         # In any state, also by a node that never heard of them.
         users.end(1, "done")
         for node in (0, 1):
-            users.desks[node]._terminal_states.clear()
+            users.desks[node]._terminal_states.states.clear()
             assert (await users.submit(13 + node, [name(1)], node=node))[1]["standing"] == "queued"
         assert "live/j-000012" not in users.state.keys
 
@@ -190,7 +190,7 @@
         await asyncio.sleep(6)
         known = [name(number) for number in range(1, 400)]
         for node in (0, 1):
-            users.desks[node]._terminal_states.clear()
+            users.desks[node]._terminal_states.states.clear()
             before = users.requests
             status, answer = await users.submit(500, [*known, name(777)], node=node)
             assert status == 422 and name(777) in answer["error"] and name(3) not in answer["error"]
@@ -210,7 +210,7 @@
             await users.submit(number)
             await users.submit(1000 + number, [name(number)])
             users.end(number, "done" if number % 4 else "cancelled")
-        users.desks[1]._terminal_states.clear()
+        users.desks[1]._terminal_states.states.clear()
         users.desks[1].live_job_cache._revision = None
         before, begun = users.requests, asyncio.get_running_loop().time()
         answers = await asyncio.gather(*(users.standing(1000 + number, 1) for number in range(400)))
@@ -394,7 +394,7 @@
         await users.submit(2, [name(1)])
         await users.cancel(1)
         await asyncio.sleep(6)
-        users.desks[1]._terminal_states.clear()
+        users.desks[1]._terminal_states.states.clear()
         learn, calls = ends_module.CompletedJobReader.read_states, 0
 
         async def slow(self: Any, wanted: Any, asker: str) -> set[str]:
@@ -629,7 +629,7 @@
     async def forget(self) -> None:
         """A node that began anew, or heard too much since; its view is read again."""
         desk = self.users.desks[self.draw.randrange(2)]
-        desk._terminal_states.clear()
+        desk._terminal_states.states.clear()
         desk.live_job_cache._revision = None
 
     async def wait(self) -> None:
@@ -662,12 +662,13 @@
 
 def test_broken_variants_are_caught() -> None:
     from roseweir.submissions import dependency_validation
+    from roseweir.submissions.job_status import JobStatusReader
 
-    async def orphan_in_outage(self: SubmissionHandlers, job_id: str) -> bool:
+    async def orphan_in_outage(self: JobStatusReader, job_id: str) -> bool:
         """Answers by the live key, which a leader has yet to take away."""
         return False
 
-    assert is_caught(orphan_in_outage, SubmissionHandlers, "_is_cancelled_by_dependency")
+    assert is_caught(orphan_in_outage, JobStatusReader, "_is_cancelled_by_dependency")
     assert is_caught(property(lambda self: None), dependency_validation.ValidationResult, "rejection_reason")
 
     def service_awaited(self: Any) -> str | None:
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -101,7 +101,7 @@
         await asyncio.sleep(40)
         for node in cluster.nodes:
             assert node.service is not None
-            node.service.submission_handlers._terminal_states.clear()
+            node.service.submission_handlers._terminal_states.states.clear()
 
         async def one() -> None:
             while True:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -11,7 +11,7 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import JobRun, Placement, PlacementPhase
-from roseweir.submissions import handlers
+from roseweir.submissions import job_status
 from roseweir.workers import messages as wire
 from roseweir.workers.handlers import HeartbeatHandler
 from tests.simulation.cluster import SimulatedCluster
@@ -98,16 +98,16 @@
 
 def polls_from_memory(patch: pytest.MonkeyPatch) -> None:
     """A node answers from what it has read before."""
-    read = handlers.SubmissionHandlers._read_job_state
+    read = job_status.JobStatusReader.read
     known: dict[tuple[int, str], object] = {}
 
-    async def remembered(self: handlers.SubmissionHandlers, job_id: str) -> object:
+    async def remembered(self: job_status.JobStatusReader, job_id: str) -> object:
         key = (id(self), job_id)
         if key not in known:
             known[key] = await read(self, job_id)
         return known[key]
 
-    patch.setattr(handlers.SubmissionHandlers, "_read_job_state", remembered)
+    patch.setattr(job_status.JobStatusReader, "read", remembered)
 
 
 def done_too_early(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -7,8 +7,8 @@
 
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.service_levels.accounting import EndedJobCounts, ServiceLevel, ServiceLevelAccount, TeamAndClass, sum_by
-from roseweir.submissions.handlers import OTHER_ROW
 from roseweir.submissions.jobs import SERVICE, completed_job
+from roseweir.submissions.rejections import OTHER_ROW
 from roseweir.workers import messages as wire
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -393,11 +393,11 @@
 
 
 def what_an_earlier_process_told_is_forgotten(patch: Patch) -> None:
-    from roseweir.submissions.handlers import SubmissionHandlers
+    from roseweir.submissions.terminal_state_cache import TerminalStateCache
 
     patch.setattr(
-        SubmissionHandlers,
-        "acknowledged_cancellations_since",
+        TerminalStateCache,
+        "acknowledged_since",
         lambda self, span: [job for at, job in self._acknowledged_cancellations if at >= monotonic_now() - span],
     )
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -143,7 +143,7 @@
         await ask(cluster, "POST", "/submissions", job())
         service = cluster.nodes[0].service
         assert service is not None
-        service.submission_handlers.catalog = None
+        service.submission_handlers.set_catalog(None)
         assert (await ask(cluster, "POST", "/submissions", job(name_id="j-000001")))[0] == 503
         assert (await ask(cluster, "POST", "/submissions", job()))[0] == 200
         cluster.state.is_down = True
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -27,6 +27,7 @@
 from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.write_ahead_log import DELTA_KEY_PREFIX, LOG_PREFIX
 from roseweir.submissions.handlers import SubmissionHandlers
+from roseweir.submissions.job_status import JobStatus, JobStatusReader
 from roseweir.submissions.jobs import (
     COMPLETED_JOB_PREFIX,
     COMPLETED_TASKS_PREFIX,
@@ -121,14 +122,14 @@
 def ends_read_before_what_lives(patch: Patch) -> None:
     """In this order a job that ends between the two reads is found under neither key."""
 
-    async def read(self: SubmissionHandlers, job_id: str) -> tuple[str, int, int] | None:
+    async def read(self: JobStatusReader, job_id: str) -> JobStatus | None:
         over = await self.kv_store.get(COMPLETED_JOB_PREFIX + job_id)
         if over is not None:
-            return decode_completed_job(over.value).state, 0, 0
+            return JobStatus(decode_completed_job(over.value).state)
         live = await self.live_job_cache.read_progress(job_id)
-        return None if live is None else ("running", *live)
+        return None if live is None else JobStatus("running", *live)
 
-    patch.setattr(SubmissionHandlers, "_read_job_state", read)
+    patch.setattr(JobStatusReader, "read", read)
 
 
 @pytest.mark.parametrize(
