--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -189,7 +189,7 @@
             group.create_task(self._write_log())
             group.create_task(self._schedule())
             group.create_task(self._renew_limits())
-            group.create_task(self.worker_handlers.run_direct_commands())
+            group.create_task(self.worker_handlers.direct_commands.run())
             group.create_task(self.cloud_controller.run())
             group.create_task(self.drain_controller.run())
             group.create_task(self.service_levels.run())
@@ -214,7 +214,7 @@
                 log.info("rebuilding: %s", e)
                 await sleep(RETRY_INTERVAL)
                 continue
-            self.worker_handlers.cancellations_read_at = sent_at
+            self.worker_handlers.authority.begin(sent_at)
             self.drain_controller.restore(drain_records)
             self.workflows.restore(workflow_records)
             self.dependency_reconciler.rebuild(revision)
@@ -263,7 +263,7 @@
                 await self._apply_acknowledged_cancellations()
                 await sleep(RETRY_INTERVAL)
                 continue
-            self.worker_handlers.cancellations_read_at = max(self.worker_handlers.cancellations_read_at, sent_at)
+            self.worker_handlers.authority.record_cancellations_read(sent_at)
             # Reads may go through while renewals are answered too late to count.
             await self._apply_acknowledged_cancellations()
 
@@ -276,14 +276,14 @@
         """
         sent_at = monotonic_now()
         if (
-            sent_at - self.worker_handlers.cancellations_known_at < STORE_UNREACHABLE_TIMEOUT
+            sent_at - self.worker_handlers.authority.cancellations_known_at < STORE_UNREACHABLE_TIMEOUT
             or sent_at - self._cancellations_queried_at < CANCELLATION_QUERY_INTERVAL
         ):
             return
         self._cancellations_queried_at = sent_at
         # Back to when nobody else led, too: one that led since and ended does not know of it any more.
         acknowledged = await self._fetch_acknowledged_cancellations(
-            (sent_at - self.worker_handlers.cancellations_known_at) * CLOCK_DRIFT_FACTOR
+            (sent_at - self.worker_handlers.authority.cancellations_known_at) * CLOCK_DRIFT_FACTOR
             + CANCELLATION_QUERY_TIMEOUT * 2
         )
         if (
@@ -297,7 +297,7 @@
             if run is not None and not run.final_state:
                 log.info("job %s is cancelled, by the word of a controller", job_id)
                 self.log_writer.record_job_end(job_id, completed_job(run.spec, "cancelled"))
-        self.worker_handlers.cancellations_read_at = max(self.worker_handlers.cancellations_read_at, sent_at)
+        self.worker_handlers.authority.record_cancellations_read(sent_at)
         self.leader_lease.confirm_leadership(sent_at)
 
     async def _rescan_live_jobs(self) -> int:
--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -376,7 +376,7 @@
 
     def _knowledge_age_s(self, leader_term: LeaderTerm) -> float:
         """How old the leader's knowledge of submissions and cancels is."""
-        return round((monotonic_now() - leader_term.worker_handlers.cancellations_read_at).total_seconds(), 1)
+        return round((monotonic_now() - leader_term.worker_handlers.authority.cancellations_read_at).total_seconds(), 1)
 
     def _describe_node(self) -> dict[str, Any]:
         """Who answers, and who leads as far as it knows."""
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -24,6 +24,7 @@
 from roseweir.scheduler.model import PlacementPhase
 from roseweir.scheduler.scheduling_pass import run_scheduling_pass
 from roseweir.workers import messages as wire
+from roseweir.workers.direct_commands import DirectCommandSender
 from roseweir.workers.handlers import HeartbeatHandler
 from roseweir.workflows.controller import WorkflowController
 from tests.simulation import virtual_time
@@ -429,13 +430,13 @@
 
 
 def starts_by_direct_commands(patch: Patch) -> None:
-    halts, direct = ClusterState.collect_stop_orders, HeartbeatHandler.run_direct_commands
+    halts, direct = ClusterState.collect_stop_orders, DirectCommandSender.run
 
     def more(self: ClusterState, machine: Any) -> list[dict[str, Any]]:
         ready = [p for p in machine.placements.values() if p.phase in (PlacementPhase.COMMITTED, PlacementPhase.SENT)]
         return halts(self, machine) + [wire.run_command(p.task_name, p.attempt) for p in ready]
 
-    async def eager(self: HeartbeatHandler) -> None:
+    async def eager(self: DirectCommandSender) -> None:
         async with asyncio.TaskGroup() as group:
             group.create_task(direct(self))
             while True:
@@ -443,7 +444,7 @@
                 self.cluster_state.urgent_stop_machines |= self.cluster_state.machines.keys()
 
     patch.setattr(ClusterState, "collect_stop_orders", more)
-    patch.setattr(HeartbeatHandler, "run_direct_commands", eager)
+    patch.setattr(DirectCommandSender, "run", eager)
 
 
 def test_a_start_that_can_come_late_is_caught(monkeypatch: Patch) -> None:
@@ -468,7 +469,7 @@
 
     async def main() -> None:
         desk = HeartbeatHandler(cluster_state, term, Notifier(), asyncio.Event(), lambda *_: None, lambda: True)  # type: ignore[arg-type]
-        desk.cancellations_read_at = term.confirmed_at = monotonic_now()
+        desk.authority.cancellations_read_at = term.confirmed_at = monotonic_now()
         before = (
             [(p.task_name, p.phase, p.state) for p in run.placements.values()],
             hand.machine.sequence,
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -16,7 +16,7 @@
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine, PlacementPhase
 from roseweir.workers import messages as wire
-from roseweir.workers.handlers import HeartbeatHandler
+from roseweir.workers.direct_commands import DirectCommandSender
 from tests.simulation.cluster import ZONES, SimulatedCluster, SimulatedTask, SimulatedWorker, virtual_now
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.machine_faults import (
@@ -103,9 +103,9 @@
 
 def unanswered_commands_count_as_done(patch: Patch) -> None:
     """What was told to halt is taken for gone when no answer comes."""
-    halt = HeartbeatHandler._send_stop_command
+    halt = DirectCommandSender._send_stop_command
 
-    async def assume(self: HeartbeatHandler, machine: Machine, turns: asyncio.Semaphore) -> None:
+    async def assume(self: DirectCommandSender, machine: Machine, turns: asyncio.Semaphore) -> None:
         told = [
             p
             for p in machine.placements.values()
@@ -117,7 +117,7 @@
             for placement in told:
                 self.cluster_state.remove_placement(placement, monotonic_now())
 
-    patch.setattr(HeartbeatHandler, "_send_stop_command", assume)
+    patch.setattr(DirectCommandSender, "_send_stop_command", assume)
 
 
 def attempts_are_used_again(patch: Patch) -> None:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -13,7 +13,7 @@
 from roseweir.scheduler.model import JobRun, Placement, PlacementPhase
 from roseweir.submissions import job_status
 from roseweir.workers import messages as wire
-from roseweir.workers.handlers import HeartbeatHandler
+from roseweir.workers.answer_authority import AnswerAuthority
 from tests.simulation.cluster import SimulatedCluster
 
 Break = Callable[[pytest.MonkeyPatch], None]
@@ -58,7 +58,7 @@
     patch.setattr(KeyValueStoreClient, "compare_and_swap", unguarded)
     patch.setattr(LeaderLease, "is_valid", lambda self: True)
     patch.setattr(LeaderLease, "end", lambda self, reason: None)
-    patch.setattr(HeartbeatHandler, "may_answer", lambda self, now: True)
+    patch.setattr(AnswerAuthority, "may_answer", lambda self, now: True)
     patch.setattr(wire, "heartbeat_response", lambda term, orders: {"warrant": 1, "orders": orders})
 
 
@@ -77,7 +77,7 @@
 def endless_holdover(patch: pytest.MonkeyPatch) -> None:
     """A leader without news goes on keeping tasks alive."""
     keep_silent_machines(patch)
-    patch.setattr(HeartbeatHandler, "may_answer", lambda self, now: True)
+    patch.setattr(AnswerAuthority, "may_answer", lambda self, now: True)
     patch.setattr(LeaderLease, "end", lambda self, reason: None)
 
 
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -17,7 +17,7 @@
 from roseweir.membership.failure_detector import LeaderSearch
 from roseweir.scheduler import cluster_state as board_module
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
-from roseweir.workers.handlers import HeartbeatHandler
+from roseweir.workers.answer_authority import AnswerAuthority
 from tests.simulation.cluster import SimulatedCluster, SimulatedWorker, virtual_now
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught, worker_params
 from tests.test_simulated_days import check
@@ -106,7 +106,7 @@
     """News counts from when the answer came, and not from when the question went out."""
     plain = KeyValueStoreClient.watch
     answered: WeakKeyDictionary[KeyValueStoreClient, datetime] = WeakKeyDictionary()
-    states: WeakKeyDictionary[HeartbeatHandler, KeyValueStoreClient] = WeakKeyDictionary()
+    states: WeakKeyDictionary[AnswerAuthority, KeyValueStoreClient] = WeakKeyDictionary()
 
     async def watch(self: KeyValueStoreClient, prefix: str, *args: Any, **more: Any) -> Any:
         found = await plain(self, prefix, *args, **more)
@@ -114,7 +114,7 @@
             answered[self] = monotonic_now()
         return found
 
-    def may_answer(self: HeartbeatHandler, at: datetime) -> bool:
+    def may_answer(self: AnswerAuthority, at: datetime) -> bool:
         came = answered.get(states[self], self.cancellations_read_at)
         return (
             at - max(self.cancellations_read_at, came) < self.cluster_state.stale_cancellation_window
@@ -123,12 +123,12 @@
 
     def begun(self: LeaderTerm, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
-        states[self.worker_handlers] = self.kv_store
+        states[self.worker_handlers.authority] = self.kv_store
 
     init = LeaderTerm.__init__
     patch.setattr(LeaderTerm, "__init__", begun)
     patch.setattr(KeyValueStoreClient, "watch", watch)
-    patch.setattr(HeartbeatHandler, "may_answer", may_answer)
+    patch.setattr(AnswerAuthority, "may_answer", may_answer)
 
 
 @pytest.mark.parametrize("broken", [holdover_longer, news_at_the_answer], ids=lambda b: b.__name__)
@@ -197,7 +197,7 @@
 
     started, renewed = play()
     assert renewed and started == []
-    monkeypatch.setattr(HeartbeatHandler, "may_start_tasks", lambda self, at: self.leader_lease.is_valid())
+    monkeypatch.setattr(AnswerAuthority, "may_start_tasks", lambda self, at: self.leader_lease.is_valid())
     started, _ = play()
     assert started, "the variant without news was not caught"
 
@@ -244,7 +244,7 @@
 
 
 def nobody_ends_a_term(patch: Patch) -> None:
-    patch.setattr(HeartbeatHandler, "may_answer", lambda self, at: True)
+    patch.setattr(AnswerAuthority, "may_answer", lambda self, at: True)
     patch.setattr(LeaderLease, "end", lambda self, reason: None)
     patch.setattr(LeaderSearch, "should_redirect", lambda self, *told: False)
 
@@ -299,7 +299,7 @@
 
 def rights_by_news_alone(patch: Patch) -> None:
     patch.setattr(
-        HeartbeatHandler,
+        AnswerAuthority,
         "may_answer",
         lambda self, at: (
             at - self.cancellations_read_at < self.cluster_state.stale_cancellation_window
