--- a/roseweir/submissions/jobs.py
+++ b/roseweir/submissions/jobs/model.py
@@ -1,29 +1,20 @@
-"""The job model: what was asked for, whether it can ever run, and what is kept of it."""
+"""The job model: machine types, jobs as their users described them, and what is kept of completed jobs."""
 
-from collections.abc import Sequence
 from datetime import timedelta
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 
 from roseweir.clock import seconds
-from roseweir.settings import Team
 
 JobType = Literal["array", "gang", "service"]
 ARRAY: JobType = "array"
 GANG: JobType = "gang"
 SERVICE: JobType = "service"
 
-LIVE_JOB_PREFIX = "live/"
-COMPLETED_JOB_PREFIX = "over/"
-COMPLETED_TASKS_PREFIX = "done/"
-
-# Bits of finished tasks are kept in chunks, so that 100,000 tasks fit values of any allowed size.
-TASKS_PER_CHUNK = 8192
-
 
 class MachineType(msgspec.Struct, frozen=True):
-    """What the catalog offers under one name."""
+    """What the cloud provider's catalog offers under one name. Prices are per hour as the catalog gives them."""
 
     name: str
     cpus: float
@@ -38,6 +29,7 @@
 
     @property
     def boot_duration(self) -> timedelta:
+        """How long a machine of this type takes to boot, as the catalog gives it."""
         return seconds(self.boot_s)
 
 
@@ -46,12 +38,12 @@
 ):
     """The jobs that have to be done before any task of a job starts, as the job's record names them.
 
-    So many that the record has no room for them are kept apart: `parts` keys of the state service, whose names hold
-    `digest` (the jobs' own), in the order in which their numbers follow one another; `jobs` is then empty.
+    If the record has no room for the ids, they are stored apart: under `part_count` keys of the key-value store, which
+    contain `digest` (of the ids) and are numbered in order; `job_ids` is then empty.
 
-    It stands where the record of a step of a chain has a list. A version that knows only that list can't read such a
-    record: it keeps the job known and starts nothing of it (`Board.add_record` of that version), which is what
-    a job that waits asks for. So the two versions of an upgrade need not agree on a level before this is written.
+    It stands where the record of a workflow step has a list. A version that knows only that list can't read such a
+    record: it keeps the job known and starts nothing of it (`ClusterState.add_record` of that version), which is what
+    a waiting job asks for. So the two versions of an upgrade need not agree on a level before this is written.
     """
 
     job_ids: list[str] = []
@@ -80,7 +72,10 @@
         "depends_on": "after",
     },
 ):
-    """A job as its user described it, under the names used throughout the service."""
+    """A job as its user described it, under the names used throughout the service.
+
+    Resources are per task: CPUs, GPUs, GB. Fields ending in `_s` are seconds, `accepted_ms` is Unix time in ms.
+    """
 
     id: str
     job_class: str
@@ -103,22 +98,24 @@
     checkpoint_duration_s: float = 0.0
     deadline_s: float | None = None
     accepted_ms: int = 0
-    # A step of a chain: which one, and the jobs whose durable end it waits for. Of other jobs, those that they await.
+    # The workflow that the job is a step of; empty for other jobs.
     workflow_id: str = ""
+    # Of a workflow step, the jobs whose durable completion it waits for; of other jobs, those that the user named.
     depends_on: list[str] | StoredDependencies = []
 
     @property
     def dependencies(self) -> StoredDependencies:
-        """The jobs that the submission named; false if there are none. A step of a chain names none here."""
+        """The jobs that the submission named; false if there are none. A workflow step names none here."""
         return self.depends_on if isinstance(self.depends_on, StoredDependencies) else StoredDependencies()
 
     @property
     def estimated_duration(self) -> timedelta:
+        """How long a task takes, as the user estimates it."""
         return seconds(self.estimated_duration_s)
 
     @property
     def total_resource_units(self) -> float:
-        """What its tasks take altogether: GPUs for jobs that need them, CPUs for the rest."""
+        """What all tasks use together: GPUs for jobs that need them, CPUs for the rest."""
         return (self.gpus if self.gpus > 0 else self.cpus) * self.task_count
 
     @property
@@ -127,13 +124,15 @@
         return self.job_type != ARRAY
 
     def allows_machine_type(self, machine_type: MachineType) -> bool:
+        """Whether the user allows machines of this type."""
         return self.machine_types is None or machine_type.name in self.machine_types
 
     def image_fits_cache(self, machine_type: MachineType) -> bool:
-        """Whether the type's cache can hold the image, which may be weights of tens of GB. 0: the catalog is silent."""
+        """Whether the type's cache can hold the image, which may be weights of tens of GB. 0: no size is given."""
         return machine_type.cache_gb <= 0 or self.image_gb <= machine_type.cache_gb
 
     def fits_machine_type(self, machine_type: MachineType) -> bool:
+        """Whether an empty machine of this type can run a task of the job."""
         return (
             self.allows_machine_type(machine_type)
             and self.cpus <= machine_type.cpus
@@ -145,10 +144,10 @@
 
 
 class CompletedJob(msgspec.Struct, omit_defaults=True, rename={"task_count": "tasks", "total_resource_units": "size"}):
-    """What is kept of a job that is over.
+    """What is kept of a job that is done or cancelled.
 
-    A cancelled job's tasks may still be on machines after a take-over, so what they take of a
-    machine and of their team's limit is kept with it.
+    A cancelled job's tasks may still be on machines after a failover, so what they use of a machine and of their
+    team's limit is kept with it.
     """
 
     state: Literal["done", "cancelled"]
@@ -158,11 +157,11 @@
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    total_resource_units: float = (
-        0.0  # CPUs, or GPUs if it needed any, of all its tasks together; 0: ended by an earlier version
-    )
+    # CPUs, or GPUs if it needed any, of all its tasks together; 0: recorded by an earlier version.
+    total_resource_units: float = 0.0
 
     def to_spec(self, job_id: str) -> JobSpec:
+        """Return a job that uses what this one used, for its tasks that are still on machines."""
         return JobSpec(
             id=job_id,
             job_class="",
@@ -177,6 +176,7 @@
 
 
 def completed_job(spec: JobSpec, state: Literal["done", "cancelled"]) -> CompletedJob:
+    """Return what is kept of a job that has reached this terminal state."""
     if state == "done":
         return CompletedJob(
             state, spec.task_count, spec.team, spec.job_class, total_resource_units=spec.total_resource_units
@@ -191,45 +191,3 @@
         spec.memory_gb,
         spec.total_resource_units,
     )
-
-
-def to_stored(value: msgspec.Struct) -> Any:
-    return msgspec.to_builtins(value)
-
-
-def decode_job_spec(value: Any) -> JobSpec:
-    return msgspec.convert(value, JobSpec)
-
-
-def decode_partial_job_spec(job_id: str, value: Any) -> JobSpec:
-    """Of a record that is none: what its tasks take and whose they are, as far as it tells, so that they count."""
-    spec = JobSpec(job_id, "", "", ARRAY, 3, 1, 0.0, 0.0, 0.0)
-    for field_name, field_value in value.items() if isinstance(value, dict) else ():
-        if field_name != "id" and field_name in JobSpec.__struct_encode_fields__:
-            try:
-                spec = msgspec.convert(msgspec.to_builtins(spec) | {field_name: field_value}, JobSpec)
-            except msgspec.ValidationError:
-                continue
-    return spec
-
-
-def decode_completed_job(value: Any) -> CompletedJob:
-    return msgspec.convert(value, CompletedJob)
-
-
-def rejection_reason(spec: JobSpec, teams: dict[str, Team], catalog: Sequence[MachineType]) -> str | None:
-    """Why the job can never run, or None."""
-    team = teams.get(spec.team)
-    if team is None:
-        return "unknown team"
-    if not any(spec.fits_machine_type(machine_type) for machine_type in catalog):
-        allowed_types = [machine_type for machine_type in catalog if spec.allows_machine_type(machine_type)]
-        if allowed_types and not any(spec.image_fits_cache(machine_type) for machine_type in allowed_types):
-            return f"no allowed machine type has a cache for an image of {spec.image_gb:g} GB"
-        return "no allowed machine type fits a task"
-    counted_tasks = spec.task_count if spec.is_admitted_as_unit else 1
-    for resource, limit in (("cpus", team.max_cpus), ("gpus", team.max_gpus)):
-        # A limit of 0 means that there is none.
-        if limit > 0 and getattr(spec, resource) * counted_tasks > limit + 1e-9:
-            return f"needs more {resource} than the team's limit"
-    return None
