--- a/roseweir/submissions/__init__.py
+++ b/roseweir/submissions/__init__.py
@@ -1,1 +1,1 @@
-"""What users say and hear: submissions, polls and cancels over a job model."""
+"""The users' API: submissions, polls and cancellations of jobs."""
--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -1,22 +1,22 @@
-"""Whether a job is cancelled with one that it needs, derived from what is durable.
+"""Whether a job is cancelled with one that it depends on, derived from what is durable.
 
-When a job is cancelled, all that need it, directly or through others, are cancelled with it. Its own end is the only
-mark that is made before its user is told; the leader records the ends of the others later, and there may be no leader.
-So a node that answers about a live job looks at the jobs that it awaits, theirs, and so on:
+When a job is cancelled, all that depend on it, directly or through others, are cancelled with it. Its own completed key
+is the only record that is made before its user is answered; the leader records the cancellations of the others later,
+and there may be no leader. So a node that answers about a live job traverses its dependencies, theirs, and so on:
 
-- one known to be cancelled: this one is cancelled with it;
-- one known to be done: so were all that it awaited, and nothing behind it matters;
-- one that lives: what it awaits is looked at in turn;
-- neither live nor known to have ended: its end is read. If there is none, it was not accepted when the live
-  jobs were read, so it was not cancelled by then.
+- one known to be cancelled: this job is cancelled with it;
+- one known to be done: so are all its dependencies, and nothing behind it matters;
+- a live one: its dependencies are visited in turn;
+- neither live nor known to have completed: its completed key is read. If there is none, it was not accepted when the
+  live jobs were read, so it was not cancelled by then.
 
-Every answer is as new as the view of the live jobs that it starts from: a job that had ended by then is not among them,
-and its end, which is made in the transaction that takes it from the live ones, is read afterwards.
+Every answer is as fresh as the live job cache that it starts from: a job that had completed by then is not in it, and
+its completed key, which is made in the transaction that deletes the live one, is read afterwards.
 
-The answer never goes back. An end is permanent, so a cancelled job stays cancelled. A job between it and the one asked
-about can't become done: each starts only when all that it awaits are done, so none of them ever starts. Hence they
-stay live, and the same way leads to the cancelled job, or their own end says cancelled. Nor can the way be a
-circle: a job names only jobs that were accepted before its own record was made, and the record is made once.
+The answer is stable. A terminal state is permanent, so a cancelled job stays cancelled. A job between it and the one
+asked about can't become done: each starts only when all its dependencies are done, so none of them ever starts. Hence
+they stay live, and the same path leads to the cancelled job, or their own completed key says cancelled. Nor can the
+graph have a cycle: a job names only jobs that were accepted before its own record was made, which is made once.
 """
 
 from collections.abc import Awaitable, Callable, Collection, Mapping
@@ -30,25 +30,26 @@
 from roseweir.submissions.live_job_index import LiveJobIndex
 from roseweir.submissions.read_budget import ReadBudget
 
-# A job's names that were read and are not in the view of the live jobs.
+# By job, dependency ids that were read and are not in the index of live jobs.
 DependencyIds = dict[str, list[str]]
 
 
 class DependencyTraversal(msgspec.Struct):
-    """What one look at all that some jobs need has found."""
+    """What one traversal of the dependencies of some jobs has found."""
 
     is_cancelled: bool = False
-    # Live jobs on the way to the cancelled one that was found: each needs it.
+    # Live jobs on the path to the cancelled one that was found: each depends on it.
     cancelled_dependents: list[str] = []
-    # Live jobs that were looked at, each with the jobs that it awaits and that are not known to be done.
+    # Live jobs that were visited, each with its dependencies that are not known to be done.
     open_dependencies: DependencyIds = {}
-    # Jobs whose ends have to be read, and live jobs whose names have to be.
+    # Jobs whose completed keys have to be read.
     unknown_job_ids: set[str] = set()
+    # Live jobs whose dependencies have to be read.
     unread_dependency_ids: set[str] = set()
 
     @property
     def is_complete(self) -> bool:
-        """Whether nothing is left that could be cancelled and is not known to be."""
+        """Whether no unread job could change the result."""
         return self.is_cancelled or not (self.unknown_job_ids or self.unread_dependency_ids)
 
 
@@ -58,9 +59,16 @@
     live_jobs: LiveJobIndex,
     dependencies_by_job: DependencyIds,
 ) -> DependencyTraversal:
-    """Look at these jobs and all that they need, as far as it is known. Each is visited once, at any depth."""
+    """Traverse these jobs and all that they depend on, as far as it is known; each is visited once, at any depth.
+
+    Args:
+        job_ids: Where the traversal starts.
+        terminal_states: "done" or "cancelled" by job, as far as known.
+        live_jobs: The live jobs with their dependencies.
+        dependencies_by_job: Further dependencies that were read, which go before those of `live_jobs`.
+    """
     traversal = DependencyTraversal()
-    # By job, the one that awaits it and led there.
+    # By job, the dependent from which it was reached.
     reached_from: dict[str, str | None] = dict.fromkeys(job_ids)
     stack = list(reached_from)
     while stack:
@@ -94,6 +102,8 @@
 
 
 class CancellationResolver:
+    """Traverses dependencies, and reads what the traversal lacks until it is complete."""
+
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
@@ -102,7 +112,7 @@
         read_budget: ReadBudget,
         remember_cancelled: Callable[[str], None],
     ) -> None:
-        """`remember` is told of each live job that was found to be cancelled with another."""
+        """Call `remember_cancelled` with each live job that is found to be cancelled with another."""
         self._kv_store = kv_store
         self._live_jobs = live_jobs
         self._completed_jobs = completed_jobs
@@ -116,13 +126,20 @@
         dependencies_by_job: DependencyIds | None = None,
         refresh: Callable[[], Awaitable[None]] | None = None,
     ) -> bool:
-        """Whether one of these jobs, or one that they need, is cancelled.
+        """Whether one of these jobs, or one that they depend on, is cancelled.
+
+        Args:
+            job_ids: Where the traversal starts.
+            requester: The job on whose read budget the reads are spent.
+            dependencies_by_job: Dependencies of live jobs that the index may lack; those that are read are added.
+            refresh: Refreshes the index of live jobs, for a caller that asks with an older one.
 
-        `read` holds names of live jobs that the view may lack; `refresh` makes the view a new one, for a caller that
-        asks with an older one. RateLimited, Trouble or Unreachable if reading fails: never a guess.
+        Raises:
+            ReadBudgetExhausted: this node may send no further read now.
+            StoreError, Unreachable: a read failed; the answer is never a guess.
         """
         dependencies_by_job = {} if dependencies_by_job is None else dependencies_by_job
-        # Jobs without an end, which the view lacks: see above.
+        # Jobs that are neither live nor completed: see the module's docstring.
         absent_ids: set[str] = set()
         while True:
             traversal = traverse_dependencies(
@@ -144,7 +161,7 @@
             if traversal.unknown_job_ids:
                 missing_ids = await self._completed_jobs.read_states(traversal.unknown_job_ids, requester)
                 if missing_ids and refresh is not None:
-                    # Accepted after the view was read.
+                    # They may have been accepted after the live jobs were read.
                     await refresh()
                     refresh = None
                 else:
@@ -153,7 +170,7 @@
                 await self._read_dependencies(job_id, requester, dependencies_by_job)
 
     def _keep_open_dependencies(self, traversal: DependencyTraversal, dependencies_by_job: DependencyIds) -> None:
-        """Names of jobs that are done need not be looked at again."""
+        """Drop dependencies that are done: they need not be visited again."""
         for job_id, dependency_ids in traversal.open_dependencies.items():
             if job_id in dependencies_by_job:
                 dependencies_by_job[job_id] = dependency_ids
@@ -164,9 +181,9 @@
                     self._live_jobs.set_dependencies(job_id, dependency_ids)
 
     async def _read_dependencies(self, job_id: str, requester: str, dependencies_by_job: DependencyIds) -> None:
-        """The names of a live job that are kept apart. If it has ended meanwhile, its end is read next.
+        """Read the dependencies of a live job that are stored apart; if it has completed, its state is read next.
 
-        A few parts are read as one request: each node reads them once, and a list that costs more than the node may
+        A few parts count as one request: each node reads them once, and a list that costs more than the node may
         spend at once could never be read.
         """
         self._read_budget.spend(requester)
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -1,9 +1,9 @@
-"""How jobs ended, as far as this node has read it, and reading more of it.
+"""Reads the terminal states of completed jobs, and keeps what this node has read.
 
-An end never changes, so it is read once, and whoever reads does it for all that wait for their turn: after a start a
-node is asked about many jobs at once, each of which awaits others that it has not heard of. A few are read one by one.
-Many are read by pages of the ended jobs, each from the first name that is still wanted, so that thousands of names
-take tens of requests, and never more requests than names. Pages are short until they prove to hold much of it.
+A terminal state never changes, so it is read once, and whoever reads does it for all that wait for their turn: after a
+start a node is asked about many jobs at once, each of which depends on others that it does not know. A few are read one
+by one. Many are read by pages of the completed jobs, each from the first id that is still wanted, so that thousands of
+ids take tens of requests, and never more requests than ids. Pages are short until they prove to hold many wanted ids.
 """
 
 import asyncio
@@ -15,21 +15,30 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, decode_completed_job
 from roseweir.submissions.read_budget import ReadBudget
 
-# So many are read one by one.
+# Up to this many jobs are read one by one.
 MAX_SINGLE_READS = 16
-# Pages read before others that wait to read get their turn, the keys of a short one, and how many wanted names the
-# next page must be expected to hold to be as long as can be.
-MAX_PAGES_PER_TURN, SHORT_PAGE_LIMIT, MIN_EXPECTED_MATCHES = 4, 64, 16
-# Names kept for those who wait; beyond that everybody reads for himself.
+# Pages read before others that wait to read get their turn.
+MAX_PAGES_PER_TURN = 4
+# Keys of a short page.
+SHORT_PAGE_LIMIT = 64
+# Wanted ids that the next page must be expected to hold to be read at full length.
+MIN_EXPECTED_MATCHES = 16
+# Ids kept for requests that wait; beyond that each request reads its own.
 MAX_WANTED = 20_000
 
 
 def key_just_before(job_id: str) -> str:
-    """A text that sorts before a job's id and after every id that sorts before it."""
+    """Return a text that sorts before a job's id and after every id that sorts before it."""
     return job_id[:-1] + chr(ord(job_id[-1]) - 1) + "~"
 
 
 class CompletedJobReader:
+    """Reads terminal states, one request of a user at a time for all that wait.
+
+    Attributes:
+        known_states: "done" or "cancelled" by job id.
+    """
+
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
@@ -37,7 +46,7 @@
         remember_state: Callable[[str, str], None],
         read_budget: ReadBudget,
     ) -> None:
-        """`known` holds "done" or "cancelled" by job; `remember` adds to it."""
+        """Read into `known_states` through `remember_state`, which takes a job id and its terminal state."""
         self.known_states = known_states
         self._kv_store = kv_store
         self._remember_state = remember_state
@@ -47,9 +56,13 @@
         self._wanted: set[str] = set()
 
     async def read_states(self, job_ids: Collection[str], requester: str) -> set[str]:
-        """Read the ends of some of these jobs, so that asking again reads more; those found not to have ended.
+        """Read the terminal states of some of these jobs; return those found not to have completed.
+
+        Not all need be read at once: another call reads more.
 
-        RateLimited if there is no request left, Trouble or Unreachable without an answer.
+        Raises:
+            ReadBudgetExhausted: this node may send no further read now.
+            StoreError, Unreachable: the key-value store did not answer.
         """
         unknown = {name for name in job_ids if name not in self.known_states}
         if len(self._wanted) + len(unknown) <= MAX_WANTED:
@@ -65,7 +78,7 @@
                 else self._read_each(to_read, requester)
             )
             self._wanted = {name for name in self._wanted if name not in self.known_states and name not in absent_ids}
-            # Whoever else wants one that has not ended looks for himself: the live jobs may have changed for him.
+            # Other requests for a job that has not completed read for themselves: the live jobs may have changed.
             return absent_ids & own_unknown
 
     async def _read_each(self, job_ids: list[str], requester: str) -> set[str]:
@@ -81,7 +94,7 @@
         return absent_ids
 
     def _limit_to_budget(self, job_ids: list[str], requester: str) -> list[str]:
-        """As many of the names as there are requests for; RateLimited if there is none."""
+        """Return as many of the ids as there are requests for; ReadBudgetExhausted if there is none."""
         for count in range(len(job_ids)):
             try:
                 self._read_budget.spend(requester)
--- a/roseweir/submissions/dependency_storage.py
+++ b/roseweir/submissions/dependency_storage.py
@@ -1,9 +1,9 @@
-"""The jobs that a job awaits, as they are stored: in the job's record, or apart where the record has no room.
+"""A job's dependencies as they are stored: in the job's record, or apart where the record has no room.
 
-Names that are kept apart are compressed and cut into parts, one key each. The keys hold a digest of the names, so that
-writing them again, or writing those of another body under the same id, never changes what a record refers to. They
-are written before the record and go with the job's end, or later: nobody reads those of a job that is over, and
-none may be taken away while the job is not over, since its record may be about to be written.
+Ids that are stored apart are compressed and cut into parts, one key each. The keys hold a digest of the ids, so that
+writing them again, or writing those of another body under the same job id, never changes what a record refers to. They
+are written before the record and deleted with the job's completion, or later: nobody reads those of a completed job,
+and none may be deleted before the job is completed, since its record may be about to be written.
 """
 
 import hashlib
@@ -18,27 +18,27 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, JobSpec, StoredDependencies, to_stored
 
 DEPENDENCY_PART_PREFIX = "awaits/"
-# The smallest limit that a state service has for values (`state.value_kb`), less what is left free, as the service may
+# The smallest limit that a key-value store has for values (`state.value_kb`), less a margin, as the store may
 # count its own form of the JSON text. Nothing larger is written, whatever the limit is now: it may fall without notice.
 MAX_VALUE_BYTES = 2048 - 128
-# The names of one body of 64 KiB; more than that is no list of ours.
+# The ids of one request body of 64 KiB; more than that was not written by this service.
 MAX_DECOMPRESSED_BYTES = 128 * 1024
 DIGEST_LENGTH = 20
 
 
 class DependenciesUnreadable(StoreError):
-    """A part is gone, as the job has ended meanwhile, or holds no names."""
+    """A part is gone, as the job has completed meanwhile, or holds no ids."""
 
 
 class DependencyParts(msgspec.Struct, frozen=True):
-    """Names kept apart: what the record says of them, and the values by their keys."""
+    """Ids stored apart: what the job's record holds instead of them, and the values by their keys."""
 
     dependencies: StoredDependencies
     values_by_key: dict[str, str]
 
 
 def dependency_part_keys(job_id: str, dependencies: StoredDependencies) -> list[str]:
-    """The keys that hold a job's names, in order; none if the record itself holds them."""
+    """Return the keys that hold a job's dependency ids, in order; none if the record itself holds them."""
     return [
         f"{DEPENDENCY_PART_PREFIX}{job_id}/{dependencies.digest}/{number}" for number in range(dependencies.part_count)
     ]
@@ -47,19 +47,19 @@
 def split_part_keys_for_completion(
     job_id: str, dependencies: StoredDependencies, max_keys: int
 ) -> tuple[list[str], list[str]]:
-    """Keys that go in the transaction of the job's end, which has room for so many, and those left to be tidied up."""
+    """Return the keys to delete in the transaction that completes the job, at most `max_keys`, and the others."""
     keys = dependency_part_keys(job_id, dependencies)
     max_keys = max(0, max_keys)
     return keys[:max_keys], keys[max_keys:]
 
 
 def fits_job_record(spec: JobSpec) -> bool:
-    """Whether the job's record has room for the names that it holds now."""
+    """Whether the job's record has room for the dependency ids that it holds now."""
     return len(orjson.dumps(to_stored(spec))) <= MAX_VALUE_BYTES
 
 
 def split_dependencies(job_id: str, job_ids: Iterable[str]) -> DependencyParts:
-    """Names to be kept apart, in values of at most `MAX_VALUE_BYTES` each."""
+    """Return a job's dependency ids as values of at most `MAX_VALUE_BYTES` each, to be stored apart."""
     raw = "\n".join(sorted(job_ids)).encode()
     digest = hashlib.sha256(raw).hexdigest()[:DIGEST_LENGTH]
     text = b64encode(zlib.compress(raw)).decode()
@@ -70,18 +70,24 @@
 
 
 def join_dependencies(pieces: Iterable[str]) -> list[str]:
-    """The names, sorted. Raises ValueError or zlib.error if the parts are not those of `split`."""
+    """Return the ids, sorted.
+
+    Raises:
+        ValueError, zlib.error: the pieces are not those of `split_dependencies`.
+    """
     unpacked = zlib.decompressobj()
     raw = unpacked.decompress(b64decode("".join(pieces)), MAX_DECOMPRESSED_BYTES)
     if not unpacked.eof:
-        raise ValueError("the names are cut off")
+        raise ValueError("the job ids are truncated")
     return raw.decode().split("\n")
 
 
 async def read_dependencies(kv_store: KeyValueStoreClient, spec: JobSpec) -> list[str]:
-    """The names of the jobs that this one awaits, wherever they are.
+    """Return the ids of a job's dependencies, wherever they are stored.
 
-    NamesMissing if it has ended meanwhile, or if the parts can't be read; Trouble or Unreachable without an answer.
+    Raises:
+        DependenciesUnreadable: the job has completed meanwhile, or the parts can't be read.
+        StoreError, Unreachable: the key-value store did not answer.
     """
     dependencies = spec.dependencies
     if not dependencies.part_count:
@@ -97,13 +103,14 @@
     try:
         return join_dependencies(pieces)
     except (TypeError, ValueError, zlib.error) as e:
-        raise DependenciesUnreadable(f"the names that {spec.id} awaits can't be read: {e}") from e
+        raise DependenciesUnreadable(f"dependencies of {spec.id} can't be read: {e}") from e
 
 
 async def orphaned_part_keys(kv_store: KeyValueStoreClient, live_jobs: Container[str]) -> list[str]:
-    """Keys of names kept for jobs that are over: nobody reads them any more. `live` may be as old as it likes.
+    """Return the keys of parts that belong to completed jobs, which nobody reads any more.
 
-    Those of a job that is neither live nor over are left alone: its record may be about to be written.
+    Those of a job that is neither live nor completed are left alone: its record may be about to be written.
+    `live_jobs` may be outdated, as a completed job never becomes live again.
     """
     entries, _ = await kv_store.scan(DEPENDENCY_PART_PREFIX)
     job_id_by_key = {entry.key: entry.key.removeprefix(DEPENDENCY_PART_PREFIX).partition("/")[0] for entry in entries}
--- a/roseweir/submissions/dependency_validation.py
+++ b/roseweir/submissions/dependency_validation.py
@@ -1,9 +1,9 @@
-"""Whether a submission may await the jobs that it names.
+"""Whether a submission may depend on the jobs that it names.
 
 It may name jobs that were accepted, in any state, but no service: a service never becomes done, so the job could
-never start. Being accepted is permanent, so whatever this node has ever heard of a job is enough. That one was never
-accepted is concluded only from reads that were sent after the submission came: its live key first, then its ended
-key, which is made in the transaction that takes the live one away.
+never start. Being accepted is permanent, so whatever this node has ever read of a job is enough. That one was never
+accepted is concluded only from reads that were sent after the submission came: its live key first, then its completed
+key, which is made in the transaction that deletes the live one.
 """
 
 from collections.abc import Sequence
@@ -18,21 +18,21 @@
 from roseweir.submissions.live_job_index import is_service, stored_dependencies_of
 from roseweir.submissions.read_budget import ReadBudget
 
-# So many names are told to a user who named jobs that can't be awaited.
+# Job ids listed to a user who named jobs that can't be dependencies.
 MAX_LISTED_JOB_IDS = 5
 
 
 class ValidationResult(msgspec.Struct):
-    """What was found of the jobs that a submission names."""
+    """What was found about the jobs that a submission names."""
 
     never_accepted_ids: list[str] = []
     service_ids: list[str] = []
-    # What live ones await that the view of the live jobs may lack.
+    # Dependencies of live ones that the live job cache may lack.
     dependencies_by_job: DependencyIds = {}
 
     @property
     def rejection_reason(self) -> str | None:
-        """Why they can't be awaited, in the user's words, or None."""
+        """Why they can't be dependencies, in the user's words, or None."""
         if self.never_accepted_ids:
             return f"awaits jobs that were never accepted: {_format_job_ids(self.never_accepted_ids)}"
         if self.service_ids:
@@ -46,6 +46,8 @@
 
 
 class DependencyValidator:
+    """Checks the jobs that submissions name against the store and this node's caches."""
+
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
@@ -53,13 +55,19 @@
         completed_jobs: CompletedJobReader,
         read_budget: ReadBudget,
     ) -> None:
+        """Share the caches and the read budget with the other handlers of this node."""
         self._kv_store = kv_store
         self._live_job_cache = live_job_cache
         self._completed_jobs = completed_jobs
         self._read_budget = read_budget
 
     async def validate(self, job_ids: Sequence[str], requester: str) -> ValidationResult:
-        """RateLimited, Trouble or Unreachable if it can't be told."""
+        """Return what is found about the jobs that `requester`'s submission names.
+
+        Raises:
+            ReadBudgetExhausted: this node may send no further read now.
+            StoreError, Unreachable: the key-value store did not answer.
+        """
         result = ValidationResult()
         unknown = self._unknown_ids(job_ids)
         if len(unknown) <= MAX_SINGLE_READS and self._read_budget.try_spend_many(len(unknown)):
@@ -83,7 +91,7 @@
         ]
 
     async def _read_live_records(self, job_ids: list[str], result: ValidationResult) -> list[str]:
-        """Read their live keys; those that do not live."""
+        """Read the live keys of jobs into `result`; return the jobs that are not live."""
         entries = await self._kv_store.get_many(LIVE_JOB_PREFIX + job_id for job_id in job_ids)
         not_live: list[str] = []
         for job_id in job_ids:
@@ -99,7 +107,7 @@
         return not_live
 
     async def _never_accepted_ids(self, job_ids: list[str], requester: str) -> list[str]:
-        """Those of some jobs that do not live which have not ended either: none that were ever accepted."""
+        """Return those of these jobs, none of them live, that have not completed either: they were never accepted."""
         absent_ids: set[str] = set()
         remaining_ids = set(job_ids)
         while remaining_ids:
--- a/roseweir/submissions/live_job_cache.py
+++ b/roseweir/submissions/live_job_cache.py
@@ -1,15 +1,16 @@
-"""Which jobs live, as new as each question: one read of the state service answers all polls that wait.
+"""A cache of the live jobs, refreshed for each batch of polls by one read of the key-value store.
 
-No answer may be older than one that any node has given. A watch that returns at once tells all changes up to
+No answer may be older than one that any node has given. A watch that returns at once has all changes up to
 its sending, so one sent after a poll came in is a fresh read, and it serves every poll that came before it.
-With a read for each poll, a swarm of a thousand small jobs polled the state service out of its limit, and the
-leader's renewals and records were refused with the polls.
+With a read for each poll, the polls of a thousand small jobs exceeded the store's rate limit, and the leader's
+lease renewals and log writes were refused with them.
 """
 
 import asyncio
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import NamedTuple
 
 from roseweir.clock import NEVER, monotonic_now, seconds, sleep, wait_at_most
 from roseweir.http import Unreachable
@@ -18,65 +19,95 @@
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
 from roseweir.submissions.live_job_index import LiveJobIndex
 
-# The part of the state service's requests that all nodes together may spend on reads for polls.
+# The share of the key-value store's request rate that all nodes together may spend on reads for polls.
 POLL_READ_SHARE = 0.3
-# A lookup of an unanswered write does not wait for its turn among the polls: so much more may be spent on these.
+# The further share for lookups of unanswered writes, which do not wait for the next read for polls.
 LOOKUP_READ_SHARE = 0.05
-# Without polls the view is brought up to date this often, so that no answer has to hold much.
+# Without polls the cache is refreshed this often, so that no watch has to return many changes.
 IDLE_REFRESH_INTERVAL = timedelta(seconds=5)
-# An answer that took longer, or was left lying while this node stood still, is not fresh any more.
+# A read that took longer, or whose answer waited while this process was paused, is not fresh any more.
 MAX_READ_DURATION = timedelta(seconds=1.5)
-# No job has this name.
+# No job has this id.
 NO_JOB_ID = ""
 
-# Tasks done and running of these jobs, as far as the leader can tell.
+# Asks the leader for the counts of tasks, done and running, by job; jobs that it does not know are left out.
 ProgressLookup = Callable[[list[str]], Awaitable[dict[str, tuple[int, int]]]]
 
 
 @dataclass(frozen=True, slots=True)
 class JobLiveness:
-    """Whether a job lives, as of a revision of the state service that is no older than the question."""
+    """Whether a job is live, as of a revision of the key-value store that is no older than the request."""
 
     is_live: bool
     revision: int
 
 
+class PendingPoll(NamedTuple):
+    """A poll that waits for a fresh read, and then for the leader's counts of tasks done and running."""
+
+    job_id: str
+    future: "asyncio.Future[tuple[int, int] | None]"
+
+
+class PendingLookup(NamedTuple):
+    """A lookup that waits for a fresh read."""
+
+    job_id: str
+    future: "asyncio.Future[JobLiveness]"
+
+
 class LiveJobCache:
+    """Answers polls and lookups in batches, each after a read that was sent when all of the batch had come in.
+
+    Attributes:
+        live_jobs: The live jobs as of the last read.
+        read_at: When that read was sent (monotonic).
+    """
+
     def __init__(self, kv_store: KeyValueStoreClient, node_count: int, progress_lookup: ProgressLookup) -> None:
+        """Share the rate limit of `kv_store` among `node_count` nodes; `progress_lookup` asks the leader."""
         self.kv_store = kv_store
         self._progress_lookup = progress_lookup
         self._read_interval = seconds(node_count / (kv_store.settings.max_requests_per_s * POLL_READ_SHARE))
         self.live_jobs = LiveJobIndex()
-        # When the read was sent that the view is as new as.
         self.read_at = NEVER
         self._revision: int | None = None
-        self._pending_polls: list[tuple[str, asyncio.Future[tuple[int, int] | None]]] = []
-        self._pending_lookups: list[tuple[str, asyncio.Future[JobLiveness]]] = []
+        self._pending_polls: list[PendingPoll] = []
+        self._pending_lookups: list[PendingLookup] = []
         self._lookup_rate_limiter = RateLimiter(kv_store.settings.max_requests_per_s * LOOKUP_READ_SHARE / node_count)
         self._request_pending, self._lookup_urgent = asyncio.Event(), asyncio.Event()
         self._answer_task: asyncio.Task[None] | None = None
 
     async def read_progress(self, job_id: str) -> tuple[int, int] | None:
-        """Tasks done and running of a job that lives; None if it does not."""
+        """Return the counts of a live job's tasks, done and running; None if the job is not live.
+
+        Raises:
+            StoreError, Unreachable: the read failed or took too long.
+        """
         future: asyncio.Future[tuple[int, int] | None] = asyncio.get_running_loop().create_future()
-        self._pending_polls.append((job_id, future))
+        self._pending_polls.append(PendingPoll(job_id, future))
         self._request_pending.set()
         return await future
 
     async def read_liveness(self, job_id: str) -> JobLiveness:
-        """Whether a job lives, by a fresh read; without its progress, for which the leader would have to be asked."""
+        """Return whether a job is live, by a fresh read, without asking the leader for its progress.
+
+        Raises:
+            StoreError, Unreachable: the read failed or took too long.
+        """
         future: asyncio.Future[JobLiveness] = asyncio.get_running_loop().create_future()
-        self._pending_lookups.append((job_id, future))
+        self._pending_lookups.append(PendingLookup(job_id, future))
         if self._lookup_rate_limiter.try_acquire():
             self._lookup_urgent.set()
         self._request_pending.set()
         return await future
 
     async def wait_for_refresh(self) -> None:
-        """Until the view is as new as this call."""
+        """Wait until the cache is as fresh as this call; raises as `read_liveness` does."""
         await self.read_liveness(NO_JOB_ID)
 
     async def run(self) -> None:
+        """Refresh the cache and answer what waits; never returns."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await wait_at_most(IDLE_REFRESH_INTERVAL, self._request_pending.wait())
@@ -85,32 +116,38 @@
                 if self._answer_task is not None and not self._pending_lookups:
                     await sleep(self._read_interval)
                     continue
-                lookups, self._pending_lookups = self._pending_lookups, []
-                polls: list[tuple[str, asyncio.Future[tuple[int, int] | None]]] = []
-                if self._answer_task is None:  # else these polls are for the next read: the leader is being asked
-                    polls, self._pending_polls = self._pending_polls, []
+                lookups, polls = self._take_batch()
                 try:
                     revision = await self._read_fresh()
                 except (StoreError, Unreachable) as e:
-                    for future in [each for _, each in polls] + [each for _, each in lookups]:
-                        if not future.done():
-                            future.set_exception(e)
+                    _fail_batch(polls, lookups, e)
                 else:
-                    for job_id, lookup in lookups:
-                        if not lookup.done():
-                            lookup.set_result(JobLiveness(job_id in self.live_jobs, revision))
+                    self._resolve_lookups(lookups, revision)
                     if polls:
                         self._answer_task = group.create_task(self._answer_polls(polls))
                         self._answer_task.add_done_callback(self._on_polls_answered)
                 await wait_at_most(self._read_interval, self._lookup_urgent.wait())
 
+    def _take_batch(self) -> tuple[list[PendingLookup], list[PendingPoll]]:
+        """Take what the next read answers; polls only if the leader is not being asked for others."""
+        lookups, self._pending_lookups = self._pending_lookups, []
+        polls: list[PendingPoll] = []
+        if self._answer_task is None:
+            polls, self._pending_polls = self._pending_polls, []
+        return lookups, polls
+
+    def _resolve_lookups(self, lookups: list[PendingLookup], revision: int) -> None:
+        for job_id, future in lookups:
+            if not future.done():
+                future.set_result(JobLiveness(job_id in self.live_jobs, revision))
+
     def _on_polls_answered(self, _: "asyncio.Task[None]") -> None:
         self._answer_task = None
         if self._pending_polls:
             self._request_pending.set()
 
     async def _read_fresh(self) -> int:
-        """Bring the view up to date; the revision that it has reached. Trouble if that took too long."""
+        """Refresh the cache and return the revision that it has reached; StoreError if that took too long."""
         sent_at = monotonic_now()
         await self._refresh()
         if monotonic_now() - sent_at > MAX_READ_DURATION or self._revision is None:
@@ -133,14 +170,20 @@
                         self.live_jobs.add(job_id, event.value)
                 return
         self._revision = None
-        # The revision is from before the first page: what changes meanwhile is told by the next watch.
+        # The revision is from before the first page: the next watch has what changes meanwhile.
         entries, revision = await self.kv_store.scan(LIVE_JOB_PREFIX)
         self.live_jobs.replace_all({entry.key.removeprefix(LIVE_JOB_PREFIX): entry.value for entry in entries})
         self._revision = revision
 
-    async def _answer_polls(self, polls: list[tuple[str, "asyncio.Future[tuple[int, int] | None]"]]) -> None:
+    async def _answer_polls(self, polls: list[PendingPoll]) -> None:
         live_job_ids = sorted({job_id for job_id, future in polls if job_id in self.live_jobs and not future.done()})
         task_counts = await self._progress_lookup(live_job_ids) if live_job_ids else {}
         for job_id, future in polls:
             if not future.done():
                 future.set_result(task_counts.get(job_id, (0, 0)) if job_id in self.live_jobs else None)
+
+
+def _fail_batch(polls: list[PendingPoll], lookups: list[PendingLookup], error: StoreError | Unreachable) -> None:
+    for future in [poll.future for poll in polls] + [lookup.future for lookup in lookups]:
+        if not future.done():
+            future.set_exception(error)
--- a/roseweir/submissions/live_job_index.py
+++ b/roseweir/submissions/live_job_index.py
@@ -1,4 +1,4 @@
-"""The jobs that live, as one node knows them, with the jobs that each of them awaits."""
+"""An index of the live jobs that one node knows, with the dependencies of each."""
 
 import sys
 from collections.abc import Iterable
@@ -8,12 +8,12 @@
 
 from roseweir.submissions.jobs import SERVICE, StoredDependencies
 
-# Names of awaited jobs kept in all. Lists beyond that are read from the state service whenever they are asked for.
+# Dependency ids kept in all. Lists beyond that are read from the key-value store whenever they are needed.
 MAX_DEPENDENCY_IDS = 200_000
 
 
 def stored_dependencies_of(record: Any) -> StoredDependencies:
-    """Of a record of a job, as it is stored. One that can't be read awaits nothing that is known."""
+    """Return the dependencies in a job's stored record; none if the record can't be read."""
     depends_on = record.get("after") if isinstance(record, dict) else None
     if not isinstance(depends_on, dict):
         return StoredDependencies()
@@ -24,23 +24,27 @@
 
 
 def is_service(record: Any) -> bool:
-    """Of a record of a job, as it is stored."""
+    """Whether a job's stored record is that of a service."""
     return isinstance(record, dict) and record.get("kind") == SERVICE
 
 
 class LiveJobIndex:
-    """Sets of names, kept by whoever reads the records: no I/O here."""
+    """Sets of job ids, kept up to date by whoever reads the records: no I/O here.
+
+    Attributes:
+        known_not_cancelled: Jobs found to depend on no cancelled one. It holds all live jobs that they depend on, so it
+            stays true until one of these completes.
+    """
 
     def __init__(self) -> None:
+        """Know no job yet."""
         self._job_ids: set[str] = set()
         self._service_ids: set[str] = set()
-        # By job, those that it awaits and that are not known to be done.
+        # By job, its dependencies that are not known to be done.
         self._dependencies: dict[str, list[str]] = {}
-        # Jobs whose names are not kept here.
+        # Jobs whose dependencies are not kept here.
         self._unread_dependency_ids: set[str] = set()
         self._dependency_count = 0
-        # Jobs found to need no cancelled one. It holds all that they need and that lives, so it stays
-        # true until one of these ends.
         self.known_not_cancelled: set[str] = set()
 
     def __contains__(self, job_id: object) -> bool:
@@ -50,14 +54,15 @@
         return len(self._job_ids)
 
     def is_service(self, job_id: str) -> bool:
+        """Whether a live job is a service."""
         return job_id in self._service_ids
 
     def dependencies(self, job_id: str) -> list[str] | None:
-        """The jobs that it awaits, apart from some that are done; None: they have to be read."""
+        """Return a job's dependencies, apart from some that are done; None if they have to be read from the store."""
         return None if job_id in self._unread_dependency_ids else self._dependencies.get(job_id, [])
 
     def add(self, job_id: str, record: Any) -> None:
-        """A record as the state service holds it. What a job awaits never changes."""
+        """Add a live job with its record as it is stored; a job's dependencies never change."""
         if job_id in self._job_ids:
             return
         self._job_ids.add(job_id)
@@ -70,7 +75,7 @@
             self.set_dependencies(job_id, dependencies.job_ids)
 
     def set_dependencies(self, job_id: str, dependency_ids: Iterable[str]) -> None:
-        """What a live job awaits, as far as it is not known to be done."""
+        """Set the dependencies of a live job that are not known to be done."""
         if job_id not in self._job_ids:
             return
         self._drop_dependencies(job_id)
@@ -84,6 +89,7 @@
             self._dependency_count += len(kept)
 
     def discard(self, job_id: str) -> None:
+        """Remove a job that has completed."""
         if job_id not in self._job_ids:
             return
         self._job_ids.discard(job_id)
@@ -93,12 +99,12 @@
         self.invalidate_not_cancelled(job_id)
 
     def invalidate_not_cancelled(self, job_id: str) -> None:
-        """It has ended, or is known to be cancelled."""
+        """Forget what was concluded with the help of a job that has completed, or is known to be cancelled."""
         if job_id in self.known_not_cancelled:
             self.known_not_cancelled.clear()
 
     def replace_all(self, records: dict[str, Any]) -> None:
-        """All records of live jobs, as one reading found them."""
+        """Set all live jobs to the records, by job id, that one scan has found."""
         for job_id in self._job_ids - records.keys():
             self.discard(job_id)
         for job_id, record in records.items():
--- a/roseweir/submissions/messages.py
+++ b/roseweir/submissions/messages.py
@@ -1,4 +1,4 @@
-"""The users' wire names, and their translation into the job model."""
+"""Messages of the users' API with their names on the wire, and their translation into the job model."""
 
 from typing import Annotated, Any, Literal
 
@@ -7,7 +7,7 @@
 
 from roseweir.submissions.jobs import JobSpec, JobType, StoredDependencies
 
-# To the very end: `$` would let a line break follow, and a key of the state service can't hold one.
+# To the very end: `$` would let a line break follow, and a key of the key-value store can't hold one.
 JOB_ID = r"^j-[0-9]{1,18}\Z"
 ResourceAmount = Annotated[float, Meta(ge=0, le=1e12)]
 
@@ -40,6 +40,8 @@
         "deadline_s": "due_s",
     },
 ):
+    """A submission as its user sends it: resources per task, sizes in GB, durations in seconds."""
+
     id: Annotated[str, Meta(pattern=JOB_ID)]
     job_class: Annotated[str, Meta(min_length=1, max_length=200)]
     team: Annotated[str, Meta(max_length=200)]
@@ -64,6 +66,7 @@
     depends_on: list[Annotated[str, Meta(pattern=JOB_ID)]] | None = None
 
     def to_spec(self, accepted_ms: int) -> JobSpec:
+        """Return the job that is asked for; `accepted_ms` is Unix time in ms."""
         return JobSpec(
             id=self.id,
             job_class=self.job_class,
@@ -91,7 +94,7 @@
 
 
 class SubmissionId(msgspec.Struct, rename={"id": "name_id"}):
-    """The one field of a submission that a retry is known by."""
+    """The one field of a submission that a retry is recognized by."""
 
     id: Annotated[str, Meta(pattern=JOB_ID)]
 
@@ -102,6 +105,7 @@
 def status_response(
     job_id: str, state: str, done_count: int | None = None, running_count: int | None = None
 ) -> dict[str, Any]:
+    """Return the answer that gives a job's state, for polls with its counts of tasks."""
     answer: dict[str, Any] = {"name_id": job_id, "standing": _WIRE_STATES[state]}
     if done_count is not None:
         answer |= {"done": done_count, "running": running_count or 0}
--- a/roseweir/submissions/read_budget.py
+++ b/roseweir/submissions/read_budget.py
@@ -1,6 +1,6 @@
-"""How many requests this node may send to the state service for users' questions.
+"""Limits the reads that this node sends to the key-value store for users' requests.
 
-A flood of polls must leave the state service to renewals and records.
+A flood of polls must leave the store's request rate to lease renewals and the write-ahead log.
 """
 
 from collections import OrderedDict
@@ -8,21 +8,27 @@
 from roseweir.kv_store.client import RateLimiter
 from roseweir.submissions.errors import ReadBudgetExhausted
 
-# The part of the state service's requests that this node may spend on reads for polls, what of it is for jobs that were
-# refused one before, and how many of these it remembers.
-READ_SHARE, RETRIED_READ_SHARE, MAX_REFUSED_JOBS = 0.25, 0.05, 4096
+# The share of the key-value store's request rate that this node may spend on reads for users.
+READ_SHARE = 0.25
+# The part of that share which is reserved for jobs that were refused a read before.
+RETRIED_READ_SHARE = 0.05
+# Jobs that were refused a read, as far as they are kept.
+MAX_REFUSED_JOBS = 4096
 
 
 class ReadBudget:
+    """Two rate limiters: one for all requests, one for those about jobs that were refused before."""
+
     def __init__(self, requests_per_second: float) -> None:
+        """Take shares of `requests_per_second`, the rate that the store allows."""
         self._read_rate_limiter = RateLimiter(requests_per_second * (READ_SHARE - RETRIED_READ_SHARE))
-        # Whoever was refused a read has some of them left to it: a flood of questions about one job after another
-        # could keep any one job without an answer for as long as it lasts.
+        # Without this reserve, a flood of polls of ever other jobs could keep any one job without an answer for as long
+        # as it lasts.
         self._retried_read_rate_limiter = RateLimiter(requests_per_second * RETRIED_READ_SHARE)
         self._refused_job_ids: OrderedDict[str, None] = OrderedDict()
 
     def spend(self, job_id: str) -> None:
-        """One request for the sake of a question about this job, or RateLimited."""
+        """Take one request for this job; ReadBudgetExhausted if there is none."""
         if self._read_rate_limiter.try_acquire() or (
             job_id in self._refused_job_ids and self._retried_read_rate_limiter.try_acquire()
         ):
@@ -34,5 +40,5 @@
         raise ReadBudgetExhausted
 
     def try_spend_many(self, request_count: int) -> bool:
-        """Take so many at once; False if there are not so many to take."""
+        """Take this many requests at once; False, and none are taken, if there are fewer."""
         return self._read_rate_limiter.try_acquire(request_count)
--- a/roseweir/submissions/task_bitmap.py
+++ b/roseweir/submissions/task_bitmap.py
@@ -1,4 +1,7 @@
-"""Which tasks of a job are done, as compact values of the state service."""
+"""Bitmaps of a job's completed tasks, as compact values of the key-value store.
+
+A job's bitmap is stored in chunks of `TASKS_PER_CHUNK` tasks, one key each.
+"""
 
 import zlib
 from base64 import b85decode, b85encode
@@ -8,19 +11,20 @@
 
 
 def chunk_key(job_id: str, number: int) -> str:
+    """Return the key of one chunk of a job's bitmap."""
     return f"{COMPLETED_TASKS_PREFIX}{job_id}/{number}"
 
 
 def chunk_numbers(task_count: int) -> range:
-    """Numbers of the chunks that a job of so many tasks may have."""
+    """Return the numbers of the chunks that a job with `task_count` tasks may have."""
     return range((task_count + TASKS_PER_CHUNK - 1) // TASKS_PER_CHUNK)
 
 
 def split_chunk_keys_for_completion(job_id: str, numbers: Iterable[int], txn_ops: int) -> tuple[list[str], list[str]]:
-    """Keys of these chunks that go in the transaction of the job's end, and those left to be tidied up.
+    """Return the keys to delete in the transaction that completes the job, and those to delete later.
 
-    The end itself takes two changes. A transaction of 8 has no room for the 13 chunks of 100,000 tasks, and nobody
-    reads a chunk of a job that is over: what is left costs room, not truth.
+    The completion itself takes two of the transaction's `txn_ops` operations. A transaction of 8 has no room for the 13
+    chunks of 100,000 tasks, and nobody reads a chunk of a completed job: what is left costs space, not correctness.
     """
     max_keys = txn_ops - 2
     return (
@@ -30,11 +34,12 @@
 
 
 def encode_bitmap(bitmap: bytes) -> str:
-    """At most 1,024 bytes of bits; about 1.3 KB as text, much less for mostly full or empty ones."""
+    """Return a chunk of at most 1,024 bytes as text: about 1.3 KB, much less if it is mostly full or empty."""
     return b85encode(zlib.compress(bitmap, 1)).decode()
 
 
 def decode_task_numbers(text: str, first_task: int) -> Iterator[int]:
+    """Yield the numbers of the completed tasks of an encoded chunk whose first bit is task `first_task`."""
     for offset, byte in enumerate(zlib.decompress(b85decode(text))):
         while byte:
             lowest_bit = byte & -byte
--- a/roseweir/workers/__init__.py
+++ b/roseweir/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Dealings with workers: reports in, orders out, and the token that gives the right to command."""
+"""The workers' API: heartbeats in, commands out, each with the fencing token of the leader's term."""
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -1,4 +1,4 @@
-"""The workers' wire names."""
+"""Messages between workers and controllers, with their names on the wire (see the protocol page)."""
 
 from datetime import timedelta
 from typing import Annotated, Any
@@ -6,8 +6,8 @@
 import msgspec
 from msgspec import Meta
 
-# A report is checked whole before anything is taken from it: a task's name that could not be read once left the board
-# with what stood before it in the list.
+# A heartbeat is validated as a whole before any of it is applied: a task name that could not be parsed once left the
+# cluster state with the tasks before it in the list applied, and the rest not.
 TaskName = Annotated[str, Meta(pattern=r"^j-[0-9]{1,18}/[0-9]{1,6}$")]
 NonNegativeInt = Annotated[int, Meta(ge=0)]
 
@@ -22,6 +22,11 @@
         "checkpoint_saved": "stored",
     },
 ):
+    """One task on a machine, as its worker reports it.
+
+    `state` and `exit_reason` stay plain text: values that this version does not know are accepted.
+    """
+
     task_id: TaskName
     attempt: NonNegativeInt
     state: str
@@ -44,6 +49,12 @@
         "tasks": "parcels",
     },
 ):
+    """A heartbeat with status, also the answer of a worker to a direct command.
+
+    `incarnation` counts the worker's starts and `sequence` its messages since; `fencing_token` is the highest term that
+    it has seen; `reclaim_notice_s` is how many seconds remain until a spot machine is taken away.
+    """
+
     machine_name: str
     address: str
     machine_type: str
@@ -60,7 +71,7 @@
     msgspec.Struct,
     rename={"machine_name": "host", "incarnation": "tenure", "sequence": "tally", "fencing_token": "warrant"},
 ):
-    """All that a node which does not lead reads of a report."""
+    """The part of a heartbeat that a node which does not lead reads."""
 
     machine_name: str
     incarnation: int
@@ -68,12 +79,14 @@
     fencing_token: int
 
 
+# States of a task (`TaskStatus.state`).
 FETCHING_IMAGE = "pulling"
 WAITING_FOR_GANG = "gathering"
 RUNNING = "running"
 SAVING_CHECKPOINT = "saving"
 EXITED = "exited"
 
+# Reasons for the exit of a task (`TaskStatus.exit_reason`).
 DONE = "done"
 STOPPED = "halted"
 GANG_PEER_LOST = "mates_gone"
@@ -85,25 +98,33 @@
 
 
 def run_command(task_id: str, attempt: int) -> dict[str, Any]:
+    """Return the command that starts an attempt of a task."""
     return {"verb": "run", "parcel": task_id, "try": attempt}
 
 
 def stop_command(task_id: str, attempt: int, grace_period: timedelta) -> dict[str, Any]:
+    """Return the command that stops an attempt of a task, which has `grace_period` to save a checkpoint."""
     return {"verb": "halt", "parcel": task_id, "try": attempt, "wind_down_s": grace_period.total_seconds()}
 
 
 def clear_command(task_id: str, attempt: int) -> dict[str, Any]:
+    """Return the command that lets a worker forget an attempt that has exited."""
     return {"verb": "clear", "parcel": task_id, "try": attempt}
 
 
 def heartbeat_response(fencing_token: int | None, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """Without a term the worker drops it and stays: nothing is executed, and its lease is not renewed."""
+    """Return the response to a heartbeat.
+
+    Without a fencing token the worker ignores the commands and keeps its tasks, and its lease is not renewed.
+    """
     return {"orders": commands} if fencing_token is None else {"warrant": fencing_token, "orders": commands}
 
 
 def direct_command(fencing_token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return a request that one incarnation of a worker carries out."""
     return {"warrant": fencing_token, "tenure": incarnation, "orders": commands}
 
 
 def not_leader_response(leader: str | None) -> dict[str, Any]:
+    """Return the body of a 421: the address of the leader, if it is known."""
     return {"answers_to": leader} if leader else {}
