--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -53,6 +53,7 @@
     def __init__(
         self,
         settings: Settings,
+        *,
         group_commit: GroupCommitter,
         live_job_cache: LiveJobCache,
         terminal_states: TerminalStateCache,
--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -107,6 +107,7 @@
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
+        *,
         live_jobs: LiveJobIndex,
         completed_jobs: CompletedJobReader,
         read_budget: ReadBudget,
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -42,6 +42,7 @@
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
+        *,
         known_states: MutableMapping[str, str],
         remember_state: Callable[[str, str], None],
         read_budget: ReadBudget,
--- a/roseweir/submissions/dependency_validation.py
+++ b/roseweir/submissions/dependency_validation.py
@@ -51,6 +51,7 @@
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
+        *,
         live_job_cache: LiveJobCache,
         completed_jobs: CompletedJobReader,
         read_budget: ReadBudget,
--- a/roseweir/submissions/handlers.py
+++ b/roseweir/submissions/handlers.py
@@ -71,27 +71,40 @@
         self._write_confirmations = WriteConfirmations(kv_store, self.live_job_cache)
         self._read_budget = ReadBudget(settings.params.kv_store.max_requests_per_s)
         completed_jobs = CompletedJobReader(
-            kv_store, self._terminal_states.states, self._terminal_states.remember, self._read_budget
+            kv_store,
+            known_states=self._terminal_states.states,
+            remember_state=self._terminal_states.remember,
+            read_budget=self._read_budget,
         )
         cancellation_resolver = CancellationResolver(
             kv_store,
-            self.live_job_cache.live_jobs,
-            completed_jobs,
-            self._read_budget,
-            self._terminal_states.remember_propagated_cancellation,
+            live_jobs=self.live_job_cache.live_jobs,
+            completed_jobs=completed_jobs,
+            read_budget=self._read_budget,
+            remember_cancelled=self._terminal_states.remember_propagated_cancellation,
+        )
+        dependency_validator = DependencyValidator(
+            kv_store,
+            live_job_cache=self.live_job_cache,
+            completed_jobs=completed_jobs,
+            read_budget=self._read_budget,
         )
         self._job_statuses = JobStatusReader(
-            kv_store, self.live_job_cache, self._terminal_states, cancellation_resolver, self._read_budget
+            kv_store,
+            live_job_cache=self.live_job_cache,
+            terminal_states=self._terminal_states,
+            cancellation_resolver=cancellation_resolver,
+            read_budget=self._read_budget,
         )
         self._acceptor = JobAcceptor(
             settings,
-            self.group_commit,
-            self.live_job_cache,
-            self._terminal_states,
-            self._job_statuses,
-            DependencyValidator(kv_store, self.live_job_cache, completed_jobs, self._read_budget),
-            cancellation_resolver,
-            self._write_confirmations,
+            group_commit=self.group_commit,
+            live_job_cache=self.live_job_cache,
+            terminal_states=self._terminal_states,
+            job_statuses=self._job_statuses,
+            dependency_validator=dependency_validator,
+            cancellation_resolver=cancellation_resolver,
+            write_confirmations=self._write_confirmations,
         )
 
     def start(self, now: datetime) -> None:
--- a/roseweir/submissions/job_status.py
+++ b/roseweir/submissions/job_status.py
@@ -24,6 +24,7 @@
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
+        *,
         live_job_cache: LiveJobCache,
         terminal_states: TerminalStateCache,
         cancellation_resolver: CancellationResolver,
