--- a/roseweir/cloud/scale_out.py
+++ b/roseweir/cloud/scale_out.py
@@ -15,7 +15,8 @@
 from roseweir.scheduler.capacity_snapshot import allows_machine
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine
-from roseweir.scheduler.scheduling_pass import SchedulingPassResult, max_concurrent_tasks
+from roseweir.scheduler.quota import max_concurrent_tasks
+from roseweir.scheduler.scheduling_pass import SchedulingPassResult
 from roseweir.scheduler.starvation import NOT_STARVING
 from roseweir.settings import ServiceLevelObjective
 from roseweir.submissions.jobs import GANG, SERVICE, JobSpec, MachineType
--- a/roseweir/dependencies/slack.py
+++ b/roseweir/dependencies/slack.py
@@ -13,7 +13,7 @@
 from roseweir.dependencies.graph import DependencyGraph, LatestStart, Stage, latest_starts
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun
-from roseweir.scheduler.scheduling_pass import max_concurrent_tasks
+from roseweir.scheduler.quota import max_concurrent_tasks
 
 # Whether jobs of pipelines are put in order by slack; False to measure without.
 ORDER_BY_SLACK = True
--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -29,8 +29,8 @@
 from roseweir.scheduler.capacity_snapshot import allows_machine
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.lifecycle_events import DowntimeCause
+from roseweir.scheduler.machine_eligibility import schedulable_machines
 from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
-from roseweir.scheduler.scheduling_pass import schedulable_machines
 from roseweir.submissions.jobs import GANG, SERVICE, JobSpec
 from roseweir.workers import messages as wire
 
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -12,7 +12,7 @@
 from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun
-from roseweir.scheduler.scheduling_pass import max_concurrent_tasks
+from roseweir.scheduler.quota import max_concurrent_tasks
 from roseweir.submissions.jobs import SERVICE, JobSpec
 
 # Needs change with the slots; looking at them more often than this only costs.
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -29,8 +29,10 @@
 from roseweir.rebalancing.settings import RebalancingSettings
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.lifecycle_events import DowntimeCause
+from roseweir.scheduler.machine_eligibility import schedulable_machines
 from roseweir.scheduler.model import JobRun, Machine, Placement
-from roseweir.scheduler.scheduling_pass import SchedulingPassResult, schedulable_machines, tasks_within_quota
+from roseweir.scheduler.quota import tasks_within_quota
+from roseweir.scheduler.scheduling_pass import SchedulingPassResult
 from roseweir.scheduler.starvation import waiting_time
 from roseweir.submissions.jobs import JobSpec
 
--- a/roseweir/scheduler/capacity_snapshot.py
+++ b/roseweir/scheduler/capacity_snapshot.py
@@ -1,18 +1,20 @@
-"""What one planning pass has found out about the machines, kept for as long as it holds.
+"""Free capacity as one scheduling pass finds it, cached for as long as it holds.
 
-Pure. Within a pass nothing changes a machine but the pass itself, and `Machine.changes` counts that, so what was
-worked out for one job serves the others. Each of 300 waiting jobs sorted the same tasks' ends on the same machines.
+No I/O. Within a pass nothing changes a machine but the pass itself, and `Machine.change_count` counts that, so what
+was computed for one job serves the others. Each of 300 waiting jobs sorted the same tasks' ends on the same machines.
 """
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine, Placement, max_fitting_tasks
 from roseweir.submissions.jobs import JobSpec
 
-# Type, zone and kind of machine.
-MachinePool = tuple[str, str, bool]
+# Free CPUs, GPUs and GB are sums of floats: room that is short by no more than this is enough.
+CAPACITY_TOLERANCE = 1e-6
+
 # CPUs, GPUs and GB of memory that a task takes.
 TaskSize = tuple[float, float, float]
 # Which machines a job allows at all: types, zone, whether spot machines, and whether it needs GPUs: CPU-only work
@@ -21,7 +23,7 @@
 
 
 def allows_machine(spec: JobSpec, machine: Machine) -> bool:
-    """Type, zone and kind of machine that the job allows."""
+    """Whether the job allows the machine: its type, zone, spot or not, and an image cache that holds its image."""
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
         and (spec.zone is None or machine.zone == spec.zone)
@@ -31,10 +33,12 @@
 
 
 def task_size(spec: JobSpec) -> TaskSize:
+    """What one task of the job takes."""
     return (spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def machine_requirements(spec: JobSpec) -> MachineRequirements:
+    """Which machines the job allows, as a key of caches."""
     return (
         None if spec.machine_types is None else tuple(spec.machine_types),
         spec.zone,
@@ -52,18 +56,29 @@
         self.cpus, self.gpus, self.memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory
 
     def release(self, placement: Placement) -> None:
+        """Count what the task takes as free."""
         spec = placement.run.spec
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
 
     def task_capacity(self, spec: JobSpec) -> int:
+        """How many tasks of the job fit into what is free."""
         return max_fitting_tasks(spec, self.cpus, self.gpus, self.memory_gb)
 
 
+class MachineWithRoom(NamedTuple):
+    """A machine, and when it will have room for one more task than the entries for it before this one."""
+
+    free_at: datetime
+    machine: Machine
+
+
 class CapacitySnapshot:
+    """Free capacity of the fleet in one scheduling pass, and when more of it comes free."""
+
     def __init__(self, cluster_state: ClusterState, machines: list[Machine], now: datetime) -> None:
-        """`machines`: those that tasks may be started on."""
+        """Take a snapshot; `machines`: those that tasks may be started on."""
         self.cluster_state = cluster_state
         self.machines = machines
         self.now = now
@@ -74,14 +89,15 @@
         self._expected_ends_by_machine: dict[str, tuple[int, list[tuple[datetime, Placement]]]] = {}
         self._earliest_room_order: list[tuple[datetime, str, Machine]] | None = None
         self._estimated_durations: dict[JobRun, timedelta] = {}
-        # What no machine has room for, by what the job allows.
+        # Task sizes that no machine has room for, by what the job allows.
         self._full_sizes: dict[tuple[MachineRequirements, int], list[TaskSize]] = {}
 
     def rank(self, machine: Machine) -> int:
+        """The machine's position among those of the pass: the last criterion between equal machines."""
         return self._rank_by_machine[machine.name]
 
     def urgent_image_penalty(self, machine: Machine) -> float:
-        """1.0 for a machine that holds images of classes which must start soon."""
+        """1.0 for a machine that holds images of low-latency classes, else 0.0."""
         penalty = self._urgent_image_penalties.get(machine.name)
         if penalty is None:
             urgent_images = self.cluster_state.low_latency_images
@@ -104,7 +120,7 @@
         return fitting
 
     def fitting_gpu_machines_by_zone(self, spec: JobSpec) -> dict[str, list[Machine]]:
-        """The same by zone."""
+        """The machines of `fitting_gpu_machines` by zone."""
         key = (machine_requirements(spec), task_size(spec))
         machines_by_zone = self._fitting_gpu_machines_by_zone.get(key)
         if machines_by_zone is None:
@@ -118,7 +134,8 @@
     def is_full(self, spec: JobSpec, access_level: int) -> bool:
         """No machine has room for a task that takes no more than one of this job, and allows the same.
 
-        `access`: what it may use of the room that is kept for others; jobs that differ in it say nothing of each other.
+        `access_level`: which reserved room the job may use (`CapacityReservations.access_level`); what is full at one
+        level may not be at another.
         """
         return any(
             size[0] <= spec.cpus and size[1] <= spec.gpus and size[2] <= spec.memory_gb
@@ -126,10 +143,11 @@
         )
 
     def record_full(self, spec: JobSpec, access_level: int) -> None:
+        """Remember that no machine has room for a task of the job."""
         self._full_sizes.setdefault((machine_requirements(spec), access_level), []).append(task_size(spec))
 
     def invalidate_after_preemption(self) -> None:
-        """Somebody was stopped: what had no room may have some, and sooner."""
+        """Tasks were preempted: what had no room may have some, and sooner."""
         self._full_sizes.clear()
         self._earliest_room_order = None
 
@@ -137,11 +155,20 @@
 
     def earliest_machines_with_room(
         self, spec: JobSpec, zone: str | None, tasks_wanted: int, is_excluded: Callable[[Machine], bool]
-    ) -> list[tuple[datetime, Machine]]:
-        """The machines with GPUs that have room for so many of the job's tasks the soonest, in order.
+    ) -> list[MachineWithRoom]:
+        """The machines with GPUs that will soonest have room for tasks of the job, one entry for each task.
+
+        Machines are searched in the order of the earliest time at which they could have room for anything, and the
+        search ends at the first that cannot have room before the last of those found.
+
+        Args:
+            spec: the job.
+            zone: None for any zone.
+            tasks_wanted: how many tasks need room.
+            is_excluded: machines for which it is true are left out.
 
-        They are looked at in the order of the time before which they have no room for anything, so most need no
-        look: one that has no room before the last of those found has nothing to add.
+        Returns:
+            `tasks_wanted` entries or fewer, by time and then by the machine's name.
         """
         earliest: list[tuple[datetime, str, Machine]] = []
         for earliest_possible, name, machine in self._machines_by_earliest_room():
@@ -160,12 +187,12 @@
                 earliest += [(free_at, name, machine) for free_at in room_times]
                 earliest.sort(key=_time_and_machine_name)
                 del earliest[tasks_wanted:]
-        return [(free_at, machine) for free_at, _, machine in earliest]
+        return [MachineWithRoom(free_at, machine) for free_at, _, machine in earliest]
 
     def _machines_by_earliest_room(self) -> list[tuple[datetime, str, Machine]]:
         """Machines with GPUs by the instant before which they have no room for a task that takes any.
 
-        What the pass places on them meanwhile takes room and gives none, so this holds until somebody is stopped.
+        What the pass places on them meanwhile takes room and gives none, so this holds until a task is preempted.
         """
         if self._earliest_room_order is None:
             self._earliest_room_order = [
@@ -175,7 +202,7 @@
         return self._earliest_room_order
 
     def _earliest_room(self, machine: Machine) -> datetime:
-        if machine.free_gpus > 1e-6:
+        if machine.free_gpus > CAPACITY_TOLERANCE:
             return self.now
         gpu_placements = (p for p in machine.placements.values() if p.run.spec.gpus > 0)
         return min(
--- a/roseweir/scheduler/job_explanation.py
+++ b/roseweir/scheduler/job_explanation.py
@@ -7,7 +7,7 @@
 from roseweir.scheduler.capacity_snapshot import allows_machine
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.model import JobRun, PlacementPhase
-from roseweir.scheduler.scheduling_pass import limit_source, tasks_within_quota
+from roseweir.scheduler.quota import limit_source, tasks_within_quota
 
 
 def explain_job(cluster_state: ClusterState, job_id: str, now: datetime) -> dict[str, Any] | None:
--- /dev/null
+++ b/roseweir/scheduler/preemption.py
@@ -0,0 +1,328 @@
+"""Preemption: which tasks are stopped for a job that finds no room, where the least work is lost."""
+
+import logging
+from datetime import datetime, timedelta
+from math import inf
+from typing import NamedTuple
+
+from roseweir.clock import NEVER
+from roseweir.scheduler.capacity_snapshot import CapacitySnapshot, FreeCapacity, MachineWithRoom, allows_machine
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
+from roseweir.scheduler.quota import QUOTA_TOLERANCE
+from roseweir.scheduler.reservations import CapacityReservations, is_reserved_for_other_job, reserved_for_job
+from roseweir.scheduler.task_placement import max_tasks_in_zone
+from roseweir.submissions.jobs import GANG
+
+log = logging.getLogger(__name__)
+
+# How long a job waits for room to come free by itself before it takes it from others.
+PREEMPTION_DELAY = timedelta(seconds=1)
+# The same for work that must start at once, where the room kept for it was not enough.
+URGENT_PREEMPTION_DELAY = timedelta(milliseconds=300)
+# How long a machine is kept for the job that others were stopped for on it.
+MACHINE_RESERVATION_DURATION = timedelta(seconds=15)
+# The interval between two searches for tasks to preempt.
+PREEMPTION_RETRY_INTERVAL = timedelta(milliseconds=500)
+# The least rate that image fetches are assumed to have, against division by zero.
+MIN_FETCH_GB_PER_S = 0.01
+
+
+class Slot(NamedTuple):
+    """Room for one task of a job that is free, or becomes free once the victims have stopped."""
+
+    lost_work_s: float
+    machine: Machine
+    victims: list[Placement]
+
+
+def may_preempt(cluster_state: ClusterState, run: JobRun, victim: JobRun) -> bool:
+    """Whether the job may preempt the victim: by higher priority, or by its team's guarantee against borrowed room.
+
+    Source: the protocol's rules for stopping other work.
+    """
+    if victim.spec.id == run.spec.id or victim.final_state:
+        return False
+    if run.priority < victim.priority and (run.is_within_quota or not victim.is_within_quota):
+        return True
+    if not run.is_within_quota or victim.is_within_quota or victim.spec.team == run.spec.team:
+        return False
+    team = cluster_state.teams.get(victim.spec.team)
+    usage = cluster_state.usage_by_team.get(victim.spec.team)
+    if team is None or usage is None:
+        return False
+    is_over_gpu_quota = victim.spec.gpus > 0 and usage.gpus - victim.spec.gpus >= team.guaranteed_gpus - QUOTA_TOLERANCE
+    # CPU-only work of a team without guaranteed CPUs runs beyond its guarantee.
+    is_over_cpu_quota = (
+        team.guaranteed_cpus > 0 or victim.spec.gpus <= 0
+    ) and usage.cpus - victim.spec.cpus >= team.guaranteed_cpus - QUOTA_TOLERANCE
+    return is_over_gpu_quota or is_over_cpu_quota
+
+
+def forget_old_failures(cluster_state: ClusterState, now: datetime) -> None:
+    """Forget searches that found nobody to preempt and are old enough to be repeated."""
+    cluster_state.failed_preemptions = {
+        key: known
+        for key, known in cluster_state.failed_preemptions.items()
+        if now - known[1] < PREEMPTION_RETRY_INTERVAL
+    }
+
+
+def reserve_or_preempt(
+    snapshot: CapacitySnapshot, run: JobRun, missing_tasks: int, reserved_from: dict[str, datetime]
+) -> None:
+    """Keep later jobs off the machines that will soonest have room, and preempt other work if allowed.
+
+    A gang needs room for all its tasks at once, in one zone if it says so: made one machine at a time,
+    the first was lost again before the last was there.
+    """
+    cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
+    zones = _eligible_zones(snapshot, run)
+    _reserve_earliest_room(snapshot, run, zones, missing_tasks, reserved_from)
+    if now - run.first_waited_at < PREEMPTION_DELAY and now >= cluster_state.overflow_until:
+        return
+    # Where one job found nobody to preempt, another like it does not search again for a moment, nor does a job for
+    # which room is being made: on a busy fleet that was half of what a pass cost.
+    tasks_together = run.pending_count if spec.job_type == GANG else 1
+    key = _preemption_key(run)
+    min_failed_tasks, last_attempt_at = cluster_state.failed_preemptions.get(key, (0, NEVER))
+    if (
+        tasks_together >= min_failed_tasks and now - last_attempt_at < PREEMPTION_RETRY_INTERVAL
+    ) or now - run.last_preemption_search_at < PREEMPTION_RETRY_INTERVAL:
+        return
+    machine_groups = (
+        [snapshot.fitting_gpu_machines(spec)]
+        if zones == [None]
+        else [snapshot.fitting_gpu_machines_by_zone(spec)[zone] for zone in zones if zone]
+    )
+    if _preempt_least_work(snapshot, run, machine_groups, tasks_together):
+        run.last_preemption_search_at = now
+    elif not run.failed_machines and not run.placements:
+        cluster_state.failed_preemptions[key] = (tasks_together, now)
+
+
+def _reserve_earliest_room(
+    snapshot: CapacitySnapshot,
+    run: JobRun,
+    zones: list[str | None],
+    missing_tasks: int,
+    reserved_from: dict[str, datetime],
+) -> None:
+    """Add to `reserved_from` the machines that will soonest have room for the missing tasks."""
+    cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
+
+    def is_reserved(machine: Machine) -> bool:
+        return machine.name in reserved_from or is_reserved_for_other_job(cluster_state, machine, spec, now)
+
+    best: list[MachineWithRoom] = []
+    for zone in zones:
+        earliest = snapshot.earliest_machines_with_room(spec, zone, missing_tasks, is_reserved)
+        if len(earliest) < missing_tasks and spec.job_type == GANG:
+            continue  # it never fits there
+        if earliest and (not best or earliest[-1].free_at < best[-1].free_at):
+            best = earliest
+    for free_at, machine in best:
+        # In order of time: of several slots on a machine, the last one decides.
+        reserved_from[machine.name] = best[-1].free_at if spec.job_type == GANG else free_at
+
+
+def _preemption_key(run: JobRun) -> tuple[object, ...]:
+    """What decides whom a job may preempt: where one job found nobody, no other of the same key does."""
+    spec = run.spec
+    return (
+        spec.team,
+        run.is_within_quota,
+        run.priority,
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.zone,
+        spec.requires_single_zone,
+        spec.allows_spot,
+        tuple(spec.machine_types or ("*",)),
+    )
+
+
+def preempt_for_urgent_job(
+    snapshot: CapacitySnapshot, run: JobRun, missing_tasks: int, reservations: CapacityReservations
+) -> None:
+    """Preempt lower work where the headroom was not enough for tasks that must start at once, least work lost first.
+
+    Room that comes free so goes to the first in the queue, which is this job or one before it, so nothing is reserved.
+    """
+    cluster_state, now = snapshot.cluster_state, snapshot.now
+    if (
+        now - run.first_waited_at < URGENT_PREEMPTION_DELAY
+        or now - run.last_preemption_search_at < PREEMPTION_RETRY_INTERVAL
+    ):
+        return
+    run.last_preemption_search_at = now
+    zone_limits = {zone: max_tasks_in_zone(run, zone) for zone in {m.zone for m in snapshot.machines}}
+    for slot in _find_slots_for_urgent_job(snapshot, run, missing_tasks, zone_limits, reservations):
+        if missing_tasks <= 0:
+            break
+        if zone_limits[slot.machine.zone] <= 0:
+            continue
+        zone_limits[slot.machine.zone] -= 1
+        missing_tasks -= 1
+        for victim in slot.victims:
+            log.info(
+                "preempting task for urgent job: task=%s machine=%s job=%s",
+                victim.task_name,
+                slot.machine.name,
+                run.spec.id,
+            )
+            cluster_state.request_graceful_stop(victim, now, is_urgent=True)
+        if slot.victims:
+            cluster_state.needs_scheduling = True
+            snapshot.invalidate_after_preemption()
+
+
+def _find_slots_for_urgent_job(
+    snapshot: CapacitySnapshot,
+    run: JobRun,
+    missing_tasks: int,
+    zone_limits: dict[str, int],
+    reservations: CapacityReservations,
+) -> list[Slot]:
+    """Slots for the job's tasks on machines that are not kept clear for GPU work, the least work lost first."""
+    cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
+    slots: list[Slot] = []
+    for machine in snapshot.machines:
+        tasks_wanted = min(missing_tasks, zone_limits[machine.zone])
+        if tasks_wanted <= 0 or machine.name in reservations.cpus_per_gpu or machine.name in run.failed_machines:
+            continue
+        if (
+            not allows_machine(spec, machine)
+            or not spec.fits_machine_type(machine.machine_type)
+            or is_reserved_for_other_job(cluster_state, machine, spec, now)
+        ):
+            continue
+        # A gang with checkpoints loses little by a stop, and was stopped for a replica of 2 CPUs (rough, 71 times).
+        slots += _find_slots(cluster_state, run, machine, tasks_wanted, now, cpu_only=True)
+    # With the image at hand first, as far as a fetch is worth.
+    slots.sort(key=lambda slot: (slot.lost_work_s, slot.machine.machine_type.gpus > 0, slot.machine.name))
+    return slots
+
+
+def _eligible_zones(snapshot: CapacitySnapshot, run: JobRun) -> list[str | None]:
+    """Zones in which all of the job's tasks may run together; None: in any, also apart."""
+    if not run.spec.requires_single_zone:
+        return [None]
+    occupied_zones = {p.machine.zone for p in run.placements.values()}
+    return [
+        zone for zone in snapshot.fitting_gpu_machines_by_zone(run.spec) if not occupied_zones or zone in occupied_zones
+    ]
+
+
+def _preempt_least_work(
+    snapshot: CapacitySnapshot, run: JobRun, machine_groups: list[list[Machine]], tasks_together: int
+) -> bool:
+    """Make room for one task at a time, for a gang's together, where the least work is lost.
+
+    Args:
+        snapshot: free capacity in this pass; told of preemptions.
+        run: the job that needs room.
+        machine_groups: each a set of machines on which the tasks may run together.
+        tasks_together: how many tasks need room at once.
+
+    Returns:
+        False if there are not enough slots that can be made free.
+    """
+    cluster_state, now = snapshot.cluster_state, snapshot.now
+    best: list[Slot] | None = None
+    min_lost_work_s = inf
+    for group in machine_groups:
+        slots: list[Slot] = []
+        for machine in group:
+            if machine.name in run.failed_machines or is_reserved_for_other_job(cluster_state, machine, run.spec, now):
+                continue
+            if reserved_for_job(cluster_state, machine, now) == run.spec.id and run.spec.job_type != GANG:
+                return True  # room is already being made
+            slots += _find_slots(cluster_state, run, machine, tasks_together, now)
+        if len(slots) < tasks_together:
+            continue
+        slots.sort(key=lambda slot: (slot.lost_work_s, slot.machine.name))
+        if run.spec.job_type != GANG and not slots[0].victims:
+            return True  # there is room, or it is already being made
+        slots = slots[:tasks_together]
+        lost_work_s = sum(slot.lost_work_s for slot in slots)
+        if best is None or lost_work_s < min_lost_work_s:
+            best, min_lost_work_s = slots, lost_work_s
+    if best is None:
+        return False
+    for slot in best:
+        slot.machine.reserved_for_job = run.spec.id
+        slot.machine.reserved_until = now + MACHINE_RESERVATION_DURATION
+    victims = [victim for slot in best for victim in slot.victims]
+    for victim in victims:
+        log.info("preempting task: task=%s machine=%s job=%s", victim.task_name, victim.machine.name, run.spec.id)
+        cluster_state.request_graceful_stop(victim, now, is_urgent=True)
+    if victims:
+        cluster_state.needs_scheduling = True
+        snapshot.invalidate_after_preemption()
+    return True
+
+
+def _find_slots(
+    cluster_state: ClusterState, run: JobRun, machine: Machine, tasks_wanted: int, now: datetime, cpu_only: bool = False
+) -> list[Slot]:
+    """Slots for the job's tasks that are or can be made free on the machine, `tasks_wanted` at most.
+
+    `cpu_only`: tasks with GPUs are not preempted.
+    """
+    spec = run.spec
+    free_capacity = FreeCapacity(machine)
+    for p in machine.placements.values():
+        if p.stop_requested_at is not None:
+            free_capacity.release(p)
+    count = min(tasks_wanted, free_capacity.task_capacity(spec))
+    slots = [Slot(0.0, machine, []) for _ in range(count)]
+    if len(slots) >= tasks_wanted:
+        return slots
+    victims = _preemptible_placements(cluster_state, run, machine, now, cpu_only)
+    # Where the image is at hand the job starts sooner by the time of a fetch, which is often the longest wait.
+    fetch_s = (
+        0.0
+        if machine.has_image(spec.image)
+        else spec.image_gb / max(machine.machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+    )
+    victims.sort(
+        key=lambda p: (p.run.spec.job_type == GANG, p.run.is_within_quota, -p.run.priority, _lost_work_s(p, now))
+    )
+    slot_victims: list[Placement] = []
+    for victim in victims:
+        slot_victims.append(victim)
+        free_capacity.release(victim)
+        if free_capacity.task_capacity(spec) > len(slots):
+            # Only as many slots as tasks that fit: each names those that must go for it.
+            slots.append(Slot(fetch_s + sum(_lost_work_s(p, now) for p in slot_victims), machine, slot_victims))
+            slot_victims = []
+            if len(slots) >= tasks_wanted:
+                break
+    return slots
+
+
+def _preemptible_placements(
+    cluster_state: ClusterState, run: JobRun, machine: Machine, now: datetime, cpu_only: bool
+) -> list[Placement]:
+    """Tasks on the machine that the job may preempt now."""
+    return [
+        p
+        for p in machine.placements.values()
+        if p.stop_requested_at is None
+        and not (cpu_only and p.run.spec.gpus > 0)
+        and (p.phase == PlacementPhase.CONFIRMED or (p.phase == PlacementPhase.SENT and p.run.spec.job_type != GANG))
+        and p.run.preemption_exempt_until <= now
+        and may_preempt(cluster_state, run, p.run)
+    ]
+
+
+def _lost_work_s(placement: Placement, now: datetime) -> float:
+    """Seconds of work that stopping the task throws away; with checkpoints, the time to save one."""
+    spec = placement.run.spec
+    if placement.running_since is None:
+        return 0.0
+    if spec.checkpoint_interval_s > 0:
+        return spec.checkpoint_duration_s
+    return (now - placement.running_since).total_seconds()
--- a/tests/test_capacity_snapshot.py
+++ b/tests/test_capacity_snapshot.py
@@ -10,8 +10,9 @@
 
 from roseweir.clock import FOREVER, seconds
 from roseweir.limits.rules import renew_fetch_limits
+from roseweir.scheduler import quota, reservations, task_placement
 from roseweir.scheduler import scheduling_pass as planning
-from roseweir.scheduler.capacity_snapshot import CapacitySnapshot, allows_machine
+from roseweir.scheduler.capacity_snapshot import CapacitySnapshot, MachineWithRoom, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.submissions.jobs import ARRAY, GANG, JobSpec
@@ -39,19 +40,19 @@
         for m in machines
         if allows_machine(spec, m)
         and ends <= reserved.get(m.name, FOREVER)
-        and not planning._is_reserved_for_other_job(cluster_state, m, spec, now)
+        and not reservations.is_reserved_for_other_job(cluster_state, m, spec, now)
         and m.name not in run.failed_machines
         and reserves.task_capacity(m, spec) > 0
         and not any(limit.matches(spec, m) for limit in unwanted)
     ]
-    return sorted(fit, key=lambda m: planning._placement_score(look, spec, m))
+    return sorted(fit, key=lambda m: task_placement._placement_score(look, spec, m))
 
 
 @contextmanager
 def plainly() -> Iterator[None]:
     """Nothing of what was found out for one job serves another."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(planning, "_candidate_machines", scan)
+        patch.setattr(planning, "candidate_machines", scan)
         patch.setattr(CapacitySnapshot, "is_full", lambda self, spec, access: False)
         patch.setattr(CapacitySnapshot, "earliest_machines_with_room", soonest)
         patch.setattr(CapacitySnapshot, "_expected_ends", fresh_timeline)
@@ -69,7 +70,7 @@
         )
         if fits and zone in (None, machine.zone) and not passed_over(machine):
             times += [(when, machine.name, machine) for when in look._room_times(machine, spec, wanted)]
-    return [(when, machine) for when, _, machine in sorted(times, key=lambda t: t[:2])[:wanted]]
+    return [MachineWithRoom(when, machine) for when, _, machine in sorted(times, key=lambda t: t[:2])[:wanted]]
 
 
 def fresh_timeline(look: CapacitySnapshot, machine: Machine) -> list[Any]:
@@ -156,7 +157,7 @@
     covered = {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
     if not cluster_state.needs_quota_update:
         cluster_state.needs_quota_update = True
-        planning.mark_within_quota(cluster_state)
+        quota.mark_within_quota(cluster_state)
         assert covered == {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
 
 
@@ -180,13 +181,13 @@
     for number in range(100):
         cluster_state.add_job(job(2 + number, task_count=3, cpus=7.0 + number / 200, accepted_ms=2 + number), 1)
     searches = 0
-    search = planning._candidate_machines
+    search = task_placement.candidate_machines
 
     def counted(*args: Any) -> list[Machine]:
         nonlocal searches
         searches += 1
         return search(*args)
 
-    monkeypatch.setattr(planning, "_candidate_machines", counted)
+    monkeypatch.setattr(planning, "candidate_machines", counted)
     assert planning.run_scheduling_pass(cluster_state, NOW).placed_count <= 3
     assert searches <= 4
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -30,7 +30,7 @@
 from roseweir.delivery_deadlines.due_time import compute_due_ms, local_instant, night_ending_date
 from roseweir.delivery_deadlines.settings import DeadlinePolicy, DeadlineSettings
 from roseweir.operator_config import OperatorConfig, parse_operator_config
-from roseweir.scheduler.scheduling_pass import build_queue
+from roseweir.scheduler.queue_order import build_queue
 from roseweir.sexp import SettingsError
 from roseweir.workflows.model import Workflow, WorkflowStep
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -28,7 +28,8 @@
 from roseweir.scheduler.cluster_state import WAITING_FOR_DEPENDENCIES, ClusterState
 from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import JobRun
-from roseweir.scheduler.scheduling_pass import build_queue, may_preempt
+from roseweir.scheduler.preemption import may_preempt
+from roseweir.scheduler.queue_order import build_queue
 from roseweir.scheduler.starvation import waiting_time
 from roseweir.submissions.dependency_storage import split_dependencies
 from roseweir.submissions.jobs import StoredDependencies, completed_job
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -14,11 +14,11 @@
 from roseweir.kv_store.transaction_limits import TransactionLimits
 from roseweir.notifier import Notifier
 from roseweir.scheduler import capacity_snapshot as look_module
-from roseweir.scheduler import scheduling_pass as plan_module
+from roseweir.scheduler import preemption, task_placement
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.log_writer import LogBatch, LogWriter
 from roseweir.scheduler.model import Machine, PlacementPhase
-from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
+from roseweir.scheduler.scheduling_pass import SchedulingPassResult, UnplacedTasks, run_scheduling_pass
 from roseweir.scheduler.write_ahead_log import INITIAL_DELTA_COUNT, SegmentTable
 from roseweir.settings import KeyValueStoreSettings
 from roseweir.submissions.jobs import GANG
@@ -187,7 +187,9 @@
 def test_rental_looks_at_the_fleet_once_however_many_jobs_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each waiting job looked again which machines stand, and what boots took."""
     cluster_state, _ = fleet(50)
-    left = SchedulingPassResult(unplaced=[(cluster_state.add_job(job(number), 1), 1) for number in range(100)])
+    left = SchedulingPassResult(
+        unplaced=[UnplacedTasks(cluster_state.add_job(job(number), 1), 1) for number in range(100)]
+    )
     looks = 0
     standing = cloud_plan.available_machines
 
@@ -220,7 +222,8 @@
         seen += 1
         return suits(*args)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(plan_module, "allows_machine", counted)
+    for caller in (task_placement, preemption):
+        monkeypatch.setattr(caller, "allows_machine", counted)
     assert run_scheduling_pass(cluster_state, now).placed_count == 40
     assert seen < 40 * 20
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -82,18 +82,20 @@
 
 
 def no_quota(patch: pytest.MonkeyPatch) -> None:
-    from roseweir.scheduler import scheduling_pass
+    from roseweir.scheduler import reservations, scheduling_pass
 
-    patch.setattr(scheduling_pass, "tasks_within_quota", lambda board, spec, claim: 1 << 30)
+    for caller in (scheduling_pass, reservations):
+        patch.setattr(caller, "tasks_within_quota", lambda board, spec, claim: 1 << 30)
 
 
 def no_zones(patch: pytest.MonkeyPatch) -> None:
-    from roseweir.scheduler import scheduling_pass
+    from roseweir.scheduler import preemption, task_placement
 
     def anywhere(run: JobRun, zone: str) -> int:
         return 1 << 30
 
-    patch.setattr(scheduling_pass, "_max_tasks_in_zone", anywhere)
+    for caller in (task_placement, preemption):
+        patch.setattr(caller, "max_tasks_in_zone", anywhere)
 
 
 def polls_from_memory(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -235,7 +235,8 @@
     def anywhere(spec: JobSpec, machine: Machine) -> bool:
         return spec.machine_types is None or machine.machine_type.name in spec.machine_types
 
-    patch.setattr("roseweir.scheduler.scheduling_pass.allows_machine", anywhere)
+    patch.setattr("roseweir.scheduler.task_placement.allows_machine", anywhere)
+    patch.setattr("roseweir.scheduler.preemption.allows_machine", anywhere)
     patch.setattr("roseweir.scheduler.capacity_snapshot.allows_machine", anywhere)
 
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -9,8 +9,7 @@
 
 from roseweir.clock import seconds
 from roseweir.cloud.scale_out import plan_scale_out
-from roseweir.scheduler import scheduling_pass as plan_module
-from roseweir.scheduler import starvation
+from roseweir.scheduler import queue_order, scheduling_pass, starvation
 from roseweir.scheduler.model import JobRun, new_job_run
 from roseweir.scheduler.scheduling_pass import run_scheduling_pass
 from roseweir.scheduler.starvation import (
@@ -86,22 +85,22 @@
 def test_a_large_job_begins_though_small_ones_of_higher_standing_keep_coming(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(plan_module, "mark_within_quota", lambda board: None)
+    monkeypatch.setattr(scheduling_pass, "mark_within_quota", lambda board: None)
 
     def covered(run: JobRun) -> bool:
         return run.spec.team == "t0"
 
-    order = plan_module._queue_rank
+    order = queue_order._queue_rank
 
     def patched(run: JobRun) -> tuple[object, ...]:
         run.is_within_quota = covered(run)
         return order(run)
 
-    monkeypatch.setattr(plan_module, "_queue_rank", patched)
+    monkeypatch.setattr(queue_order, "_queue_rank", patched)
     assert stream(kind, 6) < MAX_START_DELAY_S
     if kind == "gang":
         # Without it the pieces never add up.
-        monkeypatch.setattr(plan_module, "mark_starving_jobs", lambda *more: None)
+        monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
         assert stream(kind, 6) >= 360
 
 
@@ -259,7 +258,7 @@
     check(cluster.run(length_s=75, job_count=3))
     assert cluster.begun and cluster.begun[0] < 8 + 45
     # Without it the small ones pass it for ever.
-    monkeypatch.setattr(plan_module, "mark_starving_jobs", lambda *more: None)
+    monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
     plain = Starved(7900, is_calm=True)
     plain.schedule_action(plain.story)
     check(plain.run(length_s=75, job_count=3))
