--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -1,39 +1,53 @@
-"""Room kept free for work that must start at once. Pure.
+"""Headroom: capacity kept free for classes whose jobs must start at once. No I/O.
 
-Some classes are to start within less time than any machine takes to boot, and before all else. On a fleet that lower
-work fills, each of their tasks waited for something to end: 0.9 s in the middle and up to a minute where their tasks
-have to be spread over zones of which one had no room but what lower work held (third place, steady, log). So lower
-work leaves in each zone the room of JOBS such jobs, on the machines that hold most of their images. What is taken of it
-is made up for by the next ends of lower work, before any of that starts again.
+Some classes have a start-time objective shorter than any machine takes to boot, and come before all else. On a fleet
+that lower work fills, each of their tasks waited for something to end: 0.9 s in the median and up to a minute where
+their tasks have to be spread over zones of which one had no room but what lower work held (simulated cluster, log). So
+lower work leaves in each zone the room of HEADROOM_JOBS_PER_ZONE such jobs, on the machines that hold most of their
+images. What is taken of it is restored as lower work ends, before any of that starts again.
 
-Bound: at most PART of a zone's CPUs stand free so; nothing where no class has such an aim. The order of the queue is
-as before: this only makes that what comes first need not wait for what is there already.
+Bound: at most MAX_HEADROOM_CPU_FRACTION of a zone's CPUs stand free so; nothing where no class has such an objective.
+The order of the queue is unchanged: a job that comes first only need not wait for tasks that run already.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 from roseweir.clock import NEVER
 from roseweir.scheduler.model import JobRun, Machine, max_fitting_tasks
 from roseweir.settings import ServiceLevelObjective
 from roseweir.submissions.jobs import JobSpec, MachineType
 
+# Jobs of each urgent class that each zone keeps room for.
 HEADROOM_JOBS_PER_ZONE = 1
+# The part of a zone's CPUs that may stand free.
 MAX_HEADROOM_CPU_FRACTION = 0.06
-# After so long without room it may use machines that are kept clear for GPU work of lower rank: replicas waited a
-# minute in a zone that was full but for those (third place, rough).
+# After this wait an urgent job may use machines that are kept clear for GPU work of lower priority: replicas waited a
+# minute in a zone that was full but for those.
 GPU_RESERVE_WAIVED_AFTER = timedelta(seconds=5)
 
 
+class ReservedRoom(NamedTuple):
+    """What is kept free on a machine."""
+
+    cpus: float
+    memory_gb: float
+
+
+NO_RESERVED_ROOM = ReservedRoom(0.0, 0.0)
+
+
 @dataclass(slots=True)
 class UrgentClass:
     """A class that must start at once, as its jobs have been so far."""
 
-    latest_spec: JobSpec  # the latest
+    latest_spec: JobSpec
     max_tasks_per_zone: int = 0  # tasks that its largest job may have in one zone
 
     def observe_job(self, spec: JobSpec) -> None:
+        """Take account of a job of the class."""
         self.latest_spec = spec
         self.max_tasks_per_zone = max(
             self.max_tasks_per_zone, (spec.task_count + 1) // 2 if spec.spread_across_zones else spec.task_count
@@ -42,14 +56,15 @@
 
 @dataclass(slots=True)
 class Headroom:
-    """Which classes must start at once, and what was kept for them in the last pass: (CPUs, GB) by machine."""
+    """Which classes must start at once, and what was kept for them in the last pass, by the machine's name."""
 
     start_time_objectives: dict[str, timedelta]
     urgent_classes: dict[str, UrgentClass] = field(default_factory=dict)
-    reserved_by_machine: dict[str, tuple[float, float]] = field(default_factory=dict)
+    reserved_by_machine: dict[str, ReservedRoom] = field(default_factory=dict)
 
     @classmethod
     def from_objectives(cls, objectives: Iterable[ServiceLevelObjective]) -> "Headroom":
+        """Headroom for the classes whose objective is a time until the start."""
         return cls(
             {
                 o.job_class: o.threshold
@@ -59,6 +74,7 @@
         )
 
     def observe_job(self, spec: JobSpec, catalog: Iterable[MachineType]) -> None:
+        """Take account of a job: its class is urgent if no machine boots within its objective and it needs no GPUs."""
         objective = self.start_time_objectives.get(spec.job_class)
         if (
             objective is None
@@ -73,22 +89,31 @@
             self.urgent_classes[spec.job_class].observe_job(spec)
 
     def is_urgent(self, spec: JobSpec) -> bool:
+        """Whether the job's class must start at once."""
         return spec.job_class in self.urgent_classes
 
     def must_leave_headroom(self, run: JobRun) -> bool:
-        """Whether the job's tasks leave the headroom alone: it comes after some class that must start at once."""
+        """Whether the job's tasks must leave the headroom free: it comes after some class that must start at once."""
         if run.is_within_quota or run.spec.gpus > 0 or run.spec.job_class in self.urgent_classes:
             return False
         return any(run.priority > each.latest_spec.priority for each in self.urgent_classes.values())
 
     def may_waive_gpu_reserve(self, run: JobRun, gpu_priority: int, now: datetime) -> bool:
-        """Whether the job need not leave GPU machines clear. `gpu_priority`: the highest rank of GPU work seen."""
+        """Whether the job need not leave GPU machines clear. `gpu_priority`: the highest of GPU work seen."""
         if run.spec.job_class not in self.urgent_classes or run.priority >= gpu_priority:
             return False
         return run.first_waited_at != NEVER and now - run.first_waited_at >= GPU_RESERVE_WAIVED_AFTER
 
-    def reserve(self, machines: Iterable[Machine], urgent_images: set[str]) -> dict[str, tuple[float, float]]:
-        """See anew where the room is kept, of what is free now. `images`: of classes that must start soon."""
+    def reserve(self, machines: Iterable[Machine], urgent_images: set[str]) -> dict[str, ReservedRoom]:
+        """Choose anew where the headroom is kept, of what is free now.
+
+        Args:
+            machines: those that tasks may be started on.
+            urgent_images: images of low-latency classes; machines that hold most of them come first.
+
+        Returns:
+            What is kept free, by the machine's name; also in `reserved_by_machine`.
+        """
         self.reserved_by_machine = {}
         if not self.urgent_classes:
             return self.reserved_by_machine
@@ -122,9 +147,11 @@
         for _, _, machine in ranked:
             if missing_tasks <= 0:
                 return
-            cpus, memory_gb = self.reserved_by_machine.get(machine.name, (0.0, 0.0))
+            cpus, memory_gb = self.reserved_by_machine.get(machine.name, NO_RESERVED_ROOM)
             slots = max_fitting_tasks(spec, machine.free_cpus - cpus, 0.0, machine.free_memory - memory_gb)
             slots = min(slots, missing_tasks)
             if slots > 0:
-                self.reserved_by_machine[machine.name] = (cpus + spec.cpus * slots, memory_gb + spec.memory_gb * slots)
+                self.reserved_by_machine[machine.name] = ReservedRoom(
+                    cpus + spec.cpus * slots, memory_gb + spec.memory_gb * slots
+                )
                 missing_tasks -= slots
--- a/roseweir/scheduler/job_explanation.py
+++ b/roseweir/scheduler/job_explanation.py
@@ -1,16 +1,18 @@
-"""For operators: what a job waits for, as its leader sees it. Pure; nothing is decided here."""
+"""For operators: why a job waits, as its leader sees it. No I/O; nothing is decided here."""
 
 from datetime import datetime
 from typing import Any
 
 from roseweir.clock import NEVER
-from roseweir.scheduler.capacity_snapshot import allows_machine
+from roseweir.limits import StartupLimit
+from roseweir.scheduler.capacity_snapshot import CAPACITY_TOLERANCE, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.model import JobRun, PlacementPhase
 from roseweir.scheduler.quota import limit_source, tasks_within_quota
 
 
 def explain_job(cluster_state: ClusterState, job_id: str, now: datetime) -> dict[str, Any] | None:
+    """The job's progress and what it waits for, as the answer's JSON object; None for an unknown job."""
     run = cluster_state.jobs.get(job_id)
     if run is None:
         return None
@@ -29,6 +31,7 @@
 
 
 def _pending_reason(cluster_state: ClusterState, run: JobRun, now: datetime) -> str | None:
+    """What the job waits for, in words; None if none of its tasks is pending."""
     spec = run.spec
     if run.hold_reason:
         return run.hold_reason
@@ -49,6 +52,12 @@
         return "a startup limit on its starts"
     if run.is_crash_looping:
         return f"room that nobody else wants: it failed on {len(run.failed_machines)} machines and succeeded nowhere"
+    return _missing_room(cluster_state, run, avoided_limits)
+
+
+def _missing_room(cluster_state: ClusterState, run: JobRun, avoided_limits: list[StartupLimit]) -> str:
+    """What room a job waits for that may start as far as quotas and limits go."""
+    spec = run.spec
     fitting_machines = [
         m for m in cluster_state.machines.values() if allows_machine(spec, m) and spec.fits_machine_type(m.machine_type)
     ]
@@ -56,10 +65,14 @@
         return f"a machine that fits; {sum(m.is_booting for m in fitting_machines)} are booting"
     if avoided_limits:
         return "room outside of " + ", ".join(limit.tag for limit in avoided_limits)
-    machines_with_free_gpus = [m for m in fitting_machines if m.has_acknowledged_term and m.free_gpus > 1e-6]
+    machines_with_free_gpus = [
+        m for m in fitting_machines if m.has_acknowledged_term and m.free_gpus > CAPACITY_TOLERANCE
+    ]
     gpus_needed = spec.gpus * (run.pending_count if spec.is_admitted_as_unit else 1)
-    if spec.gpus > 0 and sum(m.free_gpus for m in machines_with_free_gpus) >= gpus_needed - 1e-6:
-        machines_with_enough_gpus = [m for m in machines_with_free_gpus if m.free_gpus >= spec.gpus - 1e-6]
+    if spec.gpus > 0 and sum(m.free_gpus for m in machines_with_free_gpus) >= gpus_needed - CAPACITY_TOLERANCE:
+        machines_with_enough_gpus = [
+            m for m in machines_with_free_gpus if m.free_gpus >= spec.gpus - CAPACITY_TOLERANCE
+        ]
         if not machines_with_enough_gpus:
             free_gpus = sum(m.free_gpus for m in machines_with_free_gpus)
             return f"room: in pieces, {free_gpus:g} GPUs free on {len(machines_with_free_gpus)} machines"
--- a/roseweir/scheduler/placement_policy.py
+++ b/roseweir/scheduler/placement_policy.py
@@ -1,4 +1,4 @@
-"""What the scheduler asks of a scorer of GPU placements (`rebalancing/fragmentation_scoring.py`)."""
+"""The interface of a scorer of GPU placements, such as `rebalancing/fragmentation_scoring.py`."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -9,11 +9,13 @@
 
 
 class PlacementPolicy(Protocol):
+    """Scores machines for tasks with GPUs; lower is better. Called by the scheduling pass."""
+
     def begin_pass(self, runs: Iterable[JobRun], machines: list[Machine], now: datetime) -> None:
-        """A pass begins, with these machines to start tasks on."""
+        """Prepare for a pass over these jobs, with these machines to start tasks on."""
 
     def fragmentation_cost(self, machine: Machine, spec: JobSpec) -> float:
-        """How much a task of the job would break on the machine that others need whole."""
+        """How much capacity that other jobs need whole a task of the job would break up on the machine."""
 
     def lifetime_mismatch(self, machine: Machine, spec: JobSpec) -> float:
-        """Whether it would sit among tasks that last longer or shorter."""
+        """How different the task's expected duration is from those of the tasks on the machine."""
--- a/roseweir/scheduler/queue_order.py
+++ b/roseweir/scheduler/queue_order.py
@@ -7,17 +7,16 @@
 
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun
-from roseweir.scheduler.starvation import CRITICALLY_STARVING, NOT_STARVING, mark_starving_jobs
+from roseweir.scheduler.starvation import CRITICALLY_STARVING, NOT_STARVING, PoolCapacity, mark_starving_jobs
 
 
 def build_queue(cluster_state: ClusterState, now: datetime) -> list[JobRun]:
     """Jobs with pending tasks in the order in which a pass considers them; sets their starvation levels."""
     waiting_runs = [run for run in cluster_state.jobs.values() if run.pending_count > 0]
     machines = [m for m in cluster_state.machines.values() if m.has_acknowledged_term and not m.is_marked_for_release]
-    pool_capacity = {
-        True: sum(m.machine_type.gpus for m in machines),
-        False: sum(m.machine_type.cpus for m in machines),
-    }
+    pool_capacity = PoolCapacity(
+        cpus=sum(m.machine_type.cpus for m in machines), gpus=sum(m.machine_type.gpus for m in machines)
+    )
     mark_starving_jobs(waiting_runs, pool_capacity, cluster_state.job_sizes, cluster_state.wall_clock_epoch, now)
     waiting_runs.sort(key=_queue_rank)
     return _order_by_deadline_slack(cluster_state, waiting_runs) if cluster_state.slack_ms_by_job else waiting_runs
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -5,6 +5,7 @@
 
 from roseweir.scheduler.capacity_snapshot import CAPACITY_TOLERANCE
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
+from roseweir.scheduler.headroom import ReservedRoom
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.quota import tasks_within_quota
 from roseweir.submissions.jobs import JobSpec
@@ -15,7 +16,7 @@
     """What a job has to leave free on machines: CPUs for each GPU, and the headroom. Set anew for each job."""
 
     cpus_per_gpu: dict[str, float]
-    headroom_by_machine: dict[str, tuple[float, float]] | None = None  # None: not reserved yet in this pass
+    headroom_by_machine: dict[str, ReservedRoom] | None = None  # None: not reserved yet in this pass
     must_leave_headroom: bool = False  # the job at hand leaves the headroom alone
     waives_gpu_reserve: bool = False  # an urgent job that has waited, of higher priority than all GPU work
 
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, field
 from datetime import datetime
 from math import inf
-from typing import NamedTuple
 
 from roseweir.clock import NEVER
 from roseweir.limits import StartupLimit
@@ -25,12 +24,9 @@
 from roseweir.scheduler.task_placement import candidate_machines, place_tasks
 from roseweir.submissions.jobs import GANG, JobSpec
 
-
-class UnplacedTasks(NamedTuple):
-    """Tasks of a job that are within their team's limit and found no room."""
-
-    run: JobRun
-    task_count: int
+# A job, and how many of its tasks are within their team's limit and found no room. A bare tuple, since one is made for
+# each waiting job of each pass.
+UnplacedTasks = tuple[JobRun, int]
 
 
 @dataclass(slots=True)
@@ -41,26 +37,9 @@
     unplaced: list[UnplacedTasks] = field(default_factory=list)
 
 
-class _StartableTasks(NamedTuple):
-    """How many of a job's tasks may start in this pass, room aside."""
-
-    pending: int
-    within_quota: int
-    startable: int  # within the startup limits as well
-    avoided_limits: list[StartupLimit]  # machines that these match are not used
-    claims_quota: bool  # a gang that has not begun: its part of the team's limit is set aside for it
-
-
-class _DemandShape(NamedTuple):
-    """What decides whether a task finds room: where one job finds no machine, no other of the same shape does."""
-
-    cpus: float
-    gpus: float
-    memory_gb: float
-    zone: str | None
-    allows_spot: bool
-    machine_types: tuple[str, ...]
-    access_level: int
+# What decides whether a task finds room: CPUs, GPUs, GB, zone, spot, machine types and access level. Where one job
+# finds no machine, no other of the same shape does. A bare tuple, since one is made for each job of each pass.
+_DemandShape = tuple[float, float, float, str | None, bool, tuple[str, ...], int]
 
 
 @dataclass(slots=True)
@@ -84,57 +63,55 @@
     def schedule_job(self, run: JobRun) -> None:
         """Start what may start of the job, and reserve or preempt for the rest."""
         cluster_state, now, spec = self.cluster_state, self.now, run.spec
-        tasks = self._startable_tasks(run)
-        if tasks is None:
+        is_gang = spec.job_type == GANG
+        pending_tasks = run.pending_count
+        if run.first_waited_at == NEVER:
+            run.first_waited_at = now
+        claims_quota = is_gang and not run.placements and not run.is_crash_looping
+        tasks_in_quota = self._claim_quota(spec, pending_tasks, claims_quota)
+        if is_gang and tasks_in_quota < pending_tasks:
+            return
+        startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
+            spec, limit_source(spec), tasks_in_quota, now
+        )
+        if startable_tasks <= 0 or (is_gang and startable_tasks < pending_tasks and not run.placements):
             return
         self._prepare_reservations(run)
         demand_shape = self._demand_shape(spec)
         if demand_shape in self.full_shapes and not run.failed_machines:
-            self.result.unplaced.append(UnplacedTasks(run, tasks.within_quota))
+            self.result.unplaced.append((run, tasks_in_quota))
             return
-        candidates = self._candidates(run, tasks.avoided_limits)
-        if spec.job_type == GANG:
-            placed_count = place_gang(cluster_state, run, tasks.pending, candidates, self.reservations, now)
+        candidates = self._candidates(run, avoided_limits)
+        if is_gang:
+            placed_count = place_gang(cluster_state, run, pending_tasks, candidates, self.reservations, now)
         else:
-            placed_count = place_tasks(cluster_state, run, tasks.startable, candidates, self.reservations, now)
+            placed_count = place_tasks(cluster_state, run, startable_tasks, candidates, self.reservations, now)
         self.result.placed_count += placed_count
         if placed_count:
-            self._record_placed(run, placed_count, tasks.claims_quota)
+            self._record_placed(run, placed_count, claims_quota)
         # For a crash-looping job no room is made or kept, and no machine is rented.
-        if placed_count < tasks.within_quota and not run.is_crash_looping:
-            self.result.unplaced.append(UnplacedTasks(run, tasks.within_quota - placed_count))
-            if not candidates and not tasks.avoided_limits:
+        if placed_count < tasks_in_quota and not run.is_crash_looping:
+            self.result.unplaced.append((run, tasks_in_quota - placed_count))
+            if not candidates and not avoided_limits:
                 self.full_shapes.add(demand_shape)
-            if placed_count < tasks.startable:
-                self._make_room(run, tasks.startable - placed_count)
+            if placed_count < startable_tasks:
+                self._make_room(run, startable_tasks - placed_count)
 
     def finish(self) -> None:
         """Reserve the headroom if no job had to leave it: workers' heartbeats are answered by it after the pass."""
         if self.reservations.headroom_by_machine is None:
             self.cluster_state.headroom.reserve(self.schedulable, self.cluster_state.low_latency_images)
 
-    def _startable_tasks(self, run: JobRun) -> _StartableTasks | None:
-        """What the team's limit and the startup limits allow; None if nothing of the job may start now."""
-        cluster_state, now, spec = self.cluster_state, self.now, run.spec
-        pending_tasks = run.pending_count
-        if run.first_waited_at == NEVER:
-            run.first_waited_at = now
+    def _claim_quota(self, spec: JobSpec, pending_tasks: int, claims_quota: bool) -> int:
+        """How many of the pending tasks the team's limit allows; sets a gang's part of the limit aside for it."""
         gang_claim = self.gang_claims.setdefault(spec.team, TeamUsage())
-        tasks_in_quota = min(pending_tasks, tasks_within_quota(cluster_state, spec, gang_claim))
-        claims_quota = spec.job_type == GANG and not run.placements and not run.is_crash_looping
+        tasks_in_quota = min(pending_tasks, tasks_within_quota(self.cluster_state, spec, gang_claim))
         if claims_quota:
             # A gang takes its part of the team's limit whole. Later jobs of the team leave it that part:
             # arrays took what came free one task at a time, and a gang within the guarantee never began.
             gang_claim.cpus += spec.cpus * pending_tasks
             gang_claim.gpus += spec.gpus * pending_tasks
-        if spec.job_type == GANG and tasks_in_quota < pending_tasks:
-            return None
-        startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
-            spec, limit_source(spec), tasks_in_quota, now
-        )
-        if startable_tasks <= 0 or (spec.job_type == GANG and startable_tasks < pending_tasks and not run.placements):
-            return None
-        return _StartableTasks(pending_tasks, tasks_in_quota, startable_tasks, avoided_limits, claims_quota)
+        return tasks_in_quota
 
     def _prepare_reservations(self, run: JobRun) -> None:
         """Set what the job has to leave free."""
@@ -151,7 +128,7 @@
         )
 
     def _demand_shape(self, spec: JobSpec) -> _DemandShape:
-        return _DemandShape(
+        return (
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -18,7 +18,7 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.log_writer import LogBatch, LogWriter
 from roseweir.scheduler.model import Machine, PlacementPhase
-from roseweir.scheduler.scheduling_pass import SchedulingPassResult, UnplacedTasks, run_scheduling_pass
+from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
 from roseweir.scheduler.write_ahead_log import INITIAL_DELTA_COUNT, SegmentTable
 from roseweir.settings import KeyValueStoreSettings
 from roseweir.submissions.jobs import GANG
@@ -187,9 +187,7 @@
 def test_rental_looks_at_the_fleet_once_however_many_jobs_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each waiting job looked again which machines stand, and what boots took."""
     cluster_state, _ = fleet(50)
-    left = SchedulingPassResult(
-        unplaced=[UnplacedTasks(cluster_state.add_job(job(number), 1), 1) for number in range(100)]
-    )
+    left = SchedulingPassResult(unplaced=[(cluster_state.add_job(job(number), 1), 1) for number in range(100)])
     looks = 0
     standing = cloud_plan.available_machines
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -19,6 +19,7 @@
     STARVATION_THRESHOLD,
     STARVING,
     JobSizeHistogram,
+    PoolCapacity,
     mark_starving_jobs,
 )
 from roseweir.service_levels.accounting import ServiceLevelAccount
@@ -112,7 +113,7 @@
     sizes = JobSizeHistogram()
     for run in runs:
         sizes.record(run.spec)
-    mark_starving_jobs(runs, {True: pool, False: 0.0}, sizes, None, NOW)
+    mark_starving_jobs(runs, PoolCapacity(cpus=0.0, gpus=pool), sizes, None, NOW)
     old = [run for run in runs if run.starvation_level > NOT_STARVING]
     assert old == runs[: int(pool * MAX_STARVING_POOL_FRACTION / 8)] and [run.starvation_level for run in old] == [
         CRITICALLY_STARVING,
@@ -120,15 +121,15 @@
     ]
     runs[0].has_started = True
     runs[0].first_waited_at = NOW
-    mark_starving_jobs(runs, {True: 1.0, False: 0.0}, sizes, None, NOW)
+    mark_starving_jobs(runs, PoolCapacity(cpus=0.0, gpus=1.0), sizes, None, NOW)
     assert [run.starvation_level for run in runs[:3]] == [NOT_STARVING, CRITICALLY_STARVING, NOT_STARVING], (
         "one at least"
     )
     # A leader that has just begun tells by the time of day.
     fresh = new_job_run(job(20, accepted_ms=1000), 1)
-    mark_starving_jobs([fresh], {True: 1.0, False: 1.0}, sizes, NOW - STARVATION_THRESHOLD, NOW)
+    mark_starving_jobs([fresh], PoolCapacity(cpus=1.0, gpus=1.0), sizes, NOW - STARVATION_THRESHOLD, NOW)
     assert fresh.starvation_level == NOT_STARVING, "one of the small ones"
-    mark_starving_jobs([fresh], {True: 1.0, False: 1.0}, sizes, NOW - STARVATION_THRESHOLD - seconds(2), NOW)
+    mark_starving_jobs([fresh], PoolCapacity(cpus=1.0, gpus=1.0), sizes, NOW - STARVATION_THRESHOLD - seconds(2), NOW)
     assert fresh.starvation_level == STARVING and starvation.waiting_time(
         fresh, NOW - STARVATION_THRESHOLD, NOW
     ) == STARVATION_THRESHOLD - seconds(1)
