--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -15,7 +15,7 @@
 from roseweir.kv_store.transaction_limits import TransactionLimits
 from roseweir.notifier import Notifier
 from roseweir.scheduler import capacity_snapshot as look_module
-from roseweir.scheduler import scheduling_pass as plan_module
+from roseweir.scheduler import preemption, task_placement
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.log_writer import LogBatch, LogWriter
 from roseweir.scheduler.model import Machine, PlacementPhase
@@ -221,7 +221,8 @@
         seen += 1
         return suits(*args)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(plan_module, "allows_machine", counted)
+    for caller in (task_placement, preemption):
+        monkeypatch.setattr(caller, "allows_machine", counted)
     assert run_scheduling_pass(cluster_state, now).placed_count == 40
     assert seen < 40 * 20
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -9,8 +9,7 @@
 
 from roseweir.clock import seconds
 from roseweir.cloud.scale_out import plan_scale_out
-from roseweir.scheduler import scheduling_pass as plan_module
-from roseweir.scheduler import starvation
+from roseweir.scheduler import queue_order, scheduling_pass, starvation
 from roseweir.scheduler.model import JobRun, new_job_run
 from roseweir.scheduler.scheduling_pass import run_scheduling_pass
 from roseweir.scheduler.starvation import (
@@ -20,6 +19,7 @@
     STARVATION_THRESHOLD,
     STARVING,
     JobSizeHistogram,
+    PoolCapacity,
     mark_starving_jobs,
 )
 from roseweir.service_levels.accounting import ServiceLevelAccount
@@ -86,22 +86,22 @@
 def test_a_large_job_begins_though_small_ones_of_higher_standing_keep_coming(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(plan_module, "mark_within_quota", lambda board: None)
+    monkeypatch.setattr(scheduling_pass, "mark_within_quota", lambda board: None)
 
     def covered(run: JobRun) -> bool:
         return run.spec.team == "t0"
 
-    order = plan_module._queue_rank
+    order = queue_order._queue_rank
 
     def patched(run: JobRun) -> tuple[object, ...]:
         run.is_within_quota = covered(run)
         return order(run)
 
-    monkeypatch.setattr(plan_module, "_queue_rank", patched)
+    monkeypatch.setattr(queue_order, "_queue_rank", patched)
     assert stream(kind, 6) < MAX_START_DELAY_S
     if kind == "gang":
         # Without it the pieces never add up.
-        monkeypatch.setattr(plan_module, "mark_starving_jobs", lambda *more: None)
+        monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
         assert stream(kind, 6) >= 360
 
 
@@ -113,7 +113,7 @@
     sizes = JobSizeHistogram()
     for run in runs:
         sizes.record(run.spec)
-    mark_starving_jobs(runs, {True: pool, False: 0.0}, sizes, None, NOW)
+    mark_starving_jobs(runs, PoolCapacity(cpus=0.0, gpus=pool), sizes, None, NOW)
     old = [run for run in runs if run.starvation_level > NOT_STARVING]
     assert old == runs[: int(pool * MAX_STARVING_POOL_FRACTION / 8)] and [run.starvation_level for run in old] == [
         CRITICALLY_STARVING,
@@ -121,15 +121,15 @@
     ]
     runs[0].has_started = True
     runs[0].first_waited_at = NOW
-    mark_starving_jobs(runs, {True: 1.0, False: 0.0}, sizes, None, NOW)
+    mark_starving_jobs(runs, PoolCapacity(cpus=0.0, gpus=1.0), sizes, None, NOW)
     assert [run.starvation_level for run in runs[:3]] == [NOT_STARVING, CRITICALLY_STARVING, NOT_STARVING], (
         "one at least"
     )
     # A leader that has just begun tells by the time of day.
     fresh = new_job_run(job(20, accepted_ms=1000), 1)
-    mark_starving_jobs([fresh], {True: 1.0, False: 1.0}, sizes, NOW - STARVATION_THRESHOLD, NOW)
+    mark_starving_jobs([fresh], PoolCapacity(cpus=1.0, gpus=1.0), sizes, NOW - STARVATION_THRESHOLD, NOW)
     assert fresh.starvation_level == NOT_STARVING, "one of the small ones"
-    mark_starving_jobs([fresh], {True: 1.0, False: 1.0}, sizes, NOW - STARVATION_THRESHOLD - seconds(2), NOW)
+    mark_starving_jobs([fresh], PoolCapacity(cpus=1.0, gpus=1.0), sizes, NOW - STARVATION_THRESHOLD - seconds(2), NOW)
     assert fresh.starvation_level == STARVING and starvation.waiting_time(
         fresh, NOW - STARVATION_THRESHOLD, NOW
     ) == STARVATION_THRESHOLD - seconds(1)
@@ -259,7 +259,7 @@
     check(cluster.run(length_s=75, job_count=3))
     assert cluster.begun and cluster.begun[0] < 8 + 45
     # Without it the small ones pass it for ever.
-    monkeypatch.setattr(plan_module, "mark_starving_jobs", lambda *more: None)
+    monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
     plain = Starved(7900, is_calm=True)
     plain.schedule_action(plain.story)
     check(plain.run(length_s=75, job_count=3))
