--- a/roseweir/scheduler/log_writer.py
+++ b/roseweir/scheduler/log_writer.py
@@ -10,24 +10,23 @@
 from roseweir.clock import NEVER, monotonic_now, seconds, sleep, wait_at_most
 from roseweir.http import Unreachable
 from roseweir.kv_store import CompareFailed, Entry, KeyValueStoreClient, StoreError, ValueTooLarge
-from roseweir.kv_store.client import delete, gather_all, put
+from roseweir.kv_store.client import delete, put
 from roseweir.kv_store.write_confirmation import LeaderTransactions
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.notifier import Notifier
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
-from roseweir.scheduler.write_ahead_log import (
-    DELTA_KEY_PREFIX,
-    INITIAL_DELTA_COUNT,
+from roseweir.scheduler.log_delta import INITIAL_DELTA_COUNT, Delta, max_delta_count
+from roseweir.scheduler.log_keys import (
     LOG_PREFIX,
-    Delta,
-    SegmentTable,
-    decode_start_id,
     delta_key,
-    max_delta_count,
-    referenced_types_and_jobs,
+    is_delta_key,
+    parse_delta_key,
+    parse_segment_key,
     segment_key,
 )
+from roseweir.scheduler.log_segments import SegmentTable
+from roseweir.scheduler.model import JobRun, Placement, PlacementPhase
+from roseweir.scheduler.recovery import LogRecovery, read_stored_log
 from roseweir.submissions.jobs import (
     COMPLETED_JOB_PREFIX,
     COMPLETED_TASKS_PREFIX,
@@ -40,7 +39,6 @@
 )
 from roseweir.submissions.task_bitmap import (
     chunk_key,
-    decode_task_numbers,
     encode_bitmap,
     split_chunk_keys_for_completion,
 )
@@ -98,26 +96,6 @@
     suspect_key: str | None = None
 
 
-class RecoveredStarts:
-    """What the record tells of each task's places: the newest start, and the machines of older ones."""
-
-    def __init__(self) -> None:
-        self.newest_starts: dict[tuple[str, int], tuple[tuple[int, int], Machine, Delta | None]] = {}
-        self.stale_machines: set[str] = set()
-
-    def add(self, job_id: str, attempts: dict[str, list[int]], machine: Machine, delta: Delta | None) -> None:
-        for start_id, indices in attempts.items():
-            start_order = decode_start_id(start_id)
-            for index in indices:
-                known_start = self.newest_starts.get((job_id, index))
-                if known_start is None or start_order > known_start[0]:
-                    if known_start is not None:
-                        self.stale_machines.add(known_start[1].name)
-                    self.newest_starts[job_id, index] = (start_order, machine, delta)
-                elif known_start[1] is not machine:
-                    self.stale_machines.add(machine.name)
-
-
 class LogWriter:
     def __init__(
         self, kv_store: KeyValueStoreClient, cluster_state: ClusterState, leader_version: int, commit_notifier: Notifier
@@ -149,37 +127,21 @@
         self.commit_notifier = commit_notifier  # rung for machines that orders may go to: held answers look again
 
     async def recover(self) -> int:
-        """Read everything after the take-over. Earlier leaders' transactions fail from here on.
+        """Rebuild the cluster state from the store after a failover.
+
+        Returns:
+            The store revision from which changes of live jobs have to be watched.
 
-        All is read before any of it is used. A try that fails half-way must leave nothing behind: a
-        job cancelled between two tries would otherwise stay on the board, and nobody would tell.
+        Raises:
+            InconsistentLog: The log refers to an unknown machine type or job.
+            StoreError: The store refused a request.
+            Unreachable: The store did not answer.
         """
-        # In any order: places and ends of tasks only change by the leader, and jobs' comings and goings after the
-        # first page of theirs was read are told by the watch that goes on from there.
-        scans = await gather_all(
-            *(self.kv_store.scan(prefix) for prefix in (LIVE_JOB_PREFIX, COMPLETED_TASKS_PREFIX, LOG_PREFIX))
+        stored_log = await read_stored_log(self.kv_store, self.cluster_state.catalog)
+        self._restore_state(
+            stored_log.live_entries, stored_log.chunk_entries, stored_log.log_entries, stored_log.ended_jobs
         )
-        (live_entries, revision), (chunk_entries, _), (log_entries, _) = scans
-        live_job_ids = {entry.key.removeprefix(LIVE_JOB_PREFIX) for entry in live_entries}
-        finished_job_ids: set[str] = set()
-        for entry in log_entries:
-            machine_types, job_ids = referenced_types_and_jobs(entry.value)
-            if not machine_types <= self.cluster_state.catalog.keys():
-                # Its tasks could not be counted, so this node must not lead yet.
-                raise StoreError(
-                    f"a recorded machine has an unknown type: {machine_types - self.cluster_state.catalog.keys()}"
-                )
-            finished_job_ids |= job_ids - live_job_ids
-        ended_jobs: dict[str, CompletedJob] = {}
-        for key, ended_entry in (
-            await self.kv_store.get_many(COMPLETED_JOB_PREFIX + job_id for job_id in sorted(finished_job_ids))
-        ).items():
-            job_id = key.removeprefix(COMPLETED_JOB_PREFIX)
-            if ended_entry is None:
-                raise StoreError(f"job {job_id} is known from the record of places only")
-            ended_jobs[job_id] = decode_completed_job(ended_entry.value)
-        self._restore_state(live_entries, chunk_entries, log_entries, ended_jobs)
-        return revision
+        return stored_log.revision
 
     def _restore_state(
         self,
@@ -188,96 +150,8 @@
         log_entries: list[Entry],
         ended_jobs: dict[str, CompletedJob],
     ) -> None:
-        cluster_state = self.cluster_state
-        for entry in live_entries:
-            cluster_state.add_stored_job(entry.key.removeprefix(LIVE_JOB_PREFIX), entry.value, entry.version)
-        for job_id, ended_job in ended_jobs.items():
-            cluster_state.add_job(ended_job.to_spec(job_id), 0).final_state = ended_job.state
-        for entry in chunk_entries:
-            job_id, _, chunk_number = entry.key.removeprefix(COMPLETED_TASKS_PREFIX).rpartition("/")
-            run = cluster_state.jobs.get(job_id)
-            if run is None or run.final_state:
-                # Only a leader writes chunks, and none but this one can now: it is left from before the job's end.
-                self.orphaned_chunk_keys.add(entry.key)
-                continue
-            run.chunk_versions[int(chunk_number)] = entry.version
-            run.attempted_chunks.add(int(chunk_number))
-            for index in decode_task_numbers(entry.value, int(chunk_number) * TASKS_PER_CHUNK):
-                if index < run.spec.task_count:
-                    run.mark_completed(index)
-        for entry in log_entries:
-            name = entry.key.removeprefix(LOG_PREFIX)
-            if not name.startswith(DELTA_KEY_PREFIX):
-                self.segment_table.load_segment(int(name), entry.value, entry.version)
-        starts = RecoveredStarts()
-        for segment_entries in self.segment_table.entries_by_segment.values():
-            for name, machine_entry in segment_entries.items():
-                machine = self._restore_machine(
-                    name, machine_entry["type"], machine_entry["zone"], machine_entry["spot"]
-                )
-                if machine_entry.get("rented"):
-                    machine.is_autoscaled = True
-                    cluster_state.obtained_instance_pools.add(
-                        (machine.machine_type.name, machine.zone, machine.is_spot)
-                    )
-                for image, size in machine_entry.get("images", {}).items():
-                    machine.record_image_use(image, size)
-                for job_id, attempts in machine_entry["tasks"].items():
-                    starts.add(job_id, attempts, machine, None)
-        for entry in log_entries:
-            name = entry.key.removeprefix(LOG_PREFIX)
-            if name.startswith(DELTA_KEY_PREFIX):
-                self._restore_delta(int(name.removeprefix(DELTA_KEY_PREFIX)), entry, starts)
-        self._restore_placements(starts)
-        self.segment_table.split_oversized()
-
-    def _restore_delta(self, number: int, entry: Entry, starts: RecoveredStarts) -> None:
-        while number >= len(self.deltas):
-            self.deltas.append(Delta())
-        delta, value = self.deltas[number], entry.value
-        delta.version = entry.version
-        machines: dict[str, Machine] = {}
-        for name, instance_pool in value["machines"].items():
-            machines[name] = self._restore_machine(name, *value["kinds"][instance_pool])
-        for job_id, attempts in value["starts"].items():
-            for start_id, indices_by_machine in attempts.items():
-                for name, indices in indices_by_machine.items():
-                    delta.stale_entry_count += len(indices)
-                    starts.add(job_id, {start_id: indices}, machines[name], delta)
-        for job_id, indices in value["done"].items():
-            run = self.cluster_state.jobs.get(job_id)
-            if run is None or run.final_state:
-                continue
-            for index in indices:
-                if run.mark_completed(index):
-                    run.delta_completions.add(index)
-                    delta.add_completion(run, index)
-
-    def _restore_machine(self, machine_name: str, type_name: str, zone: str, is_spot: bool) -> Machine:
-        return self.cluster_state.restore_machine(
-            machine_name, self.cluster_state.catalog[type_name], zone, is_spot, monotonic_now()
-        )
-
-    def _restore_placements(self, starts: RecoveredStarts) -> None:
-        """Where a task is recorded in several places, only the newest start counts.
-
-        It was planned once the earlier ones were proven gone; their records are taken away later.
-        Taking an earlier one for the task's place let it run twice: that machine's report freed it,
-        while the later one had not been heard yet (d7edf7f1, rough).
-        """
-        cluster_state, now = self.cluster_state, monotonic_now()
-        for (job_id, index), (start_order, machine, delta) in starts.newest_starts.items():
-            attempt, replacement_number = start_order
-            placement = cluster_state.restore_placement(
-                cluster_state.jobs[job_id], index, machine, attempt, now, replacement_number
-            )
-            placement.is_in_segment = delta is None
-            if delta is not None:
-                delta.add_start(placement)
-                delta.stale_entry_count -= 1
-                cluster_state.dirty_machines.add(machine.name)
-        # Older starts, and entries of machines on two pages, are taken away when there is time.
-        cluster_state.dirty_machines |= starts.stale_machines | self.segment_table.superseded_segments.keys()
+        recovery = LogRecovery(self.cluster_state, self.segment_table, self.deltas, self.orphaned_chunk_keys)
+        recovery.restore(live_entries, chunk_entries, log_entries, ended_jobs)
 
     async def run(self) -> None:
         """Notes at once, as often as the state service's limits allow; pages and chunks with what is left."""
@@ -644,10 +518,10 @@
                 await sleep(RETRY_INTERVAL)
                 continue
             version = 0 if entry is None else entry.version
-            if key.startswith(LOG_PREFIX + DELTA_KEY_PREFIX):
-                self.deltas[int(key.removeprefix(LOG_PREFIX + DELTA_KEY_PREFIX))].version = version
+            if is_delta_key(key):
+                self.deltas[parse_delta_key(key)].version = version
             elif key.startswith(LOG_PREFIX):
-                number = int(key.removeprefix(LOG_PREFIX))
+                number = parse_segment_key(key)
                 self.segment_table.segment_versions[number] = version
                 self.segment_table.dirty_segments.add(number)
             elif key.startswith(COMPLETED_TASKS_PREFIX):
--- a/tests/simulation/stored_value_rewriting.py
+++ b/tests/simulation/stored_value_rewriting.py
@@ -55,7 +55,7 @@
 
 
 def _rewrite_segment(version: Version, key: str, rest: str, value: Any) -> Any:
-    segments = version.find("scheduler.write_ahead_log", "SegmentTable")(MAX_VALUE_BYTES)
+    segments = version.find("scheduler.log_segments", "SegmentTable")(MAX_VALUE_BYTES)
     version.attribute(segments, "load_segment")(int(rest), value, 1)
     return version.attribute(segments, "encode_segment")(int(rest))
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -9,8 +9,8 @@
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.leader_election.election import LeaderLease
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import JobRun, Placement, PlacementPhase
+from roseweir.scheduler.recovery import LogRecovery
 from roseweir.submissions import handlers
 from roseweir.workers import messages as wire
 from roseweir.workers.handlers import HeartbeatHandler
@@ -36,9 +36,9 @@
 def no_records_read(patch: pytest.MonkeyPatch) -> None:
     """A new leader ignores what earlier ones recorded."""
 
-    def forget(self: LogWriter, found: object) -> None: ...
+    def forget(self: LogRecovery, found: object) -> None: ...
 
-    patch.setattr(LogWriter, "_restore_placements", forget)
+    patch.setattr(LogRecovery, "_restore_placements", forget)
 
 
 def keep_silent_machines(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -13,10 +13,11 @@
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.job_explanation import explain_job
-from roseweir.scheduler.log_writer import RecoveredStarts
+from roseweir.scheduler.log_delta import Delta
+from roseweir.scheduler.log_segments import SegmentTable
 from roseweir.scheduler.model import JobRun, Machine, PlacementPhase
+from roseweir.scheduler.recovery import RecoveredStarts
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
-from roseweir.scheduler.write_ahead_log import Delta, SegmentTable
 from roseweir.submissions.jobs import GANG, SERVICE, MachineType
 from roseweir.workers.messages import Heartbeat, TaskStatus
 from tests.simulation.cluster import make_settings
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from roseweir.scheduler.log_writer import LogWriter, RecoveredStarts
 from roseweir.scheduler.model import JobRun, PlacementPhase
+from roseweir.scheduler.recovery import LogRecovery, RecoveredStarts
 from roseweir.submissions.jobs import SERVICE
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, SimulatedController, virtual_now
 from tests.test_simulated_days import check
@@ -152,15 +152,15 @@
 
 
 def test_broken_variant_that_forgets_replicas_at_a_take_over_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    restore = LogWriter._restore_placements
+    restore = LogRecovery._restore_placements
 
-    def forget(self: LogWriter, found: RecoveredStarts) -> None:
+    def forget(self: LogRecovery, found: RecoveredStarts) -> None:
         found.newest_starts = {
             k: v for k, v in found.newest_starts.items() if self.cluster_state.jobs[k[0]].spec.job_type != SERVICE
         }
         restore(self, found)
 
-    monkeypatch.setattr(LogWriter, "_restore_placements", forget)
+    monkeypatch.setattr(LogRecovery, "_restore_placements", forget)
     for seed in range(9700, 9712):
         broken = ServiceWorld(seed, faults=["crash", "all", "cut"]).run(job_count=35).rule_violations
         if any("ran_twice" in str(error) or "scatter" in str(error) for error in broken):
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -21,9 +21,11 @@
 from roseweir.kv_store.transaction_limits import MIN_VALUE_BYTES, TransactionLimits
 from roseweir.notifier import Notifier
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_keys import LOG_PREFIX
+from roseweir.scheduler.log_segments import SegmentTable
 from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import PlacementPhase
-from roseweir.scheduler.write_ahead_log import LOG_PREFIX, SegmentTable, referenced_types_and_jobs
+from roseweir.scheduler.recovery import referenced_types_and_jobs
 from roseweir.settings import KeyValueStoreSettings, load_settings
 from roseweir.workflows.model import Workflow, WorkflowStep
 from roseweir.workflows.store import WorkflowStore as ChainStore
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -24,8 +24,8 @@
 from roseweir.leader_election.election import LeaderElection, LeaderLease
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_keys import DELTA_KEY_PREFIX, LOG_PREFIX
 from roseweir.scheduler.log_writer import LogWriter
-from roseweir.scheduler.write_ahead_log import DELTA_KEY_PREFIX, LOG_PREFIX
 from roseweir.submissions.handlers import SubmissionHandlers
 from roseweir.submissions.jobs import (
     COMPLETED_JOB_PREFIX,
