--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -15,6 +15,7 @@
 from roseweir.http import Connect, Unreachable
 from roseweir.kv_store import KeyValueStoreClient, StoreError
 from roseweir.kv_store.client import gather_pair
+from roseweir.kv_store.fenced_writes import LeadershipLost
 from roseweir.leader_election.election import LeaderLease
 from roseweir.limits.rules import renew_class_limits, renew_fetch_limits
 from roseweir.membership.messages import AcknowledgedCancellations
@@ -22,7 +23,7 @@
 from roseweir.operator_config import OperatorConfig
 from roseweir.rebalancing.fragmentation_scoring import FragmentationScorer
 from roseweir.scheduler.cluster_state import CLOCK_DRIFT_FACTOR, ClusterState
-from roseweir.scheduler.log_writer import LeadershipLost, LogWriter
+from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import JobRun
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
 from roseweir.service_levels.controller import GatherRejectedRequests, ServiceLevelController
@@ -86,7 +87,9 @@
             self.cluster_state.placement_chooser = placement_policy
             self.cluster_state.is_chooser_always_enabled = operator_config.rebalancing.choose == "on"
         log_notifier = Notifier()
-        self.log_writer = LogWriter(kv_store, self.cluster_state, leader_lease.leader_key_version, log_notifier)
+        self.log_writer = LogWriter(
+            kv_store, self.cluster_state, leader_lease.leader_key_version, log_notifier, self._on_job_ended
+        )
         self.has_work = asyncio.Event()
         self.worker_handlers = HeartbeatHandler(
             self.cluster_state, leader_lease, log_notifier, self.has_work, connect, may_hold_connection
@@ -115,7 +118,6 @@
             leader_lease.end,
         )
         self.workflows.watched_revision = lambda: self.service_levels.watched_revision
-        self.log_writer.on_job_ended = self._on_job_ended
         self.delivery_deadlines: DeadlineController | None = None
         if operator_config.delivery_deadline is not None:
             from roseweir.delivery_deadlines import controller as promise_desk
--- a/roseweir/scheduler/log_delta.py
+++ b/roseweir/scheduler/log_delta.py
@@ -5,7 +5,7 @@
 """
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from roseweir.scheduler.log_keys import encode_start_id
 from roseweir.scheduler.log_segments import MAX_SEGMENT_BYTES
@@ -24,6 +24,13 @@
     return MAX_TOTAL_DELTA_BYTES // min(max_value_bytes, MAX_SEGMENT_BYTES)
 
 
+class CompletedTask(NamedTuple):
+    """A completed task of a job."""
+
+    run: JobRun
+    task_index: int
+
+
 # Parts of the encoded value that an entry of a delta needs, each with its size in bytes.
 SizedParts = tuple[tuple[object, int], ...]
 
@@ -69,7 +76,7 @@
 
     version: int = 0
     starts: dict[Placement, SizedParts] = field(default_factory=dict)
-    completions: dict[tuple[JobRun, int], SizedParts] = field(default_factory=dict)
+    completions: dict[CompletedTask, SizedParts] = field(default_factory=dict)
     size_bytes: int = EMPTY_DELTA_BYTES
     stale_entry_count: int = 0
     _part_reference_counts: dict[object, int] = field(default_factory=dict)
@@ -80,7 +87,9 @@
             self._release_parts(self.starts.pop(placement))
             self.stale_entry_count += 1
         for entry in [
-            (run, index) for run, index in self.completions if run.final_state or index not in run.delta_completions
+            task
+            for task in self.completions
+            if task.run.final_state or task.task_index not in task.run.delta_completions
         ]:
             self._release_parts(self.completions.pop(entry))
             self.stale_entry_count += 1
@@ -96,9 +105,9 @@
 
     def add_completion(self, run: JobRun, index: int) -> None:
         """Add a completed task."""
-        self.completions[run, index] = self._acquire_parts(_completion_parts(run, index))
+        self.completions[CompletedTask(run, index)] = self._acquire_parts(_completion_parts(run, index))
 
-    def remove_unwritten(self, starts: list[Placement], completions: list[tuple[JobRun, int]]) -> None:
+    def remove_unwritten(self, starts: list[Placement], completions: list[CompletedTask]) -> None:
         """Remove entries whose write failed."""
         for placement in starts:
             self._release_parts(self.starts.pop(placement))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -16,9 +16,10 @@
 from roseweir.scheduler import capacity_snapshot as look_module
 from roseweir.scheduler import scheduling_pass as plan_module
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_batch import LogBatch
 from roseweir.scheduler.log_delta import INITIAL_DELTA_COUNT
 from roseweir.scheduler.log_segments import SegmentTable
-from roseweir.scheduler.log_writer import LogBatch, LogWriter
+from roseweir.scheduler.log_writer import LogWriter
 from roseweir.scheduler.model import Machine, PlacementPhase
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
 from roseweir.settings import KeyValueStoreSettings
