--- a/roseweir/service_levels/__init__.py
+++ b/roseweir/service_levels/__init__.py
@@ -1,1 +1,1 @@
-"""Who is served: by team and class what was accepted, started, done and stands waiting, through every take-over."""
+"""Service levels: jobs accepted, started, done and waiting by team and class, kept through failovers."""
--- a/roseweir/service_levels/accounting.py
+++ b/roseweir/service_levels/accounting.py
@@ -1,20 +1,21 @@
-"""The leader's account of who is served, by team and class of jobs. Pure: no I/O, no clock.
-
-A job counts where it is: live ones are on the board, and those that are over in a tally. An end is counted as the
-watch on live jobs tells of it, and never before: the tally then holds just the ends up to the watch's revision, and
-that revision is written with it. A successor reads the tally, asks for the ends since, and knows all of them: none
-lost, none counted twice. What it cannot know is whether a job that was cancelled meanwhile had started. How a job
-ended is what is durable: one complete here may have been cancelled before its end was recorded, so where the watch is
-the first to tell, its end is looked up.
+"""The leader's account of service levels, by team and class of jobs. Pure: no I/O, no clock.
+
+Live jobs are counted from the cluster state, ended jobs from a tally. An end is counted when the watch on live jobs
+reports it, and never before: so the tally holds exactly the ends up to the watch's revision, and that revision is
+stored with it. The next leader reads the tally and the ends since that revision, and so has all of them: none lost,
+none counted twice. It cannot know whether a job that was cancelled meanwhile had started. The outcome of a job is the
+one on durable record: a job that is complete here may have been cancelled before its end was recorded, so an end that
+the watch reports first is looked up in the store.
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from typing import Any
 
 import orjson
 
 from roseweir.scheduler.model import JobRun
+from roseweir.service_levels.errors import AccountUnreadable
 from roseweir.service_levels.largest_jobs import (
     MAX_START_DELAY_S,
     ClassAndBucket,
@@ -24,99 +25,53 @@
     size_bucket,
     sum_largest,
 )
+from roseweir.service_levels.service_level import EndedJobCounts, ServiceLevel, TeamAndClass
 from roseweir.submissions.handlers import OTHER_ROW
 from roseweir.submissions.jobs import ARRAY, SERVICE, CompletedJob, JobSpec
 from roseweir.workers import messages as wire
 
-# Team and class. What finds no room in the record is kept together under REST.
-TeamAndClass = tuple[str, str]
-# A team or class of which less than this part is served has had a bad day.
-MIN_SERVED_FRACTION = 0.5
-
-
-@dataclass(slots=True)
-class EndedJobCounts:
-    """Jobs that are over, and submissions that were sent away with a time to come back."""
-
-    done: int = 0
-    cancelled: int = 0
-    cancelled_after_start: int = 0  # of those cancelled
-    rejected_requests: int = 0
-
-    def add(self, other: "EndedJobCounts") -> None:
-        for each in fields(self):
-            setattr(self, each.name, getattr(self, each.name) + getattr(other, each.name))
-
-
-@dataclass(slots=True)
-class ServiceLevel:
-    """How a team or class stands; jobs, unless it says tasks."""
-
-    accepted: int = 0
-    started: int = 0
-    done: int = 0
-    cancelled: int = 0
-    turned_away: int = 0  # requests, retries included
-    waiting: int = 0  # not started yet
-    tasks_waiting: int = 0
-    tasks_running: int = 0
-    services: int = 0  # live, which are never done
-    # Of services: replicas asked for, and those that run.
-    replicas: int = 0
-    replicas_up: int = 0
-
-    def add(self, other: "ServiceLevel") -> None:
-        for each in fields(self):
-            setattr(self, each.name, getattr(self, each.name) + getattr(other, each.name))
-
-    @property
-    def served_fraction(self) -> float:
-        """The least of: requests not sent away, jobs started, replicas up. Jobs under way are neither done nor not."""
-        shares = [1.0]
-        if self.accepted + self.turned_away:
-            shares.append(self.accepted / (self.accepted + self.turned_away))
-        if self.accepted - self.cancelled > 0:
-            shares.append(min(1.0, self.started / (self.accepted - self.cancelled)))
-        if self.replicas:
-            shares.append(self.replicas_up / self.replicas)
-        return min(shares)
-
 
 @dataclass(slots=True)
 class _LiveJob:
+    """A job whose end is not counted yet."""
+
     team_and_class: TeamAndClass
     is_started: bool = False
     outcome: str = ""  # done or cancelled, once known
-    size_bucket: int | None = None  # of its size; None: over before this leader began
+    size_bucket: int | None = None  # bucket of its size; None: it ended before this leader's term
     accepted_ms: int = 0
-    wait_s: float = 0.0  # seconds from its acceptance until it began, or so far
+    wait_s: float = 0.0  # seconds from its acceptance until it started, or so far
     is_inherited: bool = False  # from an earlier leader
-    is_held: bool = False  # it waits for others' ends, or cannot be read: nobody could serve it
-    has_known_start: bool = True  # when it began is known
+    is_held: bool = False  # it waits for its dependencies, or cannot be decoded: it could not be served
+    has_known_start: bool = True  # its start time is known
 
 
 @dataclass
 class ServiceLevelAccount:
+    """Counts of live and ended jobs, and of rejected requests, by team and class."""
+
     ended_counts: dict[TeamAndClass, EndedJobCounts] = field(default_factory=dict)
     live_jobs: dict[str, _LiveJob] = field(default_factory=dict)
     has_unsaved_changes: bool = False
-    # Ends that nobody could tell of any more: the record was too old when it was read.
+    # Times that ends were lost: the stored account was older than the store's history, or could not be decoded.
     gap_count: int = 0
-    # Over, and not yet known how.
+    # Ended jobs whose outcome is not known yet.
     jobs_with_unknown_outcome: dict[str, _LiveJob] = field(default_factory=dict)
-    # Jobs by class and size, as far as they have ended or begun; `sizes` adds those that wait.
+    # Ended jobs by class and size; `largest_job_counts` adds the live ones.
     counts_by_size: dict[ClassAndBucket, SizeCounts] = field(default_factory=dict)
-    # Told by the record alone, or by the watch alone: see ended_unseen().
+    # Ends known from the completed-job records alone, or from the watch alone: see `apply_missed_ends`.
     _ends_awaiting_watch: dict[str, CompletedJob] = field(default_factory=dict)
     _watched_ends_of_unknown_jobs: set[str] = field(default_factory=set)
 
     def counts_for(self, row: TeamAndClass) -> EndedJobCounts:
+        """Return the row of a team and class in order to change it: the account has unsaved changes from here on."""
         self.has_unsaved_changes = True
         return self.ended_counts.setdefault(row, EndedJobCounts())
 
-    # -- what happens -------------------------------------------------------------------------
+    # -- events -------------------------------------------------------------------------------
 
     def add_job(self, spec: JobSpec) -> None:
+        """Count an accepted job as live. A job that is counted already is left as it is."""
         if spec.id not in self.live_jobs:
             self.live_jobs[spec.id] = _LiveJob(
                 (spec.team, spec.job_class),
@@ -125,14 +80,14 @@
             )
 
     def record_outcome(self, job_id: str, outcome: str) -> None:
-        """The job's end is recorded; it is counted when the watch tells."""
+        """Note the durable outcome (`done` or `cancelled`) of a job; its end is counted when the watch reports it."""
         if job_id in self.jobs_with_unknown_outcome:
             self._count_end(self.jobs_with_unknown_outcome.pop(job_id), outcome)
         elif job_id in self.live_jobs:
             self.live_jobs[job_id].outcome = outcome
 
     def confirm_end(self, job_id: str) -> None:
-        """The watch tells that the job is over."""
+        """Count the end of a job that the watch on live jobs has reported."""
         job = self.live_jobs.pop(job_id, None)
         if job is None:
             end = self._ends_awaiting_watch.pop(job_id, None)
@@ -146,10 +101,14 @@
             self.jobs_with_unknown_outcome[job_id] = job
 
     def apply_missed_ends(self, ends: Iterable[tuple[str, CompletedJob, int]], revision: int) -> None:
-        """Ends since the record was written, each with its revision, of jobs that are not live any more.
+        """Count ends since the account was stored, of jobs that are not live any more.
 
-        What ended after `revision` is told by the watch on live jobs as well: as the end of a job that it has told
-        of before, or of one that ended between that revision and the reading of its page, which only this read knows.
+        An end after `revision` is reported by the watch on live jobs as well: as the end of a job that this account
+        counts as live, or of one that ended between that revision and the read of its page, which only this read has.
+
+        Args:
+            ends: id, record and store revision of each completed job.
+            revision: the store revision from which the watch on live jobs continued.
         """
         for job_id, end, end_revision in ends:
             if job_id in self.live_jobs:
@@ -180,14 +139,19 @@
                     size.longest_s = max(size.longest_s, round(job.wait_s))
 
     def add_rejected_requests(self, counts: Mapping[TeamAndClass, int]) -> None:
+        """Add newly rejected requests; counts of 0 or below are ignored."""
         for row, count in counts.items():
             if count > 0:
                 self.counts_for(row).rejected_requests += count
 
     def update_started(self, runs: Mapping[str, JobRun], now_ms: int, is_settled: bool = True) -> None:
-        """See which live jobs have started: of an array a task, of a gang or service all tasks at once.
+        """Note which live jobs have started: of an array one task, of a gang or service all tasks at once.
 
-        `settled`: machines have had time to report to this leader. Before, what runs may have begun long ago.
+        Args:
+            runs: the cluster state's jobs by id.
+            now_ms: the time of day, in milliseconds.
+            is_settled: machines have had time to send heartbeats to this leader. Before that, a running job may have
+                started long ago, so its start time counts as unknown.
         """
         for job_id, job in self.live_jobs.items():
             run = runs.get(job_id)
@@ -201,7 +165,7 @@
                     job.has_known_start = False
 
     def largest_job_counts(self) -> dict[str, SizeCounts]:
-        """Of each class its largest jobs, those that wait included."""
+        """Return for each class the counts of its largest jobs, waiting ones included."""
         rows: dict[ClassAndBucket, SizeCounts] = {}
         for key, size in self.counts_by_size.items():
             rows.setdefault(key, SizeCounts()).add(size)
@@ -210,17 +174,26 @@
                 continue
             row = rows.setdefault((job.team_and_class[1], job.size_bucket), SizeCounts())
             if not job.has_known_start:
-                row.add(SizeCounts(1, begun=int(job.is_started)))
+                row.add(SizeCounts(accepted=1, begun=int(job.is_started)))
                 continue
             overdue = job.wait_s > MAX_START_DELAY_S
-            # What waits and still may begin in time is neither.
+            # A job that waits and may still start in time counts as neither.
             in_time = job.is_started and not overdue
-            row.add(SizeCounts(1, int(job.is_started), int(in_time), int(overdue), 0, 0, round(job.wait_s)))
+            row.add(
+                SizeCounts(
+                    accepted=1,
+                    begun=int(job.is_started),
+                    in_time=int(in_time),
+                    late=int(overdue),
+                    longest_s=round(job.wait_s),
+                )
+            )
         return sum_largest(rows)
 
-    # -- how it stands ------------------------------------------------------------------------
+    # -- service levels -----------------------------------------------------------------------
 
     def service_levels(self, runs: Mapping[str, JobRun]) -> dict[TeamAndClass, ServiceLevel]:
+        """Return the present service level of each team and class; `runs`: the cluster state's jobs by id."""
         levels: dict[TeamAndClass, ServiceLevel] = {}
         for row, counts in self.ended_counts.items():
             ended = counts.done + counts.cancelled
@@ -245,10 +218,13 @@
                 level.replicas_up += running
         return levels
 
-    # -- the record ---------------------------------------------------------------------------
+    # -- the stored account -------------------------------------------------------------------
 
     def encode(self, revision: int, max_bytes: int) -> dict[str, Any]:
-        """At most so many bytes: what the smallest rows would take is kept together."""
+        """Return the value to store, of at most `max_bytes` as JSON: the smallest rows are merged until it fits.
+
+        `revision`: up to which the watch on live jobs has reported.
+        """
         sizes = encode_counts(self.counts_by_size, max_bytes // 3)
         rows = sorted(self.ended_counts.items(), key=lambda item: (item[1].done + item[1].cancelled, item[0]))
         overflow = EndedJobCounts()
@@ -271,7 +247,17 @@
             overflow.add(rows.pop(0)[1])
 
     def decode(self, value: Any) -> int:
-        """Take the record in; the revision up to which it holds the ends. KeyError, TypeError or ValueError."""
+        """Add a stored account to this one, and return the store revision up to which it holds the ends.
+
+        Raises:
+            AccountUnreadable: the value has not the form that `encode` gives it.
+        """
+        try:
+            return self._add_stored(value)
+        except (KeyError, TypeError, ValueError) as e:
+            raise AccountUnreadable(e) from e
+
+    def _add_stored(self, value: Any) -> int:
         self.gap_count = int(value["gaps"])
         for team, job_class, *counts in value["rows"]:
             self.ended_counts.setdefault((str(team), str(job_class)), EndedJobCounts()).add(
@@ -283,7 +269,7 @@
 
 
 def _live_job_from_end(end: CompletedJob) -> _LiveJob:
-    # When it began is not known any more.
+    # The record of an ended job does not hold its start time.
     return _LiveJob(
         (end.team, end.job_class),
         end.state == "done",
@@ -293,28 +279,11 @@
 
 
 def has_started(run: JobRun) -> bool:
+    """Return whether a job has started, as far as the cluster state shows.
+
+    Of an array one running task is enough; of a gang or service all tasks have to run at once.
+    """
     if run.completed_count > 0:
         return True
     running = sum(p.state in (wire.RUNNING, wire.SAVING_CHECKPOINT) for p in run.placements.values())
     return running > 0 if run.spec.job_type == ARRAY else running >= run.spec.task_count
-
-
-def sum_by(key_index: int, levels: Mapping[TeamAndClass, ServiceLevel]) -> dict[str, ServiceLevel]:
-    """Summed up by team (0) or class (1)."""
-    sums: dict[str, ServiceLevel] = {}
-    for row, level in levels.items():
-        sums.setdefault(row[key_index], ServiceLevel()).add(level)
-    return dict(sorted(sums.items()))
-
-
-def format_service_level(name: str, level: ServiceLevel) -> str:
-    """For the log."""
-    text = f"{name}: {level.accepted} jobs accepted, {level.started} started"
-    text += f", {level.done} done, {level.cancelled} cancelled"
-    if level.replicas:
-        text += f", {level.replicas_up} of {level.replicas} replicas up"
-    if level.turned_away:
-        text += f", {level.turned_away} requests sent away"
-    if level.tasks_waiting:
-        text += f", {level.waiting} jobs and {level.tasks_waiting} tasks wait"
-    return text + (", UNDER HALF" if level.served_fraction < MIN_SERVED_FRACTION else "")
--- a/roseweir/service_levels/controller.py
+++ b/roseweir/service_levels/controller.py
@@ -1,4 +1,4 @@
-"""The leader's side of the account: carries it through a take-over, gathers what other nodes sent away, tells it."""
+"""The leader's service level account: restored at failover, saved, fed with other nodes' rejected requests, logged."""
 
 import asyncio
 import logging
@@ -16,45 +16,49 @@
 from roseweir.kv_store.client import WatchEvent, put
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.service_levels.accounting import (
+from roseweir.service_levels.accounting import ServiceLevelAccount
+from roseweir.service_levels.errors import ServiceLevelError
+from roseweir.service_levels.largest_jobs import format_largest
+from roseweir.service_levels.messages import RejectedRequests, service_level_view
+from roseweir.service_levels.service_level import (
     MIN_SERVED_FRACTION,
-    ServiceLevelAccount,
     TeamAndClass,
     format_service_level,
-    sum_by,
+    sum_by_class,
+    sum_by_team,
 )
-from roseweir.service_levels.largest_jobs import format_largest
-from roseweir.service_levels.messages import RejectedRequests, service_level_view
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, decode_completed_job
 
 log = logging.getLogger(__name__)
 
 ACCOUNT_KEY = "served/account"
-# The record's part of a value, and the most that it takes of a large one.
-MAX_VALUE_FILL, MAX_VALUE_BYTES = 0.9, 8 * 1024
-# The state service tells of its last 10,000 changes: the record is written anew long before it is so old.
+# The part of the largest value that the stored account may take.
+MAX_VALUE_FILL = 0.9
+# The most that it takes where the store allows larger values.
+MAX_VALUE_BYTES = 8 * 1024
+# The key-value store keeps its last 10,000 changes: the account is written again long before it is that old.
 MAX_RECORD_AGE_REVISIONS = 2000
-EVALUATION_INTERVAL, SAVE_INTERVAL, GATHER_INTERVAL, REPORT_INTERVAL = (
-    timedelta(seconds=1),
-    timedelta(seconds=10),
-    timedelta(seconds=10),
-    timedelta(seconds=60),
-)
+EVALUATION_INTERVAL = timedelta(seconds=1)
+SAVE_INTERVAL = timedelta(seconds=10)
+GATHER_INTERVAL = timedelta(seconds=10)
+REPORT_INTERVAL = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a new leader reads: the record, and the changes of ends since; None if those are not kept any more."""
+    """What a new leader reads: the stored account, and the ends since (None: the store does not keep them any more)."""
 
     record: Entry | None
     ends: list[WatchEvent] | None
 
 
-# What each node sent away, by its name.
+# Asks all nodes for their rejected requests, by node name.
 GatherRejectedRequests = Callable[[], Awaitable[dict[str, RejectedRequests]]]
 
 
 class ServiceLevelController:
+    """Keeps the service level account for one term of a leader."""
+
     def __init__(
         self,
         cluster_state: ClusterState,
@@ -73,12 +77,12 @@
         self._seen_rejected_requests: dict[tuple[str, str], dict[TeamAndClass, int]] = {}
         self._started_at = monotonic_now()
         self._saved_revision = 0
-        self.watched_revision = 0  # up to which the watch on live jobs has told
+        self.watched_revision = 0  # store revision up to which the watch on live jobs has reported
 
-    # -- taking over --------------------------------------------------------------------------
+    # -- failover -----------------------------------------------------------------------------
 
     def begin(self, revision: int) -> None:
-        """The board is rebuilt, and the watch on live jobs goes on from this revision."""
+        """Count the live jobs of the rebuilt cluster state; the watch on live jobs continues from `revision`."""
         self.watched_revision = revision
         for run in self.cluster_state.jobs.values():
             if not run.final_state:
@@ -86,26 +90,26 @@
                 self.account.live_jobs[run.spec.id].is_inherited = True
 
     async def _load_record(self) -> None:
-        """Beside the leader's first steps, which do not wait for it."""
+        """Read the stored account until that succeeds; the start of the leader's term does not wait for it."""
         first_revision = self.watched_revision
         while True:
             try:
                 self._restore(await self._read_record(), first_revision)
                 return
             except (StoreError, Unreachable) as e:
-                log.debug("the account of who was served was not read: %s", e)
+                log.debug("service level account not read: error=%s", e)
             await sleep(EVALUATION_INTERVAL)
 
     async def _read_record(self) -> "LoadResult":
-        """The record, and what ended since."""
+        """Read the stored account, and the ends since it was stored."""
         entry = await self.kv_store.get(ACCOUNT_KEY)
-        # Without a record: none was written yet, and all ends are still told of, or this deployment is older than it.
+        # Without one, none was stored yet: the store's history has all ends, or the deployment is older than it.
         through = 0 if entry is None else int(entry.value.get("through", 0))
         changes = await self.kv_store.watch(COMPLETED_JOB_PREFIX, through, ZERO)
         return LoadResult(entry, None if changes is None else changes[0])
 
     def _restore(self, loaded: "LoadResult", revision: int) -> None:
-        """`revision`: from which the watch on live jobs went on."""
+        """Add what was read to the account; `revision`: from which the watch on live jobs continued."""
         if loaded.record is not None:
             self._record_version = loaded.record.version
         ends = [item for item in loaded.ends or () if item.value is not None]
@@ -117,17 +121,18 @@
                 for item in ends
             ]
             self.account.apply_missed_ends(ended_jobs, revision)
-        except (msgspec.ValidationError, KeyError, TypeError, ValueError) as e:
-            # Nothing but operators' knowledge rests on it: a leader leads without.
-            log.warning("the account of who was served can't be read, and begins anew: %r", e)
+        except (ServiceLevelError, msgspec.ValidationError, KeyError, TypeError, ValueError) as e:
+            # Only reports to operators depend on the account: the leader continues without it.
+            log.warning("service level account unreadable, starting an empty one: error=%r", e)
             self.account.gap_count += 1
         if loaded.ends is None:
-            log.warning("the account of who was served lacks the ends since it was last written")
+            log.warning("service level account incomplete: ends since it was last written are not kept any more")
             self.account.gap_count += 1
 
     # -- the term -----------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Restore the account, then update, save and log it at their intervals, until cancelled."""
         await self._load_record()
         last_saved = last_gathered = last_reported = monotonic_now()
         while True:
@@ -151,7 +156,7 @@
                 self.log_service_levels()
 
     async def _resolve_unknown_outcomes(self) -> None:
-        """How those ended of which the watch was the first to tell."""
+        """Look up the outcomes of the jobs whose end the watch reported first."""
         for job_id in list(self.account.jobs_with_unknown_outcome):
             try:
                 entry = await self.kv_store.get(COMPLETED_JOB_PREFIX + job_id)
@@ -165,7 +170,7 @@
             counts = rejected.counts_by_team_and_class()
             previous = self._seen_rejected_requests.get((node, rejected.instance_id))
             if previous is None and rejected.uptime_s > (monotonic_now() - self._started_at).total_seconds():
-                previous = counts  # an earlier leader has counted those
+                previous = counts  # an earlier leader has counted these
             self._seen_rejected_requests[node, rejected.instance_id] = counts
             self.account.add_rejected_requests({row: n - (previous or {}).get(row, 0) for row, n in counts.items()})
 
@@ -185,22 +190,23 @@
                 self._step_down("the leader's key has changed")
                 return
         except (StoreError, Unreachable) as e:
-            log.debug("the account of who was served was not written: %s", e)
+            log.debug("service level account not written: error=%s", e)
         self.account.has_unsaved_changes = True
         try:
-            # Only this leader's own unanswered write can be there.
+            # Only this leader's own write, whose answer was lost, can be there.
             entry = await self.kv_store.get(ACCOUNT_KEY)
             self._record_version = 0 if entry is None else entry.version
         except (StoreError, Unreachable):
             pass
 
-    # -- told ---------------------------------------------------------------------------------
+    # -- reports ------------------------------------------------------------------------------
 
     def _update_account(self) -> None:
         is_settled = monotonic_now() - self._started_at > silence_timeout(self.cluster_state)
         self.account.update_started(self.cluster_state.jobs, utc_now_ms(), is_settled)
 
     def describe(self) -> dict[str, Any]:
+        """Return the answer to `served` (see `service_level_view`)."""
         self._update_account()
         return service_level_view(
             self.account.service_levels(self.cluster_state.jobs),
@@ -209,39 +215,43 @@
         )
 
     def summary(self) -> dict[str, Any]:
-        """For `status`: a line for each class, and the teams of which less than half is served."""
+        """Return the part of `status`: a line for each class, and the teams of which less than half is served."""
         levels = self.account.service_levels(self.cluster_state.jobs)
-        classes = [format_service_level(name, level) for name, level in sum_by(1, levels).items()]
+        classes = [format_service_level(name, level) for name, level in sum_by_class(levels).items()]
         classes += [format_largest(name, size) for name, size in self.account.largest_job_counts().items()]
         return {
             "served": classes,
             "teams_under_half": [
-                n for n, level in sum_by(0, levels).items() if level.served_fraction < MIN_SERVED_FRACTION
+                n for n, level in sum_by_team(levels).items() if level.served_fraction < MIN_SERVED_FRACTION
             ],
         }
 
     def log_service_levels(self) -> None:
+        """Log every class, its largest jobs, and the teams of which less than half is served."""
         levels = self.account.service_levels(self.cluster_state.jobs)
-        for name, level in sum_by(1, levels).items():
-            log.info("served: class %s", format_service_level(name, level))
+        for name, level in sum_by_class(levels).items():
+            log.info("service level: class %s", format_service_level(name, level))
         for name, size in self.account.largest_job_counts().items():
-            log.info("served: class %s", format_largest(name, size))
-        for name, level in sum_by(0, levels).items():
+            log.info("service level: class %s", format_largest(name, size))
+        for name, level in sum_by_team(levels).items():
             if level.served_fraction < MIN_SERVED_FRACTION:
-                log.info("served: team %s", format_service_level(name, level))
+                log.info("service level: team %s", format_service_level(name, level))
 
 
 async def gather_rejected_requests(
     requests_by_node: dict[str, Callable[[], Awaitable[Any]]],
 ) -> dict[str, RejectedRequests]:
-    """Ask every node; one that does not answer is asked again later."""
+    """Ask every node for its rejected requests.
+
+    Returns the answers by node name; a node that does not answer is left out, and asked again the next time.
+    """
     responses: dict[str, RejectedRequests] = {}
 
     async def ask(name: str, each: Callable[[], Awaitable[Any]]) -> None:
         try:
             responses[name] = msgspec.convert(await each(), RejectedRequests)
         except (Unreachable, msgspec.ValidationError) as e:
-            log.debug("what %s sent away is not known: %s", name, e)
+            log.debug("rejected requests unknown: node=%s error=%s", name, e)
 
     await asyncio.gather(*(ask(name, request) for name, request in requests_by_node.items()))
     return responses
--- a/roseweir/service_levels/largest_jobs.py
+++ b/roseweir/service_levels/largest_jobs.py
@@ -1,10 +1,10 @@
-"""The largest jobs of each class: how many there were, began, began in time, ended, and how long they waited. Pure.
+"""Counts of the largest jobs of each class: accepted, started, started in time, ended, longest wait. Pure.
 
-A class as a whole can be served while its largest jobs never are. How large a job is: what its tasks take altogether,
-GPUs for jobs that need them and CPUs for the rest. Jobs of about the same size (within a factor of 2 ** STEP) are one
-row, so that a record of a few hundred bytes holds every size; the largest of a class are those of the uppermost rows
-that hold PART of all its jobs, and one at least. Rows only ever grow and add up, so they go through a take-over as the
-rest of the account does.
+A class as a whole can be served while its largest jobs never are. The size of a job is the sum over its tasks, in GPUs
+for jobs that need them and in CPUs for the rest. Jobs of about the same size (within a factor of
+2 ** `SIZE_BUCKET_LOG2_WIDTH`) share a bucket, so that a record of a few hundred bytes holds every size. The largest
+jobs of a class are those of the uppermost buckets that together hold `LARGEST_JOBS_FRACTION` of all its jobs, and one
+job at least. Buckets only grow and add up, so they survive a failover as the rest of the account does.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,47 +14,52 @@
 
 import orjson
 
-# The uppermost part of a class's jobs, and by what power of two sizes are told apart.
-LARGEST_JOBS_FRACTION, SIZE_BUCKET_LOG2_WIDTH = 0.1, 0.5
-# The operators ask that the largest begin within this, in seconds.
+from roseweir.service_levels.service_level import MIN_SERVED_FRACTION
+
+# The part of a class's jobs, from the top, that counts as its largest.
+LARGEST_JOBS_FRACTION = 0.1
+# Width of a size bucket, as an exponent of two.
+SIZE_BUCKET_LOG2_WIDTH = 0.5
+# The operators' service-level objective: the largest jobs start within this, in seconds.
 MAX_START_DELAY_S = 240.0
 
 
 @dataclass(slots=True)
 class SizeCounts:
-    """Jobs of about one size."""
+    """Counts of the jobs of one size bucket."""
 
     accepted: int = 0
     begun: int = 0
-    in_time: int = 0  # begun within BEGIN_S
-    late: int = 0  # begun later, or waiting for longer
+    in_time: int = 0  # started within MAX_START_DELAY_S
+    late: int = 0  # started later, or waiting for longer
     done: int = 0
     cancelled: int = 0
-    longest_s: int = 0  # that any of them waited for its beginning
+    longest_s: int = 0  # longest wait of any of them for its start, seconds
 
     def add(self, other: "SizeCounts") -> None:
+        """Add the counts of another bucket; of the longest waits the greater one is kept."""
         for each in fields(self):
             mine, theirs = getattr(self, each.name), getattr(other, each.name)
             setattr(self, each.name, max(mine, theirs) if each.name == "longest_s" else mine + theirs)
 
     @property
     def on_time_fraction(self) -> float:
-        """The lesser share of those not cancelled: begun in time of all whose time is over."""
+        """Return the fraction (0 to 1) that started in time, of the jobs that started or are overdue."""
         settled = self.in_time + self.late
         return self.in_time / settled if settled else 1.0
 
 
 def size_bucket(size: float) -> int:
-    """Which row a job of this size belongs to."""
+    """Return the bucket of a job of this size (GPUs or CPUs)."""
     return floor(log2(max(size, 0.01)) / SIZE_BUCKET_LOG2_WIDTH)
 
 
-# Class and row.
+# Class and size bucket.
 ClassAndBucket = tuple[str, int]
 
 
 def sum_largest(rows: Mapping[ClassAndBucket, SizeCounts]) -> dict[str, SizeCounts]:
-    """Of each class, those of its largest jobs, summed up."""
+    """Return for each class the sum of the buckets of its largest jobs."""
     counts_by_class: dict[str, list[tuple[int, SizeCounts]]] = {}
     for (name, step), size in rows.items():
         counts_by_class.setdefault(name, []).append((step, size))
@@ -71,7 +76,10 @@
 
 
 def encode_counts(rows: Mapping[ClassAndBucket, SizeCounts], max_bytes: int = 1 << 30) -> list[list[Any]]:
-    """At most so many bytes, if that can be: of the class with the most rows, its smallest jobs go together."""
+    """Return the buckets as JSON rows, of at most `max_bytes` if possible.
+
+    Until they fit, the two smallest buckets of the class that has the most are merged.
+    """
     remaining = dict(rows)
     while True:
         value = [[name, step, *asdict(size).values()] for (name, step), size in sorted(remaining.items())]
@@ -89,12 +97,16 @@
 
 
 def decode_counts(value: Iterable[Any]) -> dict[ClassAndBucket, SizeCounts]:
-    """KeyError, TypeError or ValueError if it is no such record."""
+    """Read what `encode_counts` wrote.
+
+    Raises:
+        TypeError, ValueError: the value has not that form.
+    """
     return {(str(name), int(step)): SizeCounts(*map(int, counts)) for name, step, *counts in value}
 
 
 def format_largest(name: str, size: SizeCounts) -> str:
-    """For the log and for `status`."""
+    """Return one line about the largest jobs of a class, for the log and for `status`."""
     text = f"{name}, largest: {size.accepted} jobs, {size.begun} begun, {size.in_time} within {MAX_START_DELAY_S:.0f} s"
     text += f", {size.done} done, longest wait {size.longest_s} s"
-    return text + (", UNDER HALF" if size.on_time_fraction < 0.5 else "")
+    return text + (", UNDER HALF" if size.on_time_fraction < MIN_SERVED_FRACTION else "")
--- a/roseweir/service_levels/messages.py
+++ b/roseweir/service_levels/messages.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other and operators about who is served."""
+"""Messages about service levels, between controllers and to operators."""
 
 from collections.abc import Mapping
 from dataclasses import asdict
@@ -6,22 +6,24 @@
 
 import msgspec
 
-from roseweir.service_levels.accounting import ServiceLevel, TeamAndClass, sum_by
 from roseweir.service_levels.largest_jobs import SizeCounts
+from roseweir.service_levels.service_level import ServiceLevel, TeamAndClass, sum_by_class, sum_by_team
 
 
 class RejectedRequests(msgspec.Struct, rename={"instance_id": "instance", "uptime_s": "up_s"}):
-    """Submissions that a node sent away since its process started, and how long ago that was."""
+    """Submissions that a node has rejected with a time to retry, since its process started `uptime_s` seconds ago."""
 
     instance_id: str
     uptime_s: float
     rows: list[tuple[str, str, int]]
 
     def counts_by_team_and_class(self) -> dict[TeamAndClass, int]:
+        """Return the number of rejected requests of each team and class."""
         return {(team, job_class): count for team, job_class, count in self.rows}
 
 
 def encode_rejected_requests(instance: str, up_s: float, counts: Mapping[TeamAndClass, int]) -> dict[str, Any]:
+    """Return `RejectedRequests` as JSON; `instance` names the process, `up_s` is its age in seconds."""
     rows = [(team, job_class, count) for (team, job_class), count in sorted(counts.items())]
     return {"instance": instance, "up_s": up_s, "rows": rows}
 
@@ -29,10 +31,14 @@
 def service_level_view(
     levels: Mapping[TeamAndClass, ServiceLevel], gap_count: int, sizes: Mapping[str, SizeCounts]
 ) -> dict[str, Any]:
-    """{"teams": {name: standing}, "classes": {name: standing}, "rows": [...], "largest": {class: size}, "gaps"}."""
+    """Return the answer to `served`: service levels by team, by class and by both, the largest jobs, and the gaps.
+
+    Its shape: {"teams": {name: level}, "classes": {name: level}, "rows": [level], "largest": {class: counts},
+    "gaps": number of times that ends were lost}.
+    """
     return {
-        "teams": {name: _level_view(level) for name, level in sum_by(0, levels).items()},
-        "classes": {name: _level_view(level) for name, level in sum_by(1, levels).items()},
+        "teams": {name: _level_view(level) for name, level in sum_by_team(levels).items()},
+        "classes": {name: _level_view(level) for name, level in sum_by_class(levels).items()},
         "rows": [{"team": row[0], "class": row[1]} | _level_view(level) for row, level in sorted(levels.items())],
         "largest": {name: asdict(size) for name, size in sizes.items()},
         "gaps": gap_count,
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -6,7 +6,14 @@
 import pytest
 
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.service_levels.accounting import EndedJobCounts, ServiceLevel, ServiceLevelAccount, TeamAndClass, sum_by
+from roseweir.service_levels.accounting import ServiceLevelAccount
+from roseweir.service_levels.service_level import (
+    EndedJobCounts,
+    ServiceLevel,
+    TeamAndClass,
+    sum_by_class,
+    sum_by_team,
+)
 from roseweir.submissions.handlers import OTHER_ROW
 from roseweir.submissions.jobs import SERVICE, completed_job
 from roseweir.workers import messages as wire
@@ -58,7 +65,7 @@
             started = {task for task, _, _ in cluster.started_attempts}
             account = reign.leader_term.service_levels.account
             account.update_started(reign.leader_term.cluster_state.jobs, 0)
-            teams = sum_by(0, account.service_levels(reign.leader_term.cluster_state.jobs))
+            teams = sum_by_team(account.service_levels(reign.leader_term.cluster_state.jobs))
             for team, at_team in teams.items():
                 most = sum(cluster.jobs[task]["crew"] == team for task in started) + sum(
                     j["crew"] == team and j["shape"] == "gang" for j in cluster.jobs.values()
@@ -90,7 +97,7 @@
         service = cluster.current_leader().service
         assert service is not None and service.leader_term is not None
         account = service.leader_term.service_levels.account
-        told.append(sum_by(1, account.service_levels(service.leader_term.cluster_state.jobs)))
+        told.append(sum_by_class(account.service_levels(service.leader_term.cluster_state.jobs)))
 
     cluster.schedule_action(flood)
     check(cluster.run(length_s=60, job_count=5))
