--- a/roseweir/delivery_deadlines/__init__.py
+++ b/roseweir/delivery_deadlines/__init__.py
@@ -1,1 +1,1 @@
-"""Promises: each amended lot in the viewer before the next business morning, followed until it is there or late."""
+"""Delivery deadlines: when the lots of each workflow are due in the viewer, and whether they are on time."""
--- a/roseweir/delivery_deadlines/cli.py
+++ b/roseweir/delivery_deadlines/cli.py
@@ -1,17 +1,18 @@
-"""`roseweir promises`."""
+"""Command `roseweir promises`: the delivery deadlines, as the leader reports them."""
 
 import argparse
-from datetime import UTC, date, datetime
+from datetime import date
 from pathlib import Path
 from typing import Any
 
 from roseweir.admin_client import post_command, print_json
-from roseweir.sexp import SettingsError
+from roseweir.delivery_deadlines.chart import draw_chart
 
 DEADLINES_PATH = "/promises"
 
 
 def add_commands(commands: Any) -> None:
+    """Add the command to the subparsers of the command line."""
     parser = commands.add_parser(
         "promises", help="which amended lots will be in the viewer in time, those at risk first"
     )
@@ -53,39 +54,3 @@
                 f"{night['superseded']} superseded"
             )
     return 0
-
-
-def _date_number(dates: Any, ms: int) -> float:
-    return float(dates.date2num(datetime.fromtimestamp(ms / 1000, UTC)))
-
-
-def draw_chart(answer: dict[str, Any], path: Path) -> None:
-    """Each chain of the answer as a line from now to its end, beside what was promised."""
-    try:
-        import matplotlib
-    except ImportError:
-        raise SettingsError("--draw needs matplotlib: pip install -r requirements-forecast.txt") from None
-    matplotlib.use("Agg")
-    from matplotlib import dates, pyplot
-
-    colours = {"kept": "tab:green", "on course": "tab:blue", "at risk": "tab:orange", "superseded": "tab:gray"}
-    rows = answer["promises"][:80]
-    figure, axes = pyplot.subplots(figsize=(9, 1.5 + 0.22 * max(1, len(rows))))
-    for n, row in enumerate(rows):
-        colour = colours.get(row["state"], "tab:red")
-        end = row["ended_ms"] if row["ended_ms"] is not None else row["due_ms"] - row["slack_s"] * 1000
-        at, due = (_date_number(dates, ms) for ms in (end, row["due_ms"]))
-        axes.plot([at, due], [n, n], color=colour, linewidth=1)
-        axes.plot([at], [n], "o", color=colour)
-        axes.plot([due], [n], "|", color="black")
-    axes.set_yticks(range(len(rows)), [f"{row['chain']} ({row['state']})" for row in rows], fontsize=6)
-    axes.invert_yaxis()
-    axes.xaxis_date()
-    axes.set_title("End, forecast or durable (dot), and what was promised (bar), UTC")
-    figure.autofmt_xdate()
-    figure.tight_layout()
-    try:
-        figure.savefig(path)
-    except (OSError, ValueError) as e:
-        raise SettingsError(f"--draw: {path}: {e}") from e
-    pyplot.close(figure)
--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -1,7 +1,7 @@
-"""The leader's side of promises: gives them as amendments are taken, follows them, hurries what is at risk.
+"""The leader's delivery deadlines: assigned as amendments are accepted, followed, made urgent when at risk.
 
-The promised instant is in the chain's own record, durable before the amendment is answered. Everything else is derived
-from chains; nights that are over are kept in one key, with what the classes' steps took.
+The due time is part of the workflow's own record, durable before the amendment is answered. Everything else is derived
+from workflows; the reports of past nights are kept in one key, with the measured durations of steps by class.
 """
 
 import logging
@@ -11,22 +11,22 @@
 
 import msgspec
 
-from roseweir.clock import monotonic_now, seconds, sleep, utc_now_ms
+from roseweir.clock import monotonic_now, sleep, utc_now_ms
 from roseweir.delivery_deadlines import due_time
 from roseweir.delivery_deadlines.deadline_status import (
     AT_RISK,
-    DEFAULT_STEP_DURATION_S,
     LATE,
     STATE_SORT_ORDER,
     UNATTAINABLE,
     DeadlineStatus,
-    NightReport,
-    StepDurations,
-    delivered_lots,
     evaluate_deadline,
     urgent_job_slack,
 )
-from roseweir.delivery_deadlines.settings import DeadlineSettings
+from roseweir.delivery_deadlines.errors import NightRecordUnreadable
+from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
+from roseweir.delivery_deadlines.night_report import NightReport
+from roseweir.delivery_deadlines.settings import DEFAULT_FORECAST_QUANTILE, DeadlineSettings
+from roseweir.delivery_deadlines.step_durations import DEFAULT_STEP_DURATION_S, StepDurations
 from roseweir.http import Unreachable
 from roseweir.kv_store import CompareFailed, KeyValueStoreClient, StoreError
 from roseweir.kv_store.fenced_writes import FencedWriter, LeadershipLost
@@ -38,13 +38,22 @@
 log = logging.getLogger(__name__)
 
 NIGHT_REPORTS_KEY = "promise/nights"
-EVALUATION_INTERVAL, SAVE_INTERVAL = timedelta(seconds=2), timedelta(seconds=30)
-# After its morning a night is told of as it stands, and closed so much later: what is late by then stays so.
+EVALUATION_INTERVAL = timedelta(seconds=2)
+SAVE_INTERVAL = timedelta(seconds=30)
+RETRY_INTERVAL = timedelta(seconds=1)
+# The report of a night stays open for so long after its morning; what is late by then stays so.
 REPORT_CLOSE_DELAY_MS = 24 * 3600 * 1000
+# Deadlines that one answer lists.
 MAX_LISTED_DEADLINES = 200
+# The part of the largest value that the stored reports may take.
+MAX_VALUE_FILL = 0.9
+# The most that they take where the store allows larger values.
+MAX_VALUE_BYTES = 8 * 1024
 
 
 class DeadlineController:
+    """Assigns and follows the delivery deadlines of workflows, for one term of a leader."""
+
     def __init__(
         self,
         settings: DeadlineSettings,
@@ -60,7 +69,7 @@
         self.cluster_state = cluster_state
         self.fenced_writer = FencedWriter(kv_store, leader_version, "promises")
         self.step_durations = StepDurations()
-        self.closed_reports: dict[str, NightReport] = {}  # that are over
+        self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning
         self.statuses: dict[str, DeadlineStatus] = {}
         self.is_loaded = False
         self._may_write = may_write
@@ -69,15 +78,15 @@
         workflow_controller.assign_due_ms = self.assign_due_ms
         workflow_controller.on_workflow_changed = self.on_workflow_changed
 
-    # -- given --------------------------------------------------------------------------------
+    # -- workflows ----------------------------------------------------------------------------
 
     def assign_due_ms(self, workflow: Workflow) -> int:
-        """The instant that is promised for the chain's lots; 0: its team is promised nothing."""
+        """Return when the workflow's lots are due, in milliseconds; 0: its team has no deadline."""
         policy = self.settings.policy_for(workflow.team)
         return 0 if policy is None else due_time.compute_due_ms(workflow.landed_ms, policy, self.settings.calendar)
 
     def on_workflow_changed(self, workflow: Workflow) -> None:
-        """Something has happened in the chain: what its steps took is learnt, and how it stands told anew."""
+        """Measure the steps that have ended, and update the status of the workflow's deadline."""
         for step in workflow.steps:
             if step.outcome == "done" and step.released_ms and step.job_id not in self._measured_jobs:
                 self._measured_jobs.add(step.job_id)
@@ -93,9 +102,10 @@
         if workflow.due_ms:
             self._update_status(workflow, utc_now_ms())
 
-    # -- followed -----------------------------------------------------------------------------
+    # -- control loop -------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Evaluate the deadlines, and save the night reports, at their intervals until cancelled."""
         last_saved = monotonic_now()
         while True:
             await sleep(EVALUATION_INTERVAL)
@@ -109,22 +119,28 @@
             except LeadershipLost as e:
                 self._step_down(str(e))
             except (StoreError, Unreachable, CompareFailed) as e:
-                log.info("promises: %s", e)
-                await sleep(seconds(1))
+                log.info("night reports not read or written, retrying: error=%s", e)
+                await sleep(RETRY_INTERVAL)
 
     async def _load(self) -> None:
         entry = await self.fenced_writer.kv_store.get(NIGHT_REPORTS_KEY)
         if entry is not None:
             self.fenced_writer.load([entry])
             try:
-                self.closed_reports = {str(n): NightReport.decode(v) for n, v in entry.value["nights"].items()}
-                self.step_durations.decode(entry.value["times"])
-            except (KeyError, TypeError, ValueError, AttributeError) as e:
-                # Nothing but reports of nights that are over and first forecasts rest on it.
-                log.warning("the record of nights can't be read, and begins anew: %r", e)
+                self._restore(entry.value)
+            except NightRecordUnreadable as e:
+                # Only the reports of past nights and the first forecasts depend on it.
+                log.warning("night reports unreadable, starting empty ones: error=%r", e.cause)
                 self.closed_reports = {}
         self.is_loaded = True
 
+    def _restore(self, value: Any) -> None:
+        try:
+            self.closed_reports = {str(n): NightReport.decode(v) for n, v in value["nights"].items()}
+            self.step_durations.decode(value["times"])
+        except (KeyError, TypeError, ValueError, AttributeError) as e:
+            raise NightRecordUnreadable(e) from e
+
     async def _save(self) -> None:
         now_ms = utc_now_ms()
         newly_closed: dict[str, NightReport] = {}
@@ -142,7 +158,8 @@
             "nights": {n: night.encode() for n, night in sorted(self.closed_reports.items())},
             "times": self.step_durations.encode(),
         }
-        max_bytes = int(min(self.fenced_writer.kv_store.transaction_limits.max_value_bytes, 8192) * 0.9)
+        max_value_bytes = self.fenced_writer.kv_store.transaction_limits.max_value_bytes
+        max_bytes = int(min(max_value_bytes, MAX_VALUE_BYTES) * MAX_VALUE_FILL)
         while len(msgspec.json.encode(value)) > max_bytes and value["nights"]:
             del value["nights"][min(value["nights"])]
         changes = self.fenced_writer.changed_values({NIGHT_REPORTS_KEY: value})
@@ -166,7 +183,7 @@
 
     def _update_status(self, workflow: Workflow, now_ms: int) -> None:
         policy = self.settings.policy_for(workflow.team)
-        quantile = 0.8 if policy is None else policy.forecast_quantile
+        quantile = DEFAULT_FORECAST_QUANTILE if policy is None else policy.forecast_quantile
         margin_ms = 0 if policy is None else round(policy.risk_margin.total_seconds() * 1000)
 
         def typical_duration(step: WorkflowStep) -> float:
@@ -190,9 +207,16 @@
             status.slowest_step_class = previous.slowest_step_class
         self.statuses[workflow.id] = status
         if previous is None or previous.state != status.state:
-            slack = f", {status.slack_ms / 1000:.0f} s of slack" if not workflow.is_ended else ""
-            why = f"; {status.waits_for}" if status.waits_for else ""
-            log.info("promise of %s (%d lots): %s%s%s", workflow.id, len(workflow.lots), status.state, slack, why)
+            slack = f" slack_s={status.slack_ms / 1000:.0f}" if not workflow.is_ended else ""
+            reason = f" waits_for={status.waits_for}" if status.waits_for else ""
+            log.info(
+                "delivery deadline: workflow=%s lots=%d state=%s%s%s",
+                workflow.id,
+                len(workflow.lots),
+                status.state,
+                slack,
+                reason,
+            )
 
     def _waiting_reason(self, workflow: Workflow) -> str | None:
         if workflow.state != "open":
@@ -206,7 +230,7 @@
         return None
 
     def _slowest_step_class(self, workflow: Workflow) -> str:
-        """The class of the step that took the longest beyond what its class usually takes."""
+        """Return the class of the step that exceeded the median duration of its class by the most."""
         excess_durations = [
             ((s.ended_ms - s.released_ms) / 1000 - (self.step_durations.quantile(s.job_class, 0.5) or 0.0), s.job_class)
             for s in workflow.steps
@@ -220,10 +244,10 @@
         status = self.statuses.get(workflow.id)
         return status.slowest_step_class if status is not None else ""
 
-    # -- told ---------------------------------------------------------------------------------
+    # -- reports ------------------------------------------------------------------------------
 
     def night_reports(self) -> dict[str, NightReport]:
-        """Nights that are over, and those that are not, as they stand."""
+        """Return the reports of past nights and, as they stand now, of open ones, by the date of the morning."""
         reports = dict(self.closed_reports)
         now_ms = utc_now_ms()
         for workflow in self._workflows_with_deadline():
@@ -233,39 +257,48 @@
         return dict(sorted(reports.items()))
 
     def describe(self, night: str = "") -> dict[str, Any]:
+        """Return the answer to `promises`; `night`: only the deadlines of the night that ends on this date."""
         rows = sorted(self.statuses.values(), key=lambda s: (STATE_SORT_ORDER[s.state], s.slack_ms, s.workflow_id))
         if night:
             rows = [s for s in rows if due_time.night_ending_date(s.due_ms, self.settings.calendar) == night]
         now_ms = utc_now_ms()
         return {
-            "promises": [
-                {
-                    "chain": s.workflow_id,
-                    "team": s.team,
-                    "state": s.state,
-                    "stage": s.stage,
-                    "due_in_s": round((s.due_ms - now_ms) / 1000),
-                    "expected_in_s": round((s.expected_ms - now_ms) / 1000),
-                    "slack_s": round(s.slack_ms / 1000),
-                    "lots": s.lot_count,
-                    "lots_in_viewer": s.delivered_lot_count,
-                    "waits_for": s.waits_for,
-                    "due_ms": s.due_ms,
-                    "ended_ms": s.expected_ms if s.stage == "in the viewer" else None,
-                }
-                for s in rows[:MAX_LISTED_DEADLINES]
-            ],
-            "nights": [
-                {"night": name, "promised": n.due_lots, "kept": n.on_time_lots, "late": n.late_lots,
-                 "superseded": n.superseded_lots,
-                 "worst_late_s": n.max_lateness_s, "late_by_step": n.late_lots_by_step_class}
-                for name, n in self.night_reports().items()
-            ],
-        }  # fmt: skip
+            "promises": [_deadline_view(s, now_ms) for s in rows[:MAX_LISTED_DEADLINES]],
+            "nights": [_night_view(name, report) for name, report in self.night_reports().items()],
+        }
 
     def summary(self) -> dict[str, Any]:
-        """For `status`."""
+        """Return the part of `status`: the number of deadlines in each state."""
         counts: dict[str, int] = {}
         for status in self.statuses.values():
             counts[status.state] = counts.get(status.state, 0) + 1
         return {"promises": counts} if counts else {}
+
+
+def _deadline_view(status: DeadlineStatus, now_ms: int) -> dict[str, Any]:
+    return {
+        "chain": status.workflow_id,
+        "team": status.team,
+        "state": status.state,
+        "stage": status.stage,
+        "due_in_s": round((status.due_ms - now_ms) / 1000),
+        "expected_in_s": round((status.expected_ms - now_ms) / 1000),
+        "slack_s": round(status.slack_ms / 1000),
+        "lots": status.lot_count,
+        "lots_in_viewer": status.delivered_lot_count,
+        "waits_for": status.waits_for,
+        "due_ms": status.due_ms,
+        "ended_ms": status.expected_ms if status.stage == "in the viewer" else None,
+    }
+
+
+def _night_view(name: str, report: NightReport) -> dict[str, Any]:
+    return {
+        "night": name,
+        "promised": report.due_lots,
+        "kept": report.on_time_lots,
+        "late": report.late_lots,
+        "superseded": report.superseded_lots,
+        "worst_late_s": report.max_lateness_s,
+        "late_by_step": report.late_lots_by_step_class,
+    }
--- a/roseweir/delivery_deadlines/due_time.py
+++ b/roseweir/delivery_deadlines/due_time.py
@@ -1,11 +1,11 @@
-"""Which instant is promised. Pure.
+"""When the lots of a workflow are due. Pure.
 
-A business morning is the hour of a day that is neither closed nor a holiday, in local time. What landed before its
-cut-off is promised for it; what landed later for the next one. The instant is worked out once, as the amendment is
-taken, and kept as a time of day in milliseconds: no restart, clock or change of settings moves it.
+They are due at a set local time of a business day, a day that is neither closed nor a holiday. What landed before the
+cut-off of a business day is due on it; what landed later, on the next one. The due time is computed once, as the
+amendment is accepted, and stored in milliseconds: no restart, clock or change of settings moves it.
 
-Where daylight saving skips the hour, the promise is for the instant at which the clocks have gone on; where it comes
-twice, for the first time.
+Where daylight saving skips the local time, lots are due at the instant of the clock change; where it occurs twice, at
+its first occurrence.
 """
 
 from datetime import UTC, date, datetime, time, timedelta, tzinfo
@@ -13,11 +13,15 @@
 from roseweir.calendars import Calendar
 from roseweir.delivery_deadlines.settings import DeadlinePolicy
 
-# Closed days and holidays in a row, at the most, that are looked through.
+# The search for a business day ends after so many days.
 MAX_DAYS_SEARCHED = 400
 
 
 def compute_due_ms(landed_ms: int, policy: DeadlinePolicy, calendar: Calendar) -> int:
+    """Return when lots that landed at `landed_ms` are due; both in milliseconds since the epoch.
+
+    0: there is no business day within `MAX_DAYS_SEARCHED`.
+    """
     landed = datetime.fromtimestamp(landed_ms / 1000, UTC)
     zone = calendar.zone
     day = landed.astimezone(zone).date()
@@ -32,7 +36,7 @@
 
 
 def cutoff_instant(business_day: date, policy: DeadlinePolicy, zone: tzinfo) -> datetime:
-    """Until when what lands is for this morning: the last time the cut-off's hour comes before it."""
+    """Return the cut-off of a business day: the last occurrence of the cut-off's local time before lots are due."""
     if policy.cutoff_time is None:
         return local_instant(business_day, policy.due_time, zone)
     day = business_day if policy.cutoff_time <= policy.due_time else business_day - timedelta(days=1)
@@ -40,7 +44,7 @@
 
 
 def local_instant(day: date, at: time, zone: tzinfo) -> datetime:
-    """A local time of a day. One that does not exist is the moment at which the clocks have gone on."""
+    """Return a local time of a day, in UTC; for one that daylight saving skips, the instant of the clock change."""
     local = datetime.combine(day, at, zone)
     utc_time = local.astimezone(UTC)
     if utc_time.astimezone(zone).replace(tzinfo=None) == local.replace(tzinfo=None):
@@ -58,5 +62,5 @@
 
 
 def night_ending_date(due_ms: int, calendar: Calendar) -> str:
-    """The date of the morning that ends the night."""
+    """Return the date (ISO 8601) of the morning on which lots are due: it names the night before it."""
     return datetime.fromtimestamp(due_ms / 1000, UTC).astimezone(calendar.zone).date().isoformat()
--- /dev/null
+++ b/roseweir/delivery_deadlines/errors.py
@@ -0,0 +1,17 @@
+"""Errors of the delivery deadlines' stored records."""
+
+
+class DeliveryDeadlineError(Exception):
+    """Base of the errors of this package."""
+
+
+class NightRecordUnreadable(DeliveryDeadlineError):
+    """The stored night reports or step durations have not the form that this version writes.
+
+    Attributes:
+        cause: the error met while decoding.
+    """
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"the stored night reports cannot be decoded: {cause!r}")
+        self.cause = cause
--- a/roseweir/delivery_deadlines/handlers.py
+++ b/roseweir/delivery_deadlines/handlers.py
@@ -1,4 +1,4 @@
-"""What operators and peers ask of `/promises`, and what is answered."""
+"""Handler of `/promises`: requests about delivery deadlines, of operators and of peers."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,7 +11,7 @@
 class DeadlineRequest(
     msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True, rename={"is_forwarded": "passed_on"}
 ):
-    """The body of a POST: nothing, or the date of the morning that ends a night."""
+    """The body of a POST; `night`: the date of the morning that ends a night, or empty for all deadlines."""
 
     night: str = ""
     is_forwarded: bool = False
@@ -20,6 +20,7 @@
 async def handle_request(
     controller: "DeadlineController | None", method: str, body: bytes
 ) -> tuple[int, dict[str, Any]]:
+    """Return the HTTP status and answer: 200, 400 for a malformed body, 404 if no deadlines are configured."""
     if controller is None:
         return 404, {"error": "no `promise` in the operators' settings"}
     try:
--- a/roseweir/delivery_deadlines/settings.py
+++ b/roseweir/delivery_deadlines/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(promise ...)`: until when amended lots are to be in the viewer, by team."""
+"""The operators' form `(promise ...)`: the delivery deadlines of amended lots, by team."""
 
 from datetime import time, timedelta
 from typing import Any
@@ -8,6 +8,7 @@
 from roseweir.calendars import Calendar
 from roseweir.sexp import SettingsError, read_form, read_number, read_string
 
+DEFAULT_FORECAST_QUANTILE = 0.8
 WEEKDAYS = ("monday", "tuesday", "wednesday", "thursday", "friday", "saturday", "sunday")
 
 
@@ -21,30 +22,36 @@
         "forecast_quantile": "quantile",
     },
 ):
-    """What one team, or every team without a form of its own, is promised; defaults: docs/promises.md."""
+    """The deadlines of one team, or of every team without a form of its own; defaults: docs/promises.md."""
 
     team: str | None = None
     due_time: time = time(8)  # local time of a business day
-    cutoff_time: time | None = None  # what lands after it is for the morning after; None: until the very hour
-    closed_weekdays: list[int] = msgspec.field(
-        default_factory=lambda: [5, 6]
-    )  # days without a business morning, Monday is 0
-    risk_margin: timedelta = timedelta(minutes=20)  # with less slack than that it is at risk
-    forecast_quantile: float = 0.8  # of a class's measured times, for the forecast
+    cutoff_time: time | None = None  # what lands after it is due a business day later; None: the due time itself
+    # Weekdays that are no business days; Monday is 0.
+    closed_weekdays: list[int] = msgspec.field(default_factory=lambda: [5, 6])
+    risk_margin: timedelta = timedelta(minutes=20)  # with less slack than this a deadline is at risk
+    forecast_quantile: float = DEFAULT_FORECAST_QUANTILE  # of a class's measured durations
 
 
 class DeadlineSettings(msgspec.Struct, rename={"policies": "promises", "max_night_reports": "nights"}):
+    """All policies, the calendar of holidays, and how many reports of past nights are kept."""
+
     policies: list[DeadlinePolicy] = msgspec.field(default_factory=list)
     calendar: Calendar = msgspec.field(default_factory=Calendar)
-    max_night_reports: int = 30  # that are told of
+    max_night_reports: int = 30  # reports of past nights that are kept
 
     def policy_for(self, team: str) -> DeadlinePolicy | None:
+        """Return the policy of a team: its own, else that of every team; None: it has no deadlines."""
         team_policy = next((p for p in self.policies if p.team == team), None)
         return team_policy or next((p for p in self.policies if p.team is None), None)
 
 
 def parse_deadline_policy(settings: DeadlineSettings, entries: list[Any]) -> None:
-    """Read one `(promise (team "t") (by "08:00") (cut-off "05:30") (closed "saturday") (margin 1200))`."""
+    """Add the policy of one `(promise (team "t") (by "08:00") (cut-off "05:30") (closed "saturday") (margin 1200))`.
+
+    Raises:
+        SettingsError: the form is malformed, or its team has one already.
+    """
     policy = DeadlinePolicy()
     for entry in entries:
         name, args = read_form(entry)
--- a/tests/simulation/stored_value_rewriting.py
+++ b/tests/simulation/stored_value_rewriting.py
@@ -115,9 +115,9 @@
 
 
 def _rewrite_delivery_deadlines(version: Version, key: str, rest: str, value: Any) -> Any:
-    durations = version.find("delivery_deadlines.deadline_status", "StepDurations")()
+    durations = version.find("delivery_deadlines.step_durations", "StepDurations")()
     durations.decode(value["times"])
-    night_report = version.find("delivery_deadlines.deadline_status", "NightReport")
+    night_report = version.find("delivery_deadlines.night_report", "NightReport")
     nights = {name: night_report.decode(night).encode() for name, night in value["nights"].items()}
     return {"nights": nights, "times": durations.encode()}
 
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -12,23 +12,23 @@
 from roseweir.calendars import Calendar
 from roseweir.clock import seconds
 from roseweir.cloud.scale_out import time_budget
-from roseweir.delivery_deadlines import cli, deadline_status
+from roseweir.delivery_deadlines import chart, deadline_status
 from roseweir.delivery_deadlines.controller import DeadlineController
+from roseweir.delivery_deadlines.critical_path import remaining_critical_path
 from roseweir.delivery_deadlines.deadline_status import (
     AT_RISK,
     LATE,
     MET,
     ON_TRACK,
     UNATTAINABLE,
-    NightReport,
-    StepDurations,
-    delivered_lots,
     evaluate_deadline,
-    remaining_critical_path,
     urgent_job_slack,
 )
 from roseweir.delivery_deadlines.due_time import compute_due_ms, local_instant, night_ending_date
+from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
+from roseweir.delivery_deadlines.night_report import NightReport
 from roseweir.delivery_deadlines.settings import DeadlinePolicy, DeadlineSettings
+from roseweir.delivery_deadlines.step_durations import StepDurations
 from roseweir.operator_config import OperatorConfig, parse_operator_config
 from roseweir.scheduler.scheduling_pass import build_queue
 from roseweir.sexp import SettingsError
@@ -359,5 +359,5 @@
     assert told[0] and told[1]["nights"][0]["night"] == "2026-01-01"
     night = told[1]["nights"][0]
     assert night["kept"] + night["late"] + night["superseded"] == night["promised"] > 0
-    cli.draw_chart(told[1], tmp_path / "night.png")
+    chart.draw_chart(told[1], tmp_path / "night.png")
     assert (tmp_path / "night.png").stat().st_size > 5000
