--- /dev/null
+++ b/roseweir/controller/peer_queries.py
@@ -0,0 +1,108 @@
+"""What this controller asks of the other controllers: acknowledged cancellations, rejected requests, progress."""
+
+from collections.abc import Awaitable, Callable
+from datetime import datetime, timedelta
+from secrets import token_hex
+from typing import Any
+
+import msgspec
+
+from roseweir.clock import NEVER, monotonic_now
+from roseweir.controller.leadership import Leadership
+from roseweir.http import Transport, Unreachable
+from roseweir.membership.messages import AcknowledgedCancellations
+from roseweir.membership.monitor import PEER_TIMEOUT, MembershipMonitor
+from roseweir.service_levels.controller import gather_rejected_requests
+from roseweir.service_levels.messages import RejectedRequests, encode_rejected_requests
+from roseweir.settings import Settings
+from roseweir.submissions.handlers import SubmissionHandlers
+from roseweir.workers.messages import RUNNING, SAVING_CHECKPOINT
+
+REJECTIONS_PATH = "/turned-away"
+PROGRESS_PATH = "/progress"
+# Jobs asked about in one request to the leader: it has to fit 64 KiB.
+MAX_JOBS_PER_PROGRESS_REQUEST = 2000
+
+
+class PeerQueries:
+    """Combines this node's own answers with those of the other controllers."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        leadership: Leadership,
+        *,
+        membership: MembershipMonitor,
+        submission_handlers: SubmissionHandlers,
+    ) -> None:
+        self._settings = settings
+        self._leadership = leadership
+        self._membership = membership
+        self._submission_handlers = submission_handlers
+        # Distinguishes this process from an earlier one of the same node.
+        self._process_id = token_hex(4)
+        self._started_at = NEVER
+
+    def start(self, now: datetime) -> None:
+        """Count the uptime from `now`, an instant of the monotonic clock."""
+        self._started_at = now
+
+    async def fetch_acknowledged_cancellations(self, window: timedelta) -> AcknowledgedCancellations | None:
+        """Jobs whose cancellation any controller, this one among them, has acknowledged to a user within `window`.
+
+        Returns:
+            None if a controller did not answer or does not remember as far back.
+        """
+        peer_acknowledged = await self._membership.fetch_acknowledged_cancellations(window)
+        own_job_ids = self._submission_handlers.acknowledged_cancellations_since(window)
+        if peer_acknowledged is None or own_job_ids is None:
+            return None
+        return AcknowledgedCancellations(peer_acknowledged.term, (peer_acknowledged.job_ids or []) + own_job_ids)
+
+    def describe_rejections(self) -> dict[str, Any]:
+        """Counts of the requests that this process has rejected since its start, ready for JSON."""
+        uptime_s = (monotonic_now() - self._started_at).total_seconds()
+        return encode_rejected_requests(self._process_id, uptime_s, self._submission_handlers.rejection_counts)
+
+    async def gather_rejections(self) -> dict[str, RejectedRequests]:
+        """Counts of rejected requests by the name of the controller, of this one and all that answer."""
+        fetchers: dict[str, Callable[[], Awaitable[Any]]] = {self._settings.name: self._fetch_own_rejections}
+        for each in self._settings.peers:
+            peer = self._membership.peer_transport(each.name)
+            if peer is not None:
+                fetchers[each.name] = _rejections_fetcher(peer)
+        return await gather_rejected_requests(fetchers)
+
+    async def _fetch_own_rejections(self) -> Any:
+        return self.describe_rejections()
+
+    def count_tasks(self, job_id: str) -> tuple[int, int]:
+        """Tasks completed and running, for display; zeros unless this node leads. Only recorded completions count."""
+        leader_term = self._leadership.leader_term
+        run = None if leader_term is None else leader_term.cluster_state.jobs.get(job_id)
+        if run is None:
+            return 0, 0
+        running = sum(1 for placement in run.placements.values() if placement.state in (RUNNING, SAVING_CHECKPOINT))
+        return run.completed_count - len(run.uncommitted_completions), running
+
+    async def fetch_progress(self, job_ids: list[str]) -> dict[str, tuple[int, int]]:
+        """Tasks completed and running of each job, as the leader counts them; empty if it does not answer."""
+        if self._leadership.leader_term is not None:
+            return {job_id: self.count_tasks(job_id) for job_id in job_ids}
+        leader_transport = self._leadership.leader_transport()
+        if leader_transport is None:
+            return {}
+        try:
+            reply = await leader_transport(
+                "POST", PROGRESS_PATH, job_ids[:MAX_JOBS_PER_PROGRESS_REQUEST], timeout=PEER_TIMEOUT
+            )
+            return msgspec.json.decode(reply.body, type=dict[str, tuple[int, int]])
+        except (Unreachable, msgspec.DecodeError):
+            return {}
+
+
+def _rejections_fetcher(peer: Transport) -> Callable[[], Awaitable[Any]]:
+    async def fetch() -> Any:
+        return (await peer("GET", REJECTIONS_PATH, timeout=PEER_TIMEOUT)).json()
+
+    return fetch
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -364,7 +364,7 @@
                 if reign is not None and reign.predictive_scaler is not None:
                     assert not reign.predictive_scaler.failure, reign.predictive_scaler.failure
                     ahead.append(len(reign.predictive_scaler.planner.capacity_plan.kept_machines))
-                    assert "machines_ahead" in node.service.describe_status()  # type: ignore[union-attr]
+                    assert "machines_ahead" in node.service.status_reporter.describe_status()  # type: ignore[union-attr]
 
     cluster.schedule_action(look)
     cluster.run()
@@ -402,8 +402,8 @@
         said.append(
             (
                 service.leader_term.leader_lease.term,
-                service.describe_status()["ahead"],
-                service.describe_forecast()["broken"],
+                service.status_reporter.describe_status()["ahead"],
+                service.status_reporter.describe_forecast()["broken"],
             )
         )
 
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -150,7 +150,7 @@
         told.extend([status, answer["standing"]])
         service = cluster.current_leader().service
         assert service is not None
-        told.append(service.describe_status()["jobs_held"])
+        told.append(service.status_reporter.describe_status()["jobs_held"])
         told.append(service.leader_election.failed_terms)
         cluster.cancel_requested.add(job_id)
         status, answer = await cluster.ask("POST", f"/submissions/{job_id}/cancel")
