--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -8,7 +8,7 @@
 from roseweir.cloud.client import CloudClient
 from roseweir.connections import ConnectionAdmission
 from roseweir.controller.catalog import MachineCatalog
-from roseweir.controller.leader import LeaderTerm
+from roseweir.controller.leader import LeaderDependencies, LeaderTerm
 from roseweir.controller.leadership import Leadership
 from roseweir.controller.listeners import listen_when_free, split_address
 from roseweir.controller.peer_api import PeerApi
@@ -186,18 +186,17 @@
     async def _run_leader_term(self, leader_lease: LeaderLease) -> None:
         while not self.catalog.is_loaded:
             await sleep(CATALOG_POLL_INTERVAL)
-        leader_term = LeaderTerm(
-            self.settings,
-            self.operator_config,
-            self.kv_store,
-            self.cloud_client,
-            self.catalog.machine_types,
-            leader_lease,
-            self._connect,
-            self.admission.may_hold_response,
-            self._gather_rejections,
-            self.peer_queries.fetch_acknowledged_cancellations,
+        dependencies = LeaderDependencies(
+            settings=self.settings,
+            operator_config=self.operator_config,
+            kv_store=self.kv_store,
+            cloud_client=self.cloud_client,
+            connect=self._connect,
+            may_hold_connection=self.admission.may_hold_response,
+            gather_rejections=self._gather_rejections,
+            fetch_acknowledged_cancellations=self.peer_queries.fetch_acknowledged_cancellations,
         )
+        leader_term = LeaderTerm(dependencies, self.catalog.machine_types, leader_lease)
         self.leadership.leader_term = leader_term
         try:
             await leader_term.run()
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -9,7 +9,7 @@
 import pytest
 
 from roseweir.clock import seconds
-from roseweir.controller.leader import LeaderTerm
+from roseweir.controller.live_jobs import LiveJobWatcher
 from roseweir.http import Reply, Unreachable
 from roseweir.kv_store import KeyValueStoreClient, StoreError
 from roseweir.kv_store.client import put
@@ -313,9 +313,9 @@
 def test_how_a_job_ended_is_told_as_the_state_service_has_it(broken: bool, monkeypatch: Patch) -> None:
     """A user's cancel comes between the last task's end and its record: the steps that follow must not be let go."""
     if broken:
-        learn = LeaderTerm._apply_live_job
+        learn = LiveJobWatcher._apply_live_job
 
-        def guess(self: LeaderTerm, job_id: str, value: object, version: int, revision: int) -> None:
+        def guess(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
             run = self.cluster_state.jobs.get(job_id)
             if value is None and run is not None and run.is_complete and not run.final_state:
                 from roseweir.submissions.jobs import completed_job
@@ -324,7 +324,7 @@
                 return
             learn(self, job_id, value, version, revision)
 
-        monkeypatch.setattr(LeaderTerm, "_apply_live_job", guess)
+        monkeypatch.setattr(LiveJobWatcher, "_apply_live_job", guess)
     raced = 0
     wrong: list[str] = []
     for seed in range(7760, 7764):
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -7,7 +7,7 @@
 
 from roseweir.clock import seconds
 from roseweir.cloud.scale_out import plan_scale_out
-from roseweir.controller.leader import LeaderTerm
+from roseweir.controller.live_jobs import LiveJobWatcher
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine, Placement, PlacementPhase
@@ -273,13 +273,13 @@
 
 def ends_are_not_learnt(patch: Patch) -> None:
     """A leader does not take in that jobs are over."""
-    learn = LeaderTerm._apply_live_job
+    learn = LiveJobWatcher._apply_live_job
 
-    def keep(self: LeaderTerm, job_id: str, value: object, version: int, revision: int) -> None:
+    def keep(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
         if value is not None:
             learn(self, job_id, value, version, revision)
 
-    patch.setattr(LeaderTerm, "_apply_live_job", keep)
+    patch.setattr(LiveJobWatcher, "_apply_live_job", keep)
 
 
 def cancelled_in_the_queue(seed: int) -> AtLimit:
