--- /dev/null
+++ b/roseweir/dependencies/cancellation_writer.py
@@ -0,0 +1,127 @@
+"""Writes the ends of jobs that are cancelled with a job that they depend on, in the background.
+
+Until then any controller derives these ends from that of the job that was cancelled, so the writing may be slow: it
+takes what starts leave over of the store's write rate (arithmetic: docs/design.md).
+"""
+
+import asyncio
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+from itertools import islice
+
+from roseweir.clock import sleep
+from roseweir.dependencies.graph import CANCELLED
+from roseweir.http import Unreachable
+from roseweir.kv_store import CompareFailed, KeyValueStoreClient, StoreError
+from roseweir.kv_store.client import delete, put
+from roseweir.leader_election.messages import LEADER_KEY
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.log_writer import LogWriter
+from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX, completed_job, to_stored
+
+log = logging.getLogger(__name__)
+
+# The wait after a request that failed.
+RETRY_DELAY = timedelta(milliseconds=250)
+# The wait while this node is not sure to lead.
+LEADERSHIP_RETRY_DELAY = timedelta(seconds=1)
+# The part of a second's changes that is left to others. The log writer keeps a quarter of it: this spends what is
+# above both.
+RESERVED_WRITE_FRACTION = 0.5
+# If there is nothing above that for so long, one job is ended all the same: two changes in that time.
+WRITE_BUDGET_TIMEOUT = timedelta(seconds=2)
+# Jobs that one transaction ends at the most: their ends are up to 300 bytes each.
+MAX_CANCELLATIONS_PER_TRANSACTION = 64
+
+
+class CancellationWriter:
+    """Ends jobs that are cancelled with others, a few in each transaction."""
+
+    def __init__(
+        self,
+        cluster_state: ClusterState,
+        kv_store: KeyValueStoreClient,
+        log_writer: LogWriter,
+        may_act: Callable[[], bool],
+        step_down: Callable[[str], None],
+    ) -> None:
+        """`may_act`: whether this node surely leads. `step_down`: called when another has taken the leader's key."""
+        self.cluster_state = cluster_state
+        self.kv_store = kv_store
+        self.log_writer = log_writer
+        self._may_act = may_act
+        self._step_down = step_down
+        # Jobs whose end is to be written, in that order (a dict as an ordered set).
+        self.pending: dict[str, None] = {}
+        self._requested = asyncio.Event()
+
+    def add(self, job_id: str) -> None:
+        """Write the job's end soon."""
+        self.pending[job_id] = None
+        self._requested.set()
+
+    def discard(self, job_id: str) -> None:
+        """The job's end is durable, or need not be written."""
+        self.pending.pop(job_id, None)
+
+    async def run(self) -> None:
+        """Write the ends of the jobs in `pending` in the background, for the leader's whole term."""
+        while True:
+            await self._requested.wait()
+            if not self.pending:
+                self._requested.clear()
+                continue
+            write_budget = await self._wait_for_write_budget()
+            if not self._may_act():
+                await sleep(LEADERSHIP_RETRY_DELAY)
+                continue
+            max_jobs = max(1, min(int(write_budget), self.kv_store.transaction_limits.max_txn_ops) // 2)
+            try:
+                await self._write_cancellations(
+                    list(islice(self.pending, min(max_jobs, MAX_CANCELLATIONS_PER_TRANSACTION)))
+                )
+            except (StoreError, Unreachable) as error:
+                log.info("transitive cancellation failed: error=%s", error)
+                await sleep(RETRY_DELAY)
+
+    async def _wait_for_write_budget(self) -> float:
+        """Wait until starts leave some write rate over, WRITE_BUDGET_TIMEOUT at most; returns how many changes."""
+        try:
+            async with asyncio.timeout(WRITE_BUDGET_TIMEOUT.total_seconds()):
+                return await self.kv_store.wait_for_write_capacity(RESERVED_WRITE_FRACTION)
+        except TimeoutError:
+            return 0.0
+
+    async def _write_cancellations(self, job_ids: list[str]) -> None:
+        """End these jobs in one transaction, if the leader's key and none of them has changed."""
+        runs = [run for run in map(self.cluster_state.jobs.get, job_ids) if run is not None and not run.final_state]
+        for job_id in set(job_ids) - {run.spec.id for run in runs}:
+            self.pending.pop(job_id, None)
+        if not runs:
+            return
+        guards = [(LEADER_KEY, self.log_writer.leader_version)]
+        operations = []
+        for run in runs:
+            job_id = run.spec.id
+            guards += [(LIVE_JOB_PREFIX + job_id, run.version), (COMPLETED_JOB_PREFIX + job_id, 0)]
+            operations += [
+                put(COMPLETED_JOB_PREFIX + job_id, to_stored(completed_job(run.spec, CANCELLED))),
+                delete(LIVE_JOB_PREFIX + job_id),
+            ]
+        try:
+            await self.kv_store.compare_and_swap(guards, operations)
+        except CompareFailed as error:
+            if LEADER_KEY in error.failed_keys:
+                self._step_down("the leader's key has changed")
+                await sleep(LEADERSHIP_RETRY_DELAY)
+                return
+            # The user cancelled it first, or an earlier try of this was executed and not answered.
+            for job_id in sorted({path.partition("/")[2] for path in error.failed_keys}):
+                await self.log_writer.refresh_job_end(job_id)
+                if self.pending.pop(job_id, "over") is None:
+                    self.pending[job_id] = None  # not over: retried after the others
+                    await sleep(RETRY_DELAY)
+            return
+        for run in runs:
+            self.log_writer.record_job_end(run.spec.id, completed_job(run.spec, CANCELLED))
--- a/roseweir/dependencies/graph.py
+++ b/roseweir/dependencies/graph.py
@@ -1,13 +1,16 @@
-"""Which jobs wait for which: who may start, who is cancelled with whom, whose priority counts. Pure, no I/O, no clock.
+"""The DAG of job dependencies: releases, transitive cancellations and effective priorities. No I/O, no clock.
 
-A job arrives after all that it names, and its names never change, so there are no circles. Only ends that are durable
-are told to the graph; it assumes none. A job that has ended leaves it, so its size is that of what waits.
+A job arrives after all that it names, and its names never change, so there are no cycles. Only durable ends are
+recorded in the graph; it assumes none. A job that has ended leaves it, so its size is that of what waits.
 """
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import Final
 
-DONE, CANCELLED = "done", "cancelled"
+# Stored states of completed jobs.
+DONE: Final = "done"
+CANCELLED: Final = "cancelled"
 
 
 @dataclass(slots=True)
@@ -37,8 +40,11 @@
         return self._effective_priorities.get(job_id)
 
     def add_job(self, job_id: str, priority: int, awaited: Iterable[str]) -> GraphChange:
-        """A job that waits. `awaited`: what it names that is not known to be done; those known cancelled are told of
-        by `end` afterwards. With nothing awaited it is released."""
+        """Add a job that waits; with nothing awaited it is released.
+
+        `awaited`: the dependencies that are not known to be done. Those known to be cancelled are recorded by
+        `record_end` afterwards.
+        """
         change = GraphChange()
         dependencies = set(awaited)
         root = min((self.cancelled_with[name] for name in dependencies if name in self.cancelled_with), default="")
@@ -56,7 +62,7 @@
         return change
 
     def record_priority(self, job_id: str, priority: int, change: GraphChange | None = None) -> GraphChange:
-        """The priority with which a job was submitted, if it waits or others wait for it."""
+        """Record the priority with which a job was submitted, if it waits or others wait for it."""
         change = change or GraphChange()
         if job_id in self.dependencies or job_id in self.dependents:
             self._own_priorities[job_id] = priority
@@ -65,7 +71,7 @@
         return change
 
     def record_end(self, job_id: str, state: str) -> GraphChange:
-        """The job's end is durable."""
+        """Record a job's end, which is durable: its dependents are released, or cancelled with it."""
         change = GraphChange()
         self.cancelled_with.pop(job_id, None)
         dependencies = self._remove_dependencies(job_id)
@@ -89,7 +95,7 @@
         return change
 
     def _cancel_transitively(self, initial: list[tuple[str, str]], change: GraphChange) -> None:
-        """These jobs, and all that need them through others, are cancelled with the jobs named."""
+        """Cancel these jobs and all their transitive dependents, each with the job that it is paired with."""
         stack = list(initial)
         affected: set[str] = set()
         while stack:
@@ -103,7 +109,7 @@
         self._propagate_priorities(affected, change)
 
     def _remove_dependencies(self, job_id: str) -> set[str]:
-        """The job waits for nothing any more; what it waited for."""
+        """Remove the edges to what the job waits for; returns what that was."""
         dependencies = self.dependencies.pop(job_id, set())
         for name in dependencies:
             dependents = self.dependents.get(name)
@@ -118,7 +124,7 @@
         self._effective_priorities.pop(job_id, None)
 
     def _propagate_priorities(self, job_ids: Iterable[str], change: GraphChange) -> None:
-        """See these jobs' effective priorities anew, and those of all that they need where one has changed."""
+        """Recompute these jobs' effective priorities, and those of their dependencies where one has changed."""
         stack = list(job_ids)
         while stack:
             job_id = stack.pop()
@@ -182,7 +188,7 @@
 
 
 def longest_path_ms(job_id: str, edges: Mapping[str, set[str]], duration_ms: Callable[[str], int]) -> int:
-    """Milliseconds of the longest way from a job along the edges, the job itself included."""
+    """Milliseconds of the longest path from a job along the edges, the job itself included."""
     path_ms: dict[str, int] = {}
     stack = [job_id]
     while stack:
--- a/roseweir/dependencies/slack.py
+++ b/roseweir/dependencies/slack.py
@@ -1,10 +1,10 @@
-"""How much time the jobs of a pipeline have left: users set a deadline on its last job alone. Pure.
+"""Slack of a pipeline's jobs before its deadline, which users set on the last job alone. No I/O.
 
 Each job before has to end early enough for those behind it, by the estimates that the leader corrects by class. Among
 one team's jobs of equal standing those that run out of time go first, the least slack first
-(`scheduler/scheduling_pass.py`): an exception to the order of arrival, and the smallest that works. Nobody else's
-place in the queue moves, no job whose
-time is ample moves, and what is late by more than its whole path makes way again for what can still come in time.
+(`scheduler/queue_order.py`): an exception to the order of arrival, and the smallest that works. No other team's place
+in the queue moves, no job whose time is ample moves, and a job late by more than its whole path makes way again for
+jobs that can still end in time.
 """
 
 from collections.abc import Iterable
@@ -15,10 +15,10 @@
 from roseweir.scheduler.model import JobRun
 from roseweir.scheduler.quota import max_concurrent_tasks
 
-# Whether jobs of pipelines are put in order by slack; False to measure without.
-ORDER_BY_SLACK = True
-# Estimates are wrong by half: less slack than this part of the path behind a job is none. And how late is lost.
-AT_RISK_SLACK_FRACTION, MAX_LATENESS_FRACTION = 0.5, 1.0
+# Estimates are wrong by half: a job with less slack than this part of the path behind it is at risk.
+AT_RISK_SLACK_FRACTION = 0.5
+# A job that is late by more than this part of the path behind it can not end in time.
+MAX_LATENESS_FRACTION = 1.0
 
 
 def estimated_duration_ms(cluster_state: ClusterState, run: JobRun) -> int:
@@ -32,6 +32,7 @@
 
 
 def stage_of(cluster_state: ClusterState, job_id: str) -> Stage:
+    """The job's estimated duration and its own deadline; neither for one that is over or not known."""
     run = cluster_state.jobs.get(job_id)
     if run is None or run.final_state:
         return Stage(0, None)
--- a/roseweir/scheduler/placement_policy.py
+++ b/roseweir/scheduler/placement_policy.py
@@ -18,4 +18,4 @@
         """How much capacity that other jobs need whole a task of the job would break up on the machine."""
 
     def lifetime_mismatch(self, machine: Machine, spec: JobSpec) -> float:
-        """How different the task's expected duration is from those of the tasks on the machine."""
+        """1.0 where a task that ends by itself would run beside ones that do not, or the other way round; else 0.0."""
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -593,7 +593,7 @@
     reconciler.record_end("j-000001", "cancelled")
 
     async def work() -> None:
-        sweep = asyncio.create_task(reconciler._write_cancellations_loop())
+        sweep = asyncio.create_task(reconciler.cancellation_writer.run())
         await asyncio.sleep(60)
         sweep.cancel()
 
