--- a/roseweir/__init__.py
+++ b/roseweir/__init__.py
@@ -1,3 +1,3 @@
-"""roseweir: a cluster scheduler that keeps its promises through failures."""
+"""roseweir: a fault-tolerant cluster scheduler."""
 
 __version__ = "0.1.0"
--- a/roseweir/__main__.py
+++ b/roseweir/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m roseweir`: the command line."""
+
 import sys
 
 from roseweir.cli import main
--- a/roseweir/admin_client.py
+++ b/roseweir/admin_client.py
@@ -1,4 +1,4 @@
-"""How the command line asks controllers: one order, repeated under its name until somebody answers."""
+"""Client of the controllers' admin API, for the command line: one command, repeated until a controller answers."""
 
 import asyncio
 import sys
@@ -11,11 +11,33 @@
 from roseweir.sexp import SettingsError
 
 REQUEST_TIMEOUT = timedelta(seconds=6)
-# An operator's request is repeated under its name for so long: taken twice, it is the same.
-MAX_ATTEMPTS, RETRY_INTERVAL_S = 8, 1.0
+# Commands carry a request ID and are idempotent, so that they can be repeated.
+MAX_ATTEMPTS = 8
+RETRY_INTERVAL_S = 1.0
+# A controller may ask for a longer pause before the next attempt, up to this one.
+MAX_RETRY_AFTER_S = 30.0
+SUCCESS_STATUSES = (200, 201)
+REFUSED_STATUSES = (400, 404, 409, 422)
+
+
+class CommandRefused(SettingsError):
+    """A controller refused the command; the message is its reason.
+
+    Attributes:
+        status: The HTTP status of the answer, one of `REFUSED_STATUSES`.
+    """
+
+    def __init__(self, reason: str, status: int) -> None:
+        super().__init__(reason)
+        self.status = status
 
 
 def validate_address(address: str) -> str:
+    """The address as it is, if it reads HOST:PORT.
+
+    Raises:
+        SettingsError: It does not.
+    """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise SettingsError(f"--at: `{address}` is not HOST:PORT")
@@ -25,7 +47,16 @@
 def post_command(
     controller_address: str, path: str, command: dict[str, Any], max_attempts: int = MAX_ATTEMPTS
 ) -> dict[str, Any]:
-    """The answer; SettingsError for what is refused, SystemExit 1 if nobody answers."""
+    """Send a command to a controller, and repeat it while no answer comes or the controller is not ready.
+
+    Returns:
+        The controller's answer, decoded from JSON.
+
+    Raises:
+        CommandRefused: The controller refused the command.
+        SettingsError: The address is not HOST:PORT.
+        SystemExit: With status 1, after `max_attempts` without success; the reason is printed on standard error.
+    """
     from roseweir.http import Client, Unreachable
 
     validate_address(controller_address)
@@ -40,18 +71,19 @@
         try:
             reply = asyncio.run(send())
             answer: dict[str, Any] = reply.json()
-        except (Unreachable, ValueError) as e:
-            failure = f"no answer: {e}"
+        except (Unreachable, ValueError) as error:
+            failure = f"no answer: {error}"
             continue
-        if reply.status in (200, 201):
+        if reply.status in SUCCESS_STATUSES:
             return answer
         failure = str(answer.get("error", reply.status))
-        if reply.status in (400, 404, 409, 422):
-            raise SettingsError(failure)
-        time.sleep(min(30.0, float(answer.get("come_back_s", 0.0))))
+        if reply.status in REFUSED_STATUSES:
+            raise CommandRefused(failure, reply.status)
+        time.sleep(min(MAX_RETRY_AFTER_S, float(answer.get("come_back_s", 0.0))))
     print(f"roseweir: {failure}", file=sys.stderr)
     raise SystemExit(1)
 
 
 def print_json(answer: dict[str, Any]) -> None:
+    """Print an answer as indented JSON."""
     print(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
--- a/roseweir/calendars.py
+++ b/roseweir/calendars.py
@@ -11,7 +11,16 @@
 class CalendarEvent(
     msgspec.Struct, frozen=True, rename={"starts_at": "begins", "ends_at": "ends", "demand_factor": "factor"}
 ):
-    """Known beforehand: so many times the usual demand, in local time. It teaches the usual weeks nothing."""
+    """A known event, in local time, with a multiple of the typical demand.
+
+    The demand seen during an event does not count for the typical weeks.
+
+    Attributes:
+        name: Shown to operators.
+        starts_at: Naive local time, inclusive.
+        ends_at: Naive local time, exclusive.
+        demand_factor: Multiple of the typical demand.
+    """
 
     name: str
     starts_at: datetime
@@ -29,6 +38,11 @@
 
     @property
     def zone(self) -> tzinfo:
+        """The time zone.
+
+        Raises:
+            KeyError, ValueError, OSError: The machine's list of time zones has none of this name.
+        """
         # A machine without a list of time zones still knows this one.
         if self.time_zone == "UTC":
             return UTC
@@ -38,15 +52,21 @@
         return ZoneInfo(self.time_zone)
 
     def is_holiday(self, day: date) -> bool:
+        """Whether a local date is a day without demand."""
         return (day.year, day.month, day.day) in self.holidays or (None, day.month, day.day) in self.holidays
 
     def event_at(self, local: datetime) -> CalendarEvent | None:
+        """The first event that covers a local time; None if none does."""
         naive = local.replace(tzinfo=None)
-        return next((e for e in self.events if e.starts_at <= naive < e.ends_at), None)
+        return next((event for event in self.events if event.starts_at <= naive < event.ends_at), None)
 
 
 def parse_calendar(entries: list[Any]) -> Calendar:
-    """Read the entries of `(calendar (time-zone "...") (holiday "...") (event ...) ...)`."""
+    """Read the entries of `(calendar (time-zone "...") (holiday "...") (event ...) ...)`.
+
+    Raises:
+        SettingsError: An entry is unknown or not valid.
+    """
     calendar = Calendar()
     for entry in entries:
         name, args = read_form(entry)
@@ -93,17 +113,17 @@
             raise SettingsError(f"an `event` needs `{required_name}`")
     if factor is None:
         raise SettingsError("an `event` needs `factor`")
-    times: list[datetime] = []
-    for name in ("from", "to"):
-        try:
-            instant = datetime.fromisoformat(texts[name])
-        except ValueError:
-            raise SettingsError(
-                f"`{name}` in `event`: `{texts[name]}` is not a local time like 2026-12-20T18:00"
-            ) from None
-        if instant.tzinfo is not None:
-            raise SettingsError(f"`{name}` in `event` is local time and takes no offset")
-        times.append(instant)
-    if times[0] >= times[1]:
+    starts_at, ends_at = (_parse_local_time(name, texts[name]) for name in ("from", "to"))
+    if starts_at >= ends_at:
         raise SettingsError("an `event` must end after it begins")
-    return CalendarEvent(texts["name"], times[0], times[1], factor)
+    return CalendarEvent(texts["name"], starts_at, ends_at, factor)
+
+
+def _parse_local_time(name: str, text: str) -> datetime:
+    try:
+        instant = datetime.fromisoformat(text)
+    except ValueError:
+        raise SettingsError(f"`{name}` in `event`: `{text}` is not a local time like 2026-12-20T18:00") from None
+    if instant.tzinfo is not None:
+        raise SettingsError(f"`{name}` in `event` is local time and takes no offset")
+    return instant
--- a/roseweir/cli.py
+++ b/roseweir/cli.py
@@ -1,17 +1,17 @@
-"""The command line: `roseweir serve`, `check-config`, `status` and the operators' verbs of each slice."""
+"""The command line: `roseweir serve`, `check-config`, `status` and the operators' verbs of each package."""
 
 import argparse
 import asyncio
 import logging
 import os
 import sys
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from datetime import timedelta
 from pathlib import Path
 from typing import Any
 
 from roseweir import __version__
-from roseweir.admin_client import validate_address
+from roseweir.admin_client import print_json, validate_address
 from roseweir.delivery_deadlines import cli as delivery_deadline_cli
 from roseweir.drain import cli as drain_cli
 from roseweir.forecast import cli as forecast_cli
@@ -26,6 +26,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
+    """Run the command line; the process's exit status: 0 success, 1 no answer, 2 a wrong setting, 130 interrupted."""
     args = _build_parser().parse_args(drain_cli.expand_start_shorthand(sys.argv[1:] if argv is None else argv))
     try:
         result: int = args.run(args)
@@ -139,25 +140,21 @@
         print(f"roseweir: {answer['error']}; the leader is {answer['leader'] or 'not known'}", file=sys.stderr)
         return 1
     if args.json:
-        import orjson
-
-        print(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
-    elif args.what == "limits":
-        _print_limits(answer)
-    elif args.what == "served":
-        _print_service_levels(answer)
-    elif args.what == "forecast":
-        forecast_cli.print_forecast(answer)
+        print_json(answer)
     else:
-        for name, value in answer.items():
-            if isinstance(value, list):
-                for line in value:
-                    print(f"{name.replace('_', ' '):18} {line}")
-            else:
-                print(f"{name.replace('_', ' '):18} {'-' if value is None else value}")
+        ANSWER_PRINTERS[args.what](answer)
     return 0
 
 
+def _print_status(answer: dict[str, Any]) -> None:
+    for name, value in answer.items():
+        if isinstance(value, list):
+            for line in value:
+                print(f"{name.replace('_', ' '):18} {line}")
+        else:
+            print(f"{name.replace('_', ' '):18} {'-' if value is None else value}")
+
+
 def _print_service_levels(answer: dict[str, Any]) -> None:
     columns = ("accepted", "started", "done", "cancelled", "turned_away", "waiting", "tasks_waiting", "tasks_running")
     rows = [("team", "class", *columns, "served")]
@@ -189,3 +186,12 @@
         return
     columns = ("tag", "tokens", "capacity", "window_s", "burst", "draw_cap", "expires_in_s", "skipped", "blocked_s")
     _print_table([columns, *(tuple(str(limit[c]) for c in columns) for limit in answer["limits"])])
+
+
+# By the query's name, how its answer is printed.
+ANSWER_PRINTERS: dict[str, Callable[[dict[str, Any]], None]] = {
+    "limits": _print_limits,
+    "status": _print_status,
+    "served": _print_service_levels,
+    "forecast": forecast_cli.print_forecast,
+}
--- a/roseweir/clock.py
+++ b/roseweir/clock.py
@@ -1,4 +1,4 @@
-"""Steady instants and wall-clock time, both as the standard library's types."""
+"""Monotonic instants and wall-clock time, both as the standard library's types."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,30 +8,32 @@
 ZERO = timedelta(0)
 NEVER = datetime(1970, 1, 1)
 FOREVER = datetime(9000, 1, 1)
-# A wait that took so much longer than it should tells that this process stood still meanwhile.
+# A wait that took longer than it should by at least this shows that the process was paused meanwhile.
 PROCESS_PAUSE_THRESHOLD = timedelta(seconds=1.5)
 
 
 def monotonic_now() -> datetime:
-    """The running loop's steady clock, as a naive instant that means nothing outside this process."""
+    """The running loop's monotonic clock, as a naive instant that means nothing outside this process."""
     return MONOTONIC_ORIGIN + timedelta(seconds=asyncio.get_running_loop().time())
 
 
 def utc_now() -> datetime:
+    """The wall-clock time, in UTC."""
     return datetime.now(UTC)
 
 
 def utc_now_ms() -> int:
-    """The time of day in milliseconds, as records keep it."""
+    """The wall-clock time in whole milliseconds since the Unix epoch, as stored records hold it."""
     return round(utc_now().timestamp() * 1000)
 
 
 async def sleep(duration: timedelta) -> None:
+    """Sleep for a duration; a negative one counts as zero."""
     await asyncio.sleep(max(0.0, duration.total_seconds()))
 
 
 async def wait_at_most(timeout: timedelta, awaitable: Awaitable[object]) -> None:
-    """Wait for a signal, but no longer than that."""
+    """Wait for an awaitable, which is cancelled after `timeout`; its result is dropped."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             await awaitable
@@ -40,4 +42,5 @@
 
 
 def seconds(value: float) -> timedelta:
+    """A duration given in seconds."""
     return timedelta(seconds=value)
--- a/roseweir/notifier.py
+++ b/roseweir/notifier.py
@@ -1,7 +1,7 @@
-"""Signals by name, to whoever waits for that name now; unlike an event they do not stay set.
+"""Notification of those who wait for a topic now; unlike an event, a notification does not stay set.
 
-With one signal for all, each commit woke the held answers of hundreds of idle machines for nothing. Hundreds of
-answers wait at any time, so a wait is a future and a timer and no more.
+With one event for all, each commit of the log woke the pending responses of hundreds of idle machines for nothing.
+Hundreds of responses wait at any time, so a wait is one future and one timer.
 """
 
 import asyncio
@@ -10,16 +10,19 @@
 
 
 class Notifier:
+    """Wakes the tasks that wait for a topic."""
+
     def __init__(self) -> None:
         self._waiters: dict[str, set[asyncio.Future[None]]] = {}
 
     def notify(self, topics: Iterable[str]) -> None:
+        """Wake all that wait for one of the topics."""
         for topic in topics:
             for future in self._waiters.pop(topic, ()):
                 _resolve(future)
 
     async def wait(self, topic: str, timeout: timedelta) -> None:
-        """Until the name is rung, but no longer than that."""
+        """Wait until the topic is notified, or until the timeout."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[None] = loop.create_future()
         timer = loop.call_later(timeout.total_seconds(), _resolve, future)
--- a/roseweir/operator_config.py
+++ b/roseweir/operator_config.py
@@ -1,5 +1,7 @@
-"""Operators' own settings (S-expressions), gathered from the slices that declare their forms."""
+"""Operators' own settings (S-expressions), gathered from the packages that declare their forms."""
 
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
@@ -17,8 +19,6 @@
     from roseweir.forecast.settings import PredictiveScalingSettings
     from roseweir.workflows.settings import WorkflowSettings
 
-FORM_NAMES = ("startup-limits", "renting-ahead", "calendar", "disruption", "replacement", "packing", "chain", "promise")
-
 
 class OperatorConfig(
     LimitSettings,
@@ -31,78 +31,134 @@
 ):
     """All that operators set; what they leave out has its default."""
 
-    # Renting ahead of demand; None: off, and nothing of it is loaded.
+    # Predictive scaling; None: off, and nothing of it is loaded.
     predictive_scaling: "PredictiveScalingSettings | None" = None
     # Where tasks with GPUs go, and whether replicas are moved for large ones.
     rebalancing: RebalancingSettings = msgspec.field(default_factory=RebalancingSettings)
-    # Chains of jobs; None: amendments are taken with the defaults.
+    # Workflows; None: amendments are accepted with the defaults.
     workflow: "WorkflowSettings | None" = None
-    # Promises of mornings; None: nobody is promised anything.
+    # Delivery deadlines; None: there are none.
     delivery_deadline: "DeadlineSettings | None" = None
-    # Budgets of disruption and own reasons to replace machines; None: operators' drains alone, with the defaults.
+    # Disruption budgets and automatic replacement of machines; None: operators' drains alone, with the defaults.
     drain: "DrainSettings | None" = None
 
 
+@dataclass
+class _ConfigBuilder:
+    """What the forms read so far have set."""
+
+    config: OperatorConfig
+    calendar: "Calendar | None" = None
+
+
+# Parsers import their package only when its form is there: controllers have little memory.
+
+
+def _parse_startup_limits(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    parse_limits(builder.config, form_args)
+
+
+def _parse_predictive_scaling(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.forecast.settings import parse_predictive_scaling
+
+    builder.config.predictive_scaling = parse_predictive_scaling(form_args)
+
+
+def _parse_calendar(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.calendars import parse_calendar
+
+    builder.calendar = parse_calendar(form_args)
+
+
+def _parse_disruption(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.drain.settings import DrainSettings, parse_disruption
+
+    builder.config.drain = builder.config.drain or DrainSettings()
+    parse_disruption(builder.config.drain, form_args)
+
+
+def _parse_replacement(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.drain.settings import DrainSettings, parse_replacement
+
+    builder.config.drain = builder.config.drain or DrainSettings()
+    builder.config.drain.auto_replacement = parse_replacement(form_args)
+
+
+def _parse_rebalancing(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    builder.config.rebalancing = parse_rebalancing(form_args)
+
+
+def _parse_workflow(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.workflows.settings import parse_workflow_settings
+
+    builder.config.workflow = parse_workflow_settings(form_args)
+
+
+def _parse_delivery_deadline(builder: _ConfigBuilder, form_args: list[Any]) -> None:
+    from roseweir.delivery_deadlines.settings import DeadlineSettings, parse_deadline_policy
+
+    builder.config.delivery_deadline = builder.config.delivery_deadline or DeadlineSettings()
+    parse_deadline_policy(builder.config.delivery_deadline, form_args)
+
+
+# The forms by their names, in the order in which the error for an unknown name lists them.
+FORM_PARSERS: dict[str, Callable[[_ConfigBuilder, list[Any]], None]] = {
+    "startup-limits": _parse_startup_limits,
+    "renting-ahead": _parse_predictive_scaling,
+    "calendar": _parse_calendar,
+    "disruption": _parse_disruption,
+    "replacement": _parse_replacement,
+    "packing": _parse_rebalancing,
+    "chain": _parse_workflow,
+    "promise": _parse_delivery_deadline,
+}
+
+
 def load_operator_config(path: Path | None) -> OperatorConfig:
+    """Read the operators' settings from a file; the defaults if there is none.
+
+    Raises:
+        SettingsError: The file cannot be read or is not valid; the message names the file.
+    """
     if path is None:
         return OperatorConfig()
     try:
         text = path.read_text()
-    except (OSError, UnicodeDecodeError) as e:
-        raise SettingsError(f"{path}: {e}") from e
+    except (OSError, UnicodeDecodeError) as error:
+        raise SettingsError(f"{path}: {error}") from error
     try:
         forms = sexpdata.parse(text)
-    except Exception as e:  # sexpdata raises several kinds of its own
-        raise SettingsError(f"{path}: not S-expressions: {e}") from e
+    except Exception as error:  # sexpdata raises several types of its own
+        raise SettingsError(f"{path}: not S-expressions: {error}") from error
     try:
         return parse_operator_config(forms)
-    except SettingsError as e:
-        raise SettingsError(f"{path}: {e}") from e
+    except SettingsError as error:
+        raise SettingsError(f"{path}: {error}") from error
 
 
 def parse_operator_config(forms: list[Any]) -> OperatorConfig:
-    """Read `(startup-limits ...)` and the forms of what is switched on."""
-    config = OperatorConfig(class_limits=[])
-    calendar: Calendar | None = None
+    """Read `(startup-limits ...)` and the forms of the optional features.
+
+    Raises:
+        SettingsError: A form is unknown or not valid.
+    """
+    builder = _ConfigBuilder(OperatorConfig(class_limits=[]))
     for form in forms:
         form_name, form_args = read_form(form)
-        if form_name == "startup-limits":
-            parse_limits(config, form_args)
-        elif form_name == "calendar":
-            from roseweir.calendars import parse_calendar
-
-            calendar = parse_calendar(form_args)
-        elif form_name == "renting-ahead":
-            # Loaded only where it is used: controllers have little memory.
-            from roseweir.forecast.settings import parse_predictive_scaling
-
-            config.predictive_scaling = parse_predictive_scaling(form_args)
-        elif form_name == "chain":
-            from roseweir.workflows.settings import parse_workflow_settings
-
-            config.workflow = parse_workflow_settings(form_args)
-        elif form_name == "promise":
-            from roseweir.delivery_deadlines.settings import DeadlineSettings, parse_deadline_policy
-
-            config.delivery_deadline = config.delivery_deadline or DeadlineSettings()
-            parse_deadline_policy(config.delivery_deadline, form_args)
-        elif form_name == "packing":
-            config.rebalancing = parse_rebalancing(form_args)
-        elif form_name in ("disruption", "replacement"):
-            from roseweir.drain.settings import DrainSettings, parse_disruption, parse_replacement
-
-            config.drain = config.drain or DrainSettings()
-            if form_name == "disruption":
-                parse_disruption(config.drain, form_args)
-            else:
-                config.drain.auto_replacement = parse_replacement(form_args)
-        else:
-            names = ", ".join(f"`{name}`" for name in FORM_NAMES)
-            raise SettingsError(f"unknown name `{form_name}`, expected one of {names}")
-    if calendar is not None:
-        if config.predictive_scaling is None and config.drain is None and config.delivery_deadline is None:
-            raise SettingsError("`calendar` says nothing without `renting-ahead`, `disruption` or `promise`")
-        for section in (config.predictive_scaling, config.drain, config.delivery_deadline):
-            if section is not None:
-                section.calendar = calendar
-    return config
+        parse_form = FORM_PARSERS.get(form_name)
+        if parse_form is None:
+            expected_names = ", ".join(f"`{name}`" for name in FORM_PARSERS)
+            raise SettingsError(f"unknown name `{form_name}`, expected one of {expected_names}")
+        parse_form(builder, form_args)
+    if builder.calendar is not None:
+        _apply_calendar(builder.config, builder.calendar)
+    return builder.config
+
+
+def _apply_calendar(config: OperatorConfig, calendar: "Calendar") -> None:
+    """Hand the calendar to all features that use one, wherever its form stands in the file."""
+    if config.predictive_scaling is None and config.drain is None and config.delivery_deadline is None:
+        raise SettingsError("`calendar` says nothing without `renting-ahead`, `disruption` or `promise`")
+    for section in (config.predictive_scaling, config.drain, config.delivery_deadline):
+        if section is not None:
+            section.calendar = calendar
--- a/roseweir/settings.py
+++ b/roseweir/settings.py
@@ -1,4 +1,4 @@
-"""What the platform hands over (JSON). What operators set themselves is in `roseweir.operator_config`."""
+"""The platform's settings (JSON). What operators set themselves is in `roseweir.operator_config`."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -13,16 +13,21 @@
 
 Positive = Annotated[float, Meta(gt=0)]
 NonNegative = Annotated[float, Meta(ge=0)]
+MAX_PORT = 65535
 Address = Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
 
 
 class Peer(msgspec.Struct, rename={"name": "node_name", "zone": "site", "address": "peer_addr"}):
+    """Another controller: its name, its zone, and the address of its peer API."""
+
     name: str
     zone: str
     address: Address
 
 
 class Endpoints(msgspec.Struct, rename={"kv_store": "state"}):
+    """Addresses of the services that a controller uses."""
+
     cloud: Address
     kv_store: Address
 
@@ -31,7 +36,7 @@
     msgspec.Struct,
     rename={"guaranteed_cpus": "cpus", "max_cpus": "cpus_max", "guaranteed_gpus": "gpus", "max_gpus": "gpus_max"},
 ):
-    """Guarantee and limit of a team; 0 means none."""
+    """Guaranteed quota and limit of a team, in CPUs and GPUs; 0 means none."""
 
     name: str
     guaranteed_cpus: NonNegative = 0.0
@@ -41,6 +46,7 @@
 
     @property
     def has_guarantee(self) -> bool:
+        """Whether the team has any guaranteed quota; one without is best-effort."""
         return self.guaranteed_cpus > 0 or self.guaranteed_gpus > 0
 
 
@@ -48,6 +54,16 @@
     msgspec.Struct,
     rename={"objective_type": "kind", "target_share": "share", "threshold_s": "within_s", "job_class": "class"},
 ):
+    """One service-level objective, as the platform sets it.
+
+    Attributes:
+        objective_type: What is measured: `wait`, `finished`, `deadline` or `guarantee`.
+        target_share: The share that has to meet the threshold, between 0 and 1.
+        job_class: The class of jobs that it holds for; None: not of one class.
+        threshold_s: Bound in seconds, where the type has one.
+        times: Bound of `deadline`, as a multiple.
+    """
+
     objective_type: str
     target_share: float = 0.0
     job_class: str | None = None
@@ -56,6 +72,7 @@
 
     @property
     def threshold(self) -> timedelta | None:
+        """The bound as a duration; None if the type has none."""
         return None if self.threshold_s is None else seconds(self.threshold_s)
 
 
@@ -69,6 +86,8 @@
         "cancel_timeout_s": "cancel_s",
     },
 ):
+    """Intervals and timeouts of the workers' protocol, in seconds."""
+
     heartbeat_interval_s: Positive
     lease_duration_s: Positive
     gang_start_timeout_s: Positive
@@ -77,28 +96,33 @@
 
     @property
     def heartbeat_interval(self) -> timedelta:
+        """The typical time between two heartbeats of a worker."""
         return seconds(self.heartbeat_interval_s)
 
     @property
     def lease_duration(self) -> timedelta:
+        """How long a worker's lease lasts, from the sending of the last heartbeat that was answered."""
         return seconds(self.lease_duration_s)
 
     @property
     def gang_start_timeout(self) -> timedelta:
+        """How long a gang's task waits for the gang to be complete before it exits."""
         return seconds(self.gang_start_timeout_s)
 
     @property
     def gang_peer_timeout(self) -> timedelta:
+        """The time within which the tasks of a running gang notice that one of them is gone."""
         return seconds(self.gang_peer_timeout_s)
 
     @property
     def cancel_timeout(self) -> timedelta:
+        """The time within which all tasks of a cancelled job have to be gone."""
         return seconds(self.cancel_timeout_s)
 
 
 # A machine with 30 different jobs on it has to fit a value.
 MIN_VALUE_KIB = 2
-# A job's end and the leader's election take two changes that belong together, and a batch a note beside them.
+# A job's end and the leader's election take two operations in one transaction, and a batch a delta beside them.
 MIN_TXN_OPS = 4
 ValueKib = Annotated[float, Meta(ge=MIN_VALUE_KIB)]
 TxnOps = Annotated[int, Meta(ge=MIN_TXN_OPS)]
@@ -113,7 +137,7 @@
         "max_txn_ops": "txn_ops",
     },
 ):
-    """Limits that the state service will have from some later moment, without notice; None: as now."""
+    """Limits that the store will have from some later moment, without notice; None: as now."""
 
     max_requests_per_s: Positive | None = None
     max_writes_per_s: Positive | None = None
@@ -131,9 +155,9 @@
         "announced_limits": "next",
     },
 ):
-    """Limits of the state service: requests and changes a second, KiB of a value, changes of a transaction.
+    """Limits of the store: requests and writes a second, KiB of a value, operations of a transaction.
 
-    Once read, each is the lower of the one in force and the one to come: what is written always fits both.
+    Once read, each is the lower of the limit in force and the announced one: what is written always fits both.
     """
 
     max_requests_per_s: Positive
@@ -159,15 +183,20 @@
 
 
 class CloudSettings(msgspec.Struct, rename={"max_requests_per_s": "rps", "listing_lag_s": "list_lag_s"}):
+    """The cloud's request rate, and the lag of its listings in seconds."""
+
     max_requests_per_s: Positive
     listing_lag_s: NonNegative
 
     @property
     def listing_lag(self) -> timedelta:
+        """How old the cloud's listing of machines typically is at most; at times it is twice as old."""
         return seconds(self.listing_lag_s)
 
 
 class ProcessLimits(msgspec.Struct, rename={"cpus": "cpu", "memory_mb": "ram_mb", "max_sockets": "sockets"}):
+    """What one controller process may use: CPUs, memory in MB, open sockets."""
+
     cpus: Positive = 1.0
     memory_mb: Positive = 256.0
     max_sockets: Annotated[int, Meta(ge=16)] = 512
@@ -176,6 +205,8 @@
 class ClusterParameters(
     msgspec.Struct, rename={"kv_store": "state", "process_limits": "limits", "max_clock_skew_ms": "skew_ms"}
 ):
+    """What the platform sets for the whole cluster."""
+
     zones: list[str]
     teams: list[Team]
     workers: WorkerSettings
@@ -196,6 +227,8 @@
         "peers": "known",
     },
 ):
+    """What the platform sets for one controller: its name, zone and addresses, and the cluster that it belongs to."""
+
     name: str
     zone: str
     public_address: Address
@@ -206,6 +239,11 @@
 
 
 def load_settings(path: Path) -> Settings:
+    """Read the platform's settings from a JSON file.
+
+    Raises:
+        SettingsError: The file cannot be read or is not valid; the message names the file.
+    """
     try:
         raw = path.read_bytes()
     except OSError as e:
@@ -219,6 +257,6 @@
     except msgspec.ValidationError as e:
         raise SettingsError(f"{path}: {e}") from e
     for field, address in (("public_addr", settings.public_address), ("back", settings.peer_address)):
-        if int(address.rpartition(":")[2]) > 65535:
+        if int(address.rpartition(":")[2]) > MAX_PORT:
             raise SettingsError(f"{path}: port out of range - at `$.{field}`")
     return settings
