--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -15,6 +15,7 @@
 from roseweir.http import Connect, Unreachable
 from roseweir.kv_store import StoreError
 from roseweir.scheduler.cluster_state import LEADER_SEARCH_TOLERANCE, ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult
 from roseweir.workers import messages as wire
@@ -48,6 +49,7 @@
         self._connect = connect
         self.cloud_client = cloud_client
         self.cluster_state = cluster_state
+        self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
         self._may_act = may_act  # another may lead otherwise, and machines that left us report to it
         self._capacity_planners = list(capacity_planners)
         self.list_read_at = NEVER  # when it was last read
@@ -172,7 +174,7 @@
             is_connected = True
             try:
                 reply = await self._connect(machine.address, 0)("GET", "/status", timeout=PROBE_TIMEOUT)
-                self.cluster_state.heartbeat_reconciler.apply_probe_response(
+                self._heartbeat_reconciler.apply_probe_response(
                     msgspec.convert(reply.json(), wire.Heartbeat), known_heartbeat, monotonic_now()
                 )
             except Unreachable as e:
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -28,9 +28,10 @@
 from roseweir.limits.rules import renew_class_limits, renew_fetch_limits
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.heartbeat_reconciliation import MAX_RATIO_SAMPLES
+from roseweir.scheduler.heartbeat_reconciliation import MAX_RATIO_SAMPLES, HeartbeatReconciler
 from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
+from roseweir.scheduler.task_exits import complete_placement
 from roseweir.submissions.jobs import GANG, SERVICE, completed_job
 from roseweir.workers import messages as wire
 
@@ -272,7 +273,7 @@
             self.cluster_state.term,
             [],
         )
-        self.cluster_state.apply_heartbeat(heartbeat, self._monotonic_at(at))
+        HeartbeatReconciler(self.cluster_state).apply_heartbeat(heartbeat, self._monotonic_at(at))
         self._up_since[machine.name] = self._idle_since[machine.name] = at
         self.cluster_state.needs_scheduling = True
 
@@ -350,7 +351,7 @@
         if run.placements.get(placement.index) is not placement or placement.stop_requested_at is not None:
             return
         now = self._monotonic_at(at)
-        self.cluster_state.heartbeat_reconciler.complete_placement(placement, now)
+        complete_placement(self.cluster_state, placement, now)
         run.failure_count = 0
         self._mark_idle_if_empty(machine, at)
         run.uncommitted_completions.clear()
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -1,5 +1,6 @@
-"""The leader's board: takes in reports, tells what orders to answer, knows what may be where.
+"""The leader's state of jobs, machines and placements, and the changes to it.
 
+Heartbeats are applied to it by `heartbeat_reconciliation.py`, scheduling passes by `scheduling_pass.py`.
 Pure: no I/O, and the current instant is always an argument.
 """
 
@@ -16,7 +17,6 @@
 from roseweir.limits import StartupLimits
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.headroom import Headroom
-from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler, has_stable_replica
 from roseweir.scheduler.lifecycle_events import DowntimeCause, TaskLifecycleListener
 from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase, new_job_run
 from roseweir.scheduler.placement_policy import PlacementPolicy
@@ -39,30 +39,39 @@
 CLOCK_DRIFT_FACTOR = 1.001
 # Messages may sit in buffers for a moment after they came in, before they are stamped here.
 RECEIVE_DELAY_ALLOWANCE = timedelta(milliseconds=500)
-# For how long boots tell how long the next ones may take.
+# Boot times measured within this window predict the next ones.
 BOOT_HISTORY_WINDOW = timedelta(minutes=3)
-# Phases in which a machine may have heard of a task.
+# Phases in which a machine may have received a task's start order.
 POSSIBLY_STARTED_PHASES = (PlacementPhase.SENT, PlacementPhase.CONFIRMED, PlacementPhase.RECOVERED)
-# By how much a worker's report may be later than two of its intervals: one that is with this leader, and one in
-# search of it, which gives up on an answer after 4 s and tries the next node a second later.
-HEARTBEAT_TOLERANCE, LEADER_SEARCH_TOLERANCE = timedelta(seconds=0.75), timedelta(seconds=5)
-# By how much two of its reports may be late before nothing is started on it.
+# How much later than two heartbeat intervals a heartbeat may be, from a worker that has found this leader.
+HEARTBEAT_TOLERANCE = timedelta(seconds=0.75)
+# The same from a worker in search of the leader: it gives up on an answer after 4 s and tries the next node 1 s later.
+LEADER_SEARCH_TOLERANCE = timedelta(seconds=5)
+# How much later than two intervals the last heartbeat may be before nothing is started on the machine.
 HEARTBEAT_DELAY_ALLOWANCE = timedelta(seconds=1.5)
-# A machine that was given back is told from one unknown for so long, and so many: copies of its reports come late.
-RELEASED_MACHINE_RETENTION, MAX_RELEASED_MACHINES = timedelta(hours=1), 20_000
-# An aim for starting within so long leaves time to wait for a machine to come clear.
+# How long a released machine is told from an unknown one: duplicates of its heartbeats arrive late.
+RELEASED_MACHINE_RETENTION = timedelta(hours=1)
+# Of at most this many released machines.
+MAX_RELEASED_MACHINES = 20_000
+# A wait objective of at least this leaves time for a machine to become free.
 MIN_RELAXED_WAIT_TARGET = timedelta(seconds=120)
-# Why a step of a chain, or a job that awaits others, is held until it is released.
-WAITING_FOR_WORKFLOW_STEPS, WAITING_FOR_DEPENDENCIES = "the steps that it follows", "the jobs that it awaits"
+# Hold reason of a workflow step until it is released.
+WAITING_FOR_WORKFLOW_STEPS = "the steps that it follows"
+# Hold reason of a job with DAG dependencies until it is released.
+WAITING_FOR_DEPENDENCIES = "the jobs that it awaits"
 
 
 @dataclass(slots=True)
 class TeamUsage:
+    """CPUs and GPUs that a team's placements take."""
+
     cpus: float = 0.0
     gpus: float = 0.0
 
 
 class ClusterState:
+    """What one leader knows of jobs, machines and placements during its term."""
+
     def __init__(self, settings: Settings, operator_config: OperatorConfig, term: int, now: datetime) -> None:
         self.settings = settings
         self.operator_config = operator_config
@@ -70,11 +79,11 @@
         self.term_started_at = now
         workers = settings.params.workers
         self.max_lease_duration = workers.lease_duration * CLOCK_DRIFT_FACTOR + RECEIVE_DELAY_ALLOWANCE
-        # A machine that is reached has reported in this time, with some of it for what delays a report.
+        # The last heartbeat of a reachable machine is no older than this, an allowance for delays included.
         self.max_heartbeat_age = workers.heartbeat_interval * 2 + HEARTBEAT_DELAY_ALLOWANCE
         # Until when a machine that has not shown our term may still obey an earlier leader: that
-        # leader answers reports for `holdover` after it last knew of every cancel, at most, and the
-        # last lease that it renewed runs from a report sent by then.
+        # leader answers heartbeats for `stale_cancellation_window` after it last knew of every
+        # cancellation, at most, and the last lease that it renewed runs from a heartbeat sent by then.
         self.stale_cancellation_window = stale_cancellation_window(settings)
         self.previous_leader_lease_expiry = (
             now + self.stale_cancellation_window * CLOCK_DRIFT_FACTOR + self.max_lease_duration
@@ -86,77 +95,78 @@
         self.released_machines: dict[str, datetime] = {}
         self.usage_by_team: dict[str, TeamUsage] = {}
         self.limits = StartupLimits(operator_config.ban_window, operator_config.lookahead)
-        # The instant at which the time of day was 0, as far as known: jobs' acceptance is told by it.
+        # The monotonic instant of the wall clock's epoch, as far as known: jobs' acceptance times refer to it.
         self.wall_clock_epoch: datetime | None = None
         self.job_sizes = JobSizeHistogram()
-        # Zones whose tokens for fetches are left to a job that has waited long, in this pass.
+        # Zones whose image fetch tokens are reserved for a starving job, in this scheduling pass.
         self.fetch_reserved_zones: set[str] = set()
         self.runtime_ratios: dict[str, float] = {}
-        # The least that a waiting task takes, of those without and those with GPUs, since the last pass.
+        # The smallest request of a waiting task: CPUs of those without GPUs, GPUs of those with, since the last pass.
         self.min_waiting_cpus = self.min_waiting_gpus = 0.0
-        self.highest_gpu_priority = 1 << 30  # the highest rank of GPU work seen: lower numbers come first
+        self.highest_gpu_priority = 1 << 30  # the highest priority of GPU jobs seen: lower numbers come first
         self.max_task_gpus = 0.0  # GPUs of the largest task seen
         self.max_gang_tasks = 1  # tasks of the largest GPU gang seen
-        self.max_cpus_per_gpu = 0.0  # CPUs that GPU jobs bring along for each GPU, the most seen
-        # While no more machines can be had for CPU-only work, it may spill onto the CPUs of idle GPUs.
+        self.max_cpus_per_gpu = 0.0  # the most CPUs for each GPU that a GPU job seen requests
+        # Until then CPU-only work may overflow onto the CPUs of idle GPU machines: no others can be had.
         self.overflow_until = NEVER
-        # Images of classes whose aims are about starting soon.
+        # Images of job classes with a wait objective.
         self.low_latency_images: set[str] = set()
-        # Spilled work keeps whole machines clear, for so many starts of the largest GPU task or gang. Where all classes
-        # may wait for longer than most tasks take, the machines that come clear by themselves do for the second.
+        # Overflow work leaves whole machines free, enough for `reserved_start_count` starts of the largest GPU task or
+        # gang. Where all classes may wait for longer than most tasks run, machines that become free by themselves do
+        # for the second.
         self._max_wait_by_class: dict[str | None, timedelta] = {}
         for objective in settings.params.objectives:
             if objective.objective_type == "wait" and objective.threshold is not None:
                 self._max_wait_by_class[objective.job_class] = min(
                     objective.threshold, self._max_wait_by_class.get(objective.job_class, objective.threshold)
                 )
-        self._min_gpu_wait_target = ZERO  # the shortest such aim of classes with GPUs seen; zero: not known
-        # Room for classes that must start at once.
+        self._min_gpu_wait_target = ZERO  # shortest wait objective of GPU job classes seen; zero: none
+        # Capacity kept free for job classes that must start at once.
         self.headroom = Headroom.from_objectives(settings.params.objectives)
         self._low_latency_classes = {
             objective.job_class for objective in settings.params.objectives if objective.objective_type == "wait"
         }
-        # Kinds of machines (type, zone, spot) that were rented by this leader or one on record.
+        # Instance pools (type, zone, spot) in which this leader or a logged one obtained machines.
         self.obtained_instance_pools: set[tuple[str, str, bool]] = set()
-        # Zones most of whose machines are heard, and since when.
+        # Zones most of whose machines send heartbeats, and since when.
         self.zone_responsive_since: dict[str, datetime] = {}
-        # How long machines of a type took to come up lately, as a multiple of the catalog's figure.
+        # Recent boot times by machine type, as multiples of the catalog's figure, with when they were measured.
         self.boot_ratios: dict[str, deque[tuple[datetime, float]]] = {}
-        # How long images took to come, as a multiple of what the catalog's rate says, by type of machine.
+        # Recent image fetch times by machine type, as multiples of what the catalog's rate says.
         self.image_fetch_ratios: dict[str, deque[tuple[datetime, float]]] = {}
         self._attempt_counter = 0
-        # What the recorder has to write, and what the planner should look at again.
+        # What the log writer has to write, and whether another scheduling pass is needed.
         self.planned_placements: list[Placement] = []
         self.dirty_machines: set[str] = set()
         self.dirty_jobs: set[str] = set()
         self.needs_scheduling = True
-        # Jobs have come or gone: whose work fits its team's guarantee has to be told anew.
+        # Jobs have come or gone: which jobs are within their team's quota has to be determined anew.
         self.needs_quota_update = True
-        # For jobs of which kind nobody could be stopped lately: for how many tasks, and when.
+        # Kinds of jobs for which preemption recently found no victims: for how many tasks, and when.
         self.failed_preemptions: dict[tuple[object, ...], tuple[int, datetime]] = {}
-        # Machines that are being drained, and by which drain: nothing new starts on them.
+        # The drain that cordons a machine, by machine name: nothing new starts there.
         self.drain_by_machine: dict[str, str] = {}
-        # Slack of jobs that have to be done by some instant and may come late, in milliseconds: they come first among
-        # their team's jobs of the same rank, and machines are asked for in that time.
+        # Slack, in milliseconds, of jobs with a deadline that they may miss: they come first among their team's jobs of
+        # the same priority, and machines are scaled out within that time.
         self.slack_ms_by_job: dict[str, int] = {}
         self._slack_by_source: dict[str, dict[str, int]] = {}
-        # Machines that are kept for some jobs while tasks are moved: their ids, by machine.
+        # Job ids that a machine is reserved for while tasks are moved, by machine name.
         self.reserved_machines: dict[str, set[str]] = {}
-        # Who knows about sizes of GPU tasks, if anybody does, and whether it is asked without services that take GPUs.
+        # The placement policy for GPU tasks, if any, and whether it also applies without GPU services.
         self.placement_chooser: PlacementPolicy | None = None
         self.is_chooser_always_enabled = False
-        self.has_gpu_services = False  # some have been seen: their replicas do not end, so what they break stays broken
-        # Who keeps account of tasks' ups and downs, if anybody does.
+        self.has_gpu_services = False  # some have been seen: their replicas do not end, so fragmentation stays
+        # Receives the tasks' lifecycle events, if set.
         self.lifecycle_listener: TaskLifecycleListener | None = None
-        # Called as a task has ended in an error of its own, before any other pass.
+        # Called when a task has failed, before the next scheduling pass.
         self.on_task_failed: Callable[[JobRun], None] = lambda run: None
-        self.heartbeat_reconciler = HeartbeatReconciler(self)
-        # Direct halts that should not wait for the next report: machine names.
+        # Machines whose stop orders are sent by direct command rather than with the next heartbeat's answer.
         self.urgent_stop_machines: set[str] = set()
 
     # -- jobs ---------------------------------------------------------------------------------
 
     def add_job(self, spec: JobSpec, version: int) -> JobRun:
+        """Add a live job unless it is known; `version` is that of its record. Returns its run."""
         run = self.jobs.get(spec.id)
         if run is None:
             run = self.jobs[spec.id] = new_job_run(spec, version)
@@ -164,10 +174,10 @@
             if spec.job_type == SERVICE and spec.gpus > 0:
                 self.has_gpu_services = True
             if spec.workflow_id:
-                # Until whoever keeps its chain lets it go.
+                # Until the workflow controller releases it.
                 run.hold_reason = WAITING_FOR_WORKFLOW_STEPS
             elif spec.dependencies:
-                # Until all of them are durably done (`dependencies/reconciler.py`).
+                # Until all of them are durably completed (`dependencies/reconciler.py`).
                 run.hold_reason = WAITING_FOR_DEPENDENCIES
             self.needs_quota_update = True
             if spec.gpus > 0:
@@ -189,8 +199,11 @@
         return run
 
     def add_stored_job(self, job_id: str, stored_value: object, version: int) -> JobRun:
-        """A live job as it is recorded. One whose record can't be read stays known, and says so: nothing of it starts,
-        and what runs of it counts. It ended every leader's term in turn otherwise, and with it everybody's service."""
+        """Add a live job from its stored record.
+
+        A job whose record cannot be decoded is held: none of its tasks start, and those that run are accounted for.
+        Raising here would end every leader's term in turn, and with it the service for everybody.
+        """
         try:
             return self.add_job(decode_job_spec(stored_value), version)
         except (msgspec.ValidationError, TypeError, ValueError) as e:
@@ -201,25 +214,25 @@
             return run
 
     def hold_job(self, run: JobRun, reason: str) -> None:
-        """Nothing of the job starts from here on, and it counts for nothing."""
+        """Hold the job: none of its tasks start until it is released, and it has no demand."""
         run.hold_reason = reason
         self.needs_quota_update = True
 
     def release_job(self, run: JobRun, ready_ms: int) -> None:
-        """A job that was held may start. Its place in the queue and its waits count from `ready_ms`, a time of day."""
+        """Release a held job. Its queue position and waiting time count from `ready_ms`, Unix time in milliseconds."""
         run.hold_reason = ""
         run.eligible_from_ms = ready_ms
         self.needs_quota_update = self.needs_scheduling = True
 
     def set_effective_priority(self, run: JobRun, priority: int) -> None:
-        """What the job's rank counts for from here on."""
+        """Set the priority that the job is scheduled with; lower numbers come first."""
         run.priority = priority
         if run.spec.gpus > 0:
             self.highest_gpu_priority = min(self.highest_gpu_priority, priority)
         self.needs_scheduling = True
 
     def set_slack(self, source: str, slack_ms: dict[str, int]) -> None:
-        """What one of those who follow deadlines knows of slack; where several do, the least counts."""
+        """Set the slack (milliseconds by job id) that one source computed; the smallest of all sources counts."""
         if slack_ms == self._slack_by_source.get(source, {}):
             return
         self._slack_by_source[source] = slack_ms
@@ -232,20 +245,22 @@
 
     @property
     def active_chooser(self) -> PlacementPolicy | None:
+        """The placement policy, if it applies now."""
         return self.placement_chooser if self.is_chooser_always_enabled or self.has_gpu_services else None
 
     def refresh_service_stability(self, now: datetime) -> None:
-        """A service that was taken for mistaken as it began may run well by now."""
+        """Clear the crash-looping verdict of services whose replicas run stably by now."""
         for run in self.jobs.values():
-            if run.is_crash_looping and has_stable_replica(run, None, now):
+            if run.is_crash_looping and run.has_stable_replica(None, now):
                 run.has_run_stably = True
 
     @property
     def reserved_start_count(self) -> int:
+        """For how many starts of the largest GPU task or gang overflow work leaves machines free."""
         return 1 if self._min_gpu_wait_target >= MIN_RELAXED_WAIT_TARGET else 2
 
     def end_job(self, job_id: str, ended: CompletedJob, now: datetime) -> None:
-        """The state service holds that the job is over."""
+        """Apply the job's end, once the key-value store holds it, and stop its tasks."""
         run = self.jobs.get(job_id)
         if run is None or run.final_state:
             return
@@ -267,11 +282,11 @@
             self.dirty_jobs.discard(run.spec.id)
 
     def estimate_runtime(self, spec: JobSpec) -> timedelta:
-        """The owner's estimate, corrected by how the class's tasks have turned out."""
+        """Return the owner's estimate, corrected by the measured runtimes of the job class."""
         return spec.estimated_duration * self.runtime_ratios.get(spec.job_class, 1.0)
 
     def allocate_attempt(self) -> int:
-        """Unique across leaders: the term in front of a counter."""
+        """Return a new attempt number, unique across leaders: the term in the bits above a counter."""
         self._attempt_counter += 1
         return (self.term << 28) | self._attempt_counter
 
@@ -313,7 +328,7 @@
         return placement
 
     def restore_machine(self, name: str, machine_type: MachineType, zone: str, is_spot: bool, now: datetime) -> Machine:
-        """A machine named in an earlier leader's record."""
+        """Return the machine that an earlier leader's write-ahead log names, added if it is not known."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, known_since=now)
@@ -322,7 +337,7 @@
     def restore_placement(
         self, run: JobRun, index: int, machine: Machine, attempt: int, now: datetime, replacement_number: int = 0
     ) -> Placement:
-        """A task of an earlier leader's record counts as there until proven gone."""
+        """Add a placement from an earlier leader's write-ahead log; it counts as placed until proven gone."""
         placement = self.add_placement(run, index, machine, attempt, now, PlacementPhase.RECOVERED)
         placement.replacement_number = replacement_number
         if run.spec.job_type == GANG:
@@ -333,7 +348,7 @@
         return placement
 
     def remove_placement(self, placement: Placement, now: datetime, cause: DowntimeCause = DowntimeCause.LOST) -> None:
-        """The task is proven gone from its machine. `cause`: why, if it was neither done nor told to stop."""
+        """Remove the placement of a task that is proven gone. `cause`: why, if it neither completed nor was stopped."""
         run, machine, spec = placement.run, placement.machine, placement.run.spec
         if run.placements.get(placement.index) is not placement:
             return
@@ -373,7 +388,7 @@
             run.is_gang_stopping = False
             run.gang_attempt = 0
         elif lost_placement.state in (wire.RUNNING, wire.SAVING_CHECKPOINT):
-            # The gang had started: the rest exits by itself, and all must be gone before it restarts.
+            # The gang had started: the other members exit by themselves, and all must be gone before it restarts.
             run.is_gang_stopping = True
 
     def request_stop(
@@ -384,7 +399,7 @@
         is_urgent: bool = False,
         cause: DowntimeCause = DowntimeCause.FAILED,
     ) -> None:
-        """Ask a task to go; one whose order never went out is taken off at once."""
+        """Request that a task stops within `grace`; one whose start order was never sent is removed at once."""
         if placement.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED):
             self.remove_placement(placement, now)
             return
@@ -404,7 +419,7 @@
         is_urgent: bool = False,
         cause: DowntimeCause = DowntimeCause.PREEMPTED,
     ) -> None:
-        """Stop so that progress is kept where it can be. All mates of a gang are told together."""
+        """Stop a task with time for a checkpoint, if it takes any. All members of a gang are stopped together."""
         run = placement.run
         grace = seconds(run.spec.checkpoint_duration_s + 1.0) if run.spec.checkpoint_interval_s > 0 else ZERO
         gang_placements = list(run.placements.values()) if run.spec.job_type == GANG else [placement]
@@ -416,7 +431,7 @@
                 self.request_stop(gang_placement, grace, now, is_urgent, cause)
 
     def expire_machine(self, machine: Machine, now: datetime, reason: str) -> None:
-        """Everything on the machine is proven gone."""
+        """Remove every placement of a machine whose tasks are proven gone."""
         if machine.placements:
             log.info("machine %s: %s, %d tasks gone", machine.name, reason, len(machine.placements))
         machine.expired_incarnation = max(machine.expired_incarnation, machine.incarnation)
@@ -427,6 +442,7 @@
         machine.has_acknowledged_term = False
 
     def forget_machine(self, name: str, now: datetime, reason: str) -> None:
+        """Remove a machine that was released or is gone, and remember its name for late heartbeats."""
         machine = self.machines.get(name)
         if machine is not None:
             self.expire_machine(machine, now, reason)
@@ -435,23 +451,10 @@
         self.released_machines[name] = now
         self.needs_scheduling = True
 
-    # -- reports ------------------------------------------------------------------------------
-
-    def apply_heartbeat(self, heartbeat: wire.Heartbeat, now: datetime) -> Machine | None:
-        """Take in a worker's heartbeat; None if it is not to be answered with orders.
-
-        How: `scheduler/heartbeat_reconciliation.py`.
-        """
-        return self.heartbeat_reconciler.apply_heartbeat(heartbeat, now)
-
-    def apply_command_response(self, heartbeat: wire.Heartbeat, now: datetime) -> None:
-        """Learn from the answer of a direct command."""
-        self.heartbeat_reconciler.apply_command_response(heartbeat, now)
-
-    # -- answers ------------------------------------------------------------------------------
+    # -- orders -------------------------------------------------------------------------------
 
     def collect_orders(self, machine: Machine, now: datetime, may_start_tasks: bool) -> list[dict[str, Any]]:
-        """What to answer the machine's newest report with. `run` is given only while the lease surely holds."""
+        """Return the orders that answer the machine's newest heartbeat; start orders only if `may_start_tasks`."""
         orders: list[dict[str, Any]] = []
         for task_name, attempt, cause in machine.exits_to_clear:
             job_id, _, index_text = task_name.rpartition("/")
@@ -464,7 +467,7 @@
                 and run is not None
                 and (int(index_text) in run.uncommitted_completions or not run.is_completed(int(index_text)))
             ):
-                continue  # completion is recorded before the worker may forget it
+                continue  # the completion must be durable before the worker may forget it
             orders.append(wire.clear_command(task_name, attempt))
         for task_name, attempt in machine.unknown_tasks:
             orders.append(wire.stop_command(task_name, attempt, ZERO))
@@ -486,7 +489,7 @@
         return orders
 
     def collect_stop_orders(self, machine: Machine) -> list[dict[str, Any]]:
-        """Halts for a direct command: never a `run`, which could arrive arbitrarily late."""
+        """Return stop orders for a direct command: never start orders, which could arrive arbitrarily late."""
         return [
             wire.stop_command(p.task_name, p.attempt, p.stop_grace)
             for p in machine.placements.values()
@@ -496,7 +499,7 @@
         ]
 
     def pending_order_status(self, machine: Machine) -> tuple[bool, bool]:
-        """Whether orders can go out to the machine, and whether some are on their way into the record."""
+        """Return whether start orders can be sent to the machine, and whether some are yet to be committed."""
         has_planned = False
         for placement in machine.placements.values():
             if placement.phase == PlacementPhase.COMMITTED:
@@ -506,19 +509,19 @@
         return False, has_planned
 
     def has_room_for_waiting_task(self, machine: Machine) -> bool:
-        """Whether it has room for any task that waits, so that the next pass may give it one."""
+        """Whether a waiting task may fit on the machine, so that the next scheduling pass may place one."""
         return machine.free_cpus >= self.min_waiting_cpus - 1e-6 or machine.free_gpus >= self.min_waiting_gpus - 1e-6
 
     # -- time ---------------------------------------------------------------------------------
 
     def apply_timeouts(self, now: datetime) -> None:
-        """What time alone proves or asks for."""
+        """Apply lease expiry and spot reclaim notices, and drop state that has expired."""
         for machine in list(self.machines.values()):
             if machine.is_booting:
                 continue
             if machine.placements:
                 # A machine that showed our term obeys nobody else, so our own last answer counts.
-                # `renewed` is when the report came in, which is after it was sent.
+                # `lease_renewed_at` is when the heartbeat arrived, which is after it was sent.
                 lease_expiry = machine.lease_renewed_at + self.max_lease_duration
                 if not machine.has_acknowledged_term:
                     lease_expiry = max(lease_expiry, self.previous_leader_lease_expiry)
@@ -545,7 +548,7 @@
                 self.request_graceful_stop(placement, now, cause=DowntimeCause.SPOT_NOTICE)
 
     def log_status(self) -> None:
-        """Tell an operator how the work stands."""
+        """Log a summary of jobs, tasks and machines."""
         phase_counts = [0] * len(PlacementPhase)
         waiting_count = 0
         for run in self.jobs.values():
@@ -565,7 +568,7 @@
         )
 
     def recent_boot_ratios(self, machine_type: MachineType, now: datetime) -> list[float]:
-        """How long machines of this type took to come up lately, as multiples of the catalog's figure."""
+        """Return recent boot times of the machine type, as multiples of the catalog's figure."""
         return [
             boot_ratio
             for observed_at, boot_ratio in self.boot_ratios.get(machine_type.name, ())
@@ -573,7 +576,7 @@
         ]
 
     def overdue_machines(self, now: datetime) -> list[Machine]:
-        """Machines whose reports should have come, or whose answers seem lost, if these are most of all; else none."""
+        """Return machines with overdue heartbeats or lost answers if they are the majority, else an empty list."""
         running_machines = [m for m in self.machines.values() if not m.is_booting and m.spot_reclaim_at is None]
         heartbeat_interval = self.settings.params.workers.heartbeat_interval
         overdue_machines = [
@@ -586,18 +589,19 @@
         return overdue_machines if len(overdue_machines) * 2 > len(running_machines) else []
 
     def is_heartbeat_current(self, machine: Machine, now: datetime) -> bool:
-        """Whether its last report is no older than usual."""
+        """Whether the machine's last heartbeat is recent enough to start tasks on it."""
         return machine.last_heartbeat_at >= now - self.max_heartbeat_age
 
     def time_since_heartbeat(self, machine: Machine, now: datetime) -> timedelta:
+        """Return the time since the machine's last heartbeat, or since the term began if none has arrived."""
         return now - max(machine.last_heartbeat_at, self.term_started_at)
 
 
 def stale_cancellation_window(settings: Settings) -> timedelta:
-    """How long a leader without news of cancels may go on answering reports.
+    """Return how long a leader that cannot read cancellations may go on answering heartbeats.
 
-    Another may lead and have accepted a cancel right after our last news. A task that we keep alive
-    ends when its lease does, at most lease_s after our last answer, and has to be gone within
+    Another may lead and have accepted a cancellation right after our last read. A task that we keep
+    alive ends when its lease does, at most lease_s after our last answer, and has to be gone within
     cancel_s. Drift on both spans and two seconds for late timers and answers are taken off.
     """
     workers = settings.params.workers
--- /dev/null
+++ b/roseweir/scheduler/lease_renewal.py
@@ -0,0 +1,78 @@
+"""Whether the answer to a heartbeat that proves nothing may renew its worker's lease, and what it orders.
+
+Every answer that carries our fencing token may renew a lease, so each heartbeat that is not applied is classified
+before it is answered. A heartbeat that was overtaken by the response to a direct command or probe, whose sequence
+numbers are higher, is still a first arrival: its worker waits for the answer, and the lease that it renews counts. A
+duplicate gets an answer without a fencing token, which renews nothing.
+
+The lease that an answer to an unacknowledged heartbeat may renew is counted (`Machine.lease_renewed_at`), so such
+heartbeats are answered for at most one lease, until one is followed by a heartbeat in our own term or the worker
+answers our own probe: late duplicates, however many, keep no lost machine's tasks for longer than that.
+"""
+
+from datetime import datetime
+from enum import Enum
+from typing import Any
+
+from roseweir.clock import NEVER, ZERO
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.model import parse_task_name
+from roseweir.workers import messages as wire
+
+
+class LeaseRenewal(Enum):
+    """What the answer to a heartbeat that changes nothing here may do to its worker's lease."""
+
+    COUNTED = 0  # it may renew the lease, and the lease counts
+    NOT_RENEWED = 1  # a duplicate's answer must not renew it
+    REFUSED = 2  # nothing proves that answers reach the machine
+
+
+def decide_lease_renewal(cluster_state: ClusterState, heartbeat: wire.Heartbeat, now: datetime) -> LeaseRenewal:
+    """Classify a heartbeat that was not applied, and record the lease that its answer may renew.
+
+    Args:
+        cluster_state: the state; the machine's `lease_renewed_at`, `heartbeat_sequence` and `unconfirmed_since` change.
+        heartbeat: one for which `HeartbeatReconciler.apply_heartbeat` returned None.
+        now: when it arrived, on the leader's monotonic clock.
+    """
+    machine = cluster_state.machines.get(heartbeat.machine_name)
+    if machine is None:
+        return LeaseRenewal.COUNTED  # nothing is on record there, and what it has is told to go
+    if heartbeat.fencing_token == cluster_state.term or machine.has_acknowledged_term:
+        # Older than what is known. Responses to commands and probes have higher sequence numbers and renew nothing,
+        # so a heartbeat that one of them has overtaken is the first to do so: its lease was not counted, and what ran
+        # on the machine was started elsewhere while it ran there still.
+        is_first_arrival = (
+            heartbeat.incarnation == machine.incarnation
+            and machine.has_acknowledged_term
+            and heartbeat.sequence > machine.heartbeat_sequence
+        )
+        if heartbeat.fencing_token != cluster_state.term or not is_first_arrival:
+            return LeaseRenewal.NOT_RENEWED
+        machine.heartbeat_sequence = heartbeat.sequence
+        machine.lease_renewed_at = now
+        return LeaseRenewal.COUNTED
+    if machine.unconfirmed_since == NEVER:
+        machine.unconfirmed_since = now
+    if now - machine.unconfirmed_since > cluster_state.max_lease_duration:
+        return LeaseRenewal.REFUSED
+    machine.lease_renewed_at = now
+    return LeaseRenewal.COUNTED
+
+
+def stop_orders_for(cluster_state: ClusterState, heartbeat: wire.Heartbeat) -> list[dict[str, Any]]:
+    """Return the stop orders that answer a heartbeat which was not applied.
+
+    Tasks of jobs that have ended must stop whoever leads. Without these orders, a succession of short-lived leaders
+    received unacknowledged heartbeats only, and a cancelled task ran beyond its cancellation timeout.
+    """
+    machine = cluster_state.machines.get(heartbeat.machine_name)
+    if heartbeat.fencing_token == cluster_state.term:
+        return [] if machine is None else cluster_state.collect_stop_orders(machine)
+    stop_orders = []
+    for task_report in heartbeat.tasks:
+        run = cluster_state.jobs.get(parse_task_name(task_report.task_id)[0])
+        if task_report.state != wire.EXITED and (run is None or run.final_state):
+            stop_orders.append(wire.stop_command(task_report.task_id, task_report.attempt, ZERO))
+    return stop_orders
--- a/roseweir/scheduler/lifecycle_events.py
+++ b/roseweir/scheduler/lifecycle_events.py
@@ -1,4 +1,4 @@
-"""What the board tells of tasks' ups and downs to whoever keeps account of them."""
+"""Task lifecycle events, and the listener that receives them from the cluster state."""
 
 from datetime import datetime, timedelta
 from enum import StrEnum
@@ -11,35 +11,40 @@
     """Why a task is down."""
 
     DRAIN = "drained"
-    FORCED_DRAIN = "forced"  # past a drain's deadline, by its operator's word
+    FORCED_DRAIN = "forced"  # past a drain's deadline, on its operator's command
     SPOT_NOTICE = "spot notice"
     PREEMPTED = "preempted"
     FAILED = "failed"
     LOST = "lost"
-    UNKNOWN = "unknown"  # since before a take-over
+    UNKNOWN = "unknown"  # since before a failover
 
 
 class TaskLifecycleListener(Protocol):
+    """Receives task lifecycle events as the cluster state changes."""
+
     def stopped(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
-        """The task is told to stop."""
+        """The task was requested to stop."""
 
     def lost(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
-        """The task is proven gone, and neither done nor told to stop."""
+        """The task is proven gone, and neither completed nor was requested to stop."""
 
     def running(self, placement: Placement) -> None:
-        """A report says that it runs."""
+        """A heartbeat says that the task runs."""
 
-    def completed(self, run: JobRun, index: int) -> None: ...
+    def completed(self, run: JobRun, index: int) -> None:
+        """The task completed for the first time."""
 
-    def job_ended(self, run: JobRun) -> None: ...
+    def job_ended(self, run: JobRun) -> None:
+        """The key-value store holds that the job is over; `run.final_state` says how."""
 
     def runtime_measured(self, placement: Placement, runtime: timedelta) -> None:
-        """A task of an array ended well after so long a run."""
+        """A task of a job array completed after running for `runtime`."""
 
-    def task_failed(self, machine: Machine, run: JobRun, now: datetime) -> None: ...
+    def task_failed(self, machine: Machine, run: JobRun, now: datetime) -> None:
+        """A task failed on the machine, and its job is not crash-looping."""
 
     def lease_expired(self, machine: Machine, now: datetime) -> None:
-        """A machine that went on lost its lease: its worker began another session."""
+        """The machine's lease expired while it stayed up: its worker began another incarnation."""
 
     def spot_reclaimed(self, machine: Machine, now: datetime) -> None:
-        """The cloud said that it takes the machine back."""
+        """The cloud gave notice that it reclaims the spot instance."""
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -1,29 +1,35 @@
-"""The leader's picture of jobs, machines and the tasks that may be on them."""
+"""Jobs, machines and placements (tasks that may be on a machine), as the leader knows them."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 from enum import IntEnum
+from functools import lru_cache
 from heapq import heappop, heappush
 
 from roseweir.clock import NEVER
 from roseweir.submissions.jobs import GANG, SERVICE, TASKS_PER_CHUNK, JobSpec, MachineType
+from roseweir.workers import messages as wire
 
-# A job that failed on this many machines and succeeded nowhere is taken for mistaken.
+# A job that failed on this many machines and succeeded nowhere counts as crash-looping.
 CRASH_LOOP_MIN_MACHINES = 3
+# A replica that has run for this long shows that its service is not at fault.
+MIN_STABLE_RUNTIME = timedelta(seconds=10)
 
 
 class PlacementPhase(IntEnum):
+    """How far the start of a task has come, as far as the leader knows."""
+
     PLANNED = 0  # chosen, not yet in the state service
     COMMITTED = 1  # recorded; the order may go out
-    SENT = 2  # the order went out with an answer to a report
-    CONFIRMED = 3  # the machine reported it
-    RECOVERED = 4  # known from an earlier leader's record only
+    SENT = 2  # the order went out in the answer to a heartbeat
+    CONFIRMED = 3  # a heartbeat listed it
+    RECOVERED = 4  # known from an earlier leader's write-ahead log only
 
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """A task that may be on a machine. It counts as there until proven gone."""
+    """A task that may be on a machine. It counts as placed there until it is proven gone."""
 
     run: "JobRun"
     index: int
@@ -38,13 +44,15 @@
     stop_requested_at: datetime | None = None
     stop_grace: timedelta = timedelta(0)
     replacement_number: int = 0  # tells a gang's replacements from the tasks that they replace: the attempt is the same
-    is_in_segment: bool = False  # on its machine's page in the state service, not in a note alone
+    is_in_segment: bool = False  # in its machine's segment in the key-value store, not in a delta alone
 
     @property
     def task_name(self) -> str:
+        """The task's name on the wire: job id, slash, index."""
         return f"{self.run.spec.id}/{self.index}"
 
     def expected_end(self, now: datetime, estimate: timedelta) -> datetime:
+        """Return when the task is expected to have ended, no earlier than `now` unless it was requested to stop."""
         if self.stop_requested_at is not None:
             return self.stop_requested_at + self.stop_grace
         started_at = self.running_since or now
@@ -53,7 +61,7 @@
 
 @dataclass(slots=True, eq=False)
 class JobRun:
-    """A job with what is known of its tasks."""
+    """A job and what is known of its tasks."""
 
     spec: JobSpec
     version: int
@@ -67,19 +75,19 @@
     placed_index_bound: int = 0  # tasks from this one on were never placed: indices are handed out in ascending order
     requeued_indices: list[int] = field(default_factory=list)
     placements: dict[int, Placement] = field(default_factory=dict)
-    # Indices whose completion is not yet in the state service: nobody may hear of it, no `clear`.
+    # Indices whose completion is not yet in the key-value store: it is not reported, and no `clear` is sent.
     uncommitted_completions: set[int] = field(default_factory=set)
-    # Indices whose completion is in a note, but not yet in the job's own chunks.
+    # Indices whose completion is in a delta, but not yet in the job's own chunks.
     delta_completions: set[int] = field(default_factory=set)
     chunk_versions: dict[int, int] = field(default_factory=dict)
     attempted_chunks: set[int] = field(default_factory=set)  # written, or perhaps written
     replacement_count: int = 0  # of the newest replacement in a gang
-    final_state: str = ""  # "", "done" or "cancelled"; only what the state service holds
+    final_state: str = ""  # "", "done" or "cancelled"; only what the key-value store holds
     failure_count: int = 0
     failed_machines: set[str] = field(default_factory=set)
     has_run_stably: bool = False  # a service whose replicas have run well: what fails is not its own fault
     gang_attempt: int = 0  # of a gang that is on machines
-    is_gang_stopping: bool = False  # a gang that falls apart: every mate must go before it restarts
+    is_gang_stopping: bool = False  # a gang that is being stopped: every member must be gone before it restarts
     hold_reason: str = ""  # why nothing of it may start now, whatever room there is
     is_within_quota: bool = False
     has_started: bool = False  # a task of it has run, as far as this leader knows
@@ -96,14 +104,19 @@
 
     @property
     def deadline_base_ms(self) -> int:
-        """From when its deadline counts. A step of a chain is due so long after its turn came, any other job so long
-        after its submission, however long it waits for others."""
+        """Unix time in milliseconds from which its deadline counts.
+
+        For a workflow step that is when it was released; for any other job its submission, however long it waits for
+        its dependencies.
+        """
         return self.eligible_from_ms if self.spec.workflow_id else self.spec.accepted_ms
 
     def is_completed(self, index: int) -> bool:
+        """Whether the task completed, durably or not yet."""
         return bool(self.completion_bitmap[index >> 3] & (1 << (index & 7)))
 
     def mark_completed(self, index: int) -> bool:
+        """Mark the task as completed; return whether this is a change."""
         if self.is_completed(index):
             return False
         self.completion_bitmap[index >> 3] |= 1 << (index & 7)
@@ -120,18 +133,29 @@
             and not self.has_run_stably
         )
 
+    def has_stable_replica(self, excluded: Placement | None, now: datetime) -> bool:
+        """Whether a replica of a service, other than `excluded`, has been running for `MIN_STABLE_RUNTIME`."""
+        return self.spec.job_type == SERVICE and any(
+            p is not excluded
+            and p.state == wire.RUNNING
+            and p.running_since is not None
+            and now - p.running_since >= MIN_STABLE_RUNTIME
+            for p in self.placements.values()
+        )
+
     @property
     def is_complete(self) -> bool:
+        """Whether every task completed; a service never is complete."""
         return self.spec.job_type != SERVICE and self.completed_count >= self.spec.task_count
 
     @property
     def pending_count(self) -> int:
-        """Tasks that wait for a place."""
+        """Number of tasks that wait to be placed."""
         if self.final_state or self.hold_reason:
             return 0
         missing = self.spec.task_count - self.completed_count - len(self.placements)
         if self.spec.job_type == GANG and self.placements:
-            # Mates of a gang start together; only a gang still gathering takes replacements.
+            # Members of a gang start together; only a gang that is still gathering takes replacements.
             is_gathering = not self.is_gang_stopping and all(
                 p.phase != PlacementPhase.RECOVERED and p.state in ("", "pulling", "gathering")
                 for p in self.placements.values()
@@ -140,7 +164,7 @@
         return missing
 
     def pop_next_index(self) -> int | None:
-        """The next task without a place."""
+        """Return the index of the next task to place and take it off the queue; None if there is none."""
         while self.requeued_indices:
             index = heappop(self.requeued_indices)
             if not self.is_completed(index) and index not in self.placements:
@@ -153,23 +177,35 @@
         return None
 
     def requeue(self, index: int) -> None:
+        """Queue a task again that lost its placement; the lowest index is placed first."""
         heappush(self.requeued_indices, index)
 
     def completion_chunk(self, chunk_number: int) -> bytes:
+        """Return the completion bits of one chunk of `TASKS_PER_CHUNK` tasks, as they are stored."""
         chunk_bytes = TASKS_PER_CHUNK // 8
         return bytes(self.completion_bitmap[chunk_number * chunk_bytes : (chunk_number + 1) * chunk_bytes])
 
     def count_placed_in_zone(self, zone: str) -> int:
+        """Return how many of the job's placements are in the zone."""
         return sum(1 for p in self.placements.values() if p.machine.zone == zone)
 
 
+@lru_cache(maxsize=16384)
+def parse_task_name(task_name: str) -> tuple[str, int]:
+    """Return the job id and index in a task's name, the inverse of `Placement.task_name`; cached, since most
+    heartbeats repeat their tasks. ValueError: the name does not end in a number."""
+    job_id, _, index_text = task_name.rpartition("/")
+    return job_id, int(index_text)
+
+
 def new_job_run(spec: JobSpec, version: int) -> JobRun:
+    """Return the run of a job of which no task has started; `version` is that of the job's record."""
     return JobRun(spec, version, bytearray((spec.task_count + 7) // 8))
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine as its reports and the cloud's list show it."""
+    """A machine as its heartbeats and the cloud's machine list show it."""
 
     name: str
     machine_type: MachineType
@@ -177,33 +213,33 @@
     is_spot: bool
     address: str = ""
     incarnation: int = 0
-    sequence: int = 0  # of its newest word: a report, or the answer to a direct command or a question
-    heartbeat_sequence: int = 0  # of its newest report in this session: only reports' answers renew its lease
-    expired_incarnation: int = 0  # sessions up to this one have run out
-    has_acknowledged_term: bool = False  # has reported our own term
-    last_heartbeat_at: datetime = NEVER  # when the newest report in our term came in
-    lease_renewed_at: datetime = NEVER  # when the newest report came in whose answer may have renewed its lease
-    unconfirmed_since: datetime = NEVER  # first answer to a word that does not show our term
-    last_answered_heartbeat: tuple[int, int] = (0, 0)  # (session, seq) of the newest report that was answered 200
+    sequence: int = 0  # of its newest message: a heartbeat, or the response to a direct command or a probe
+    heartbeat_sequence: int = 0  # of its newest heartbeat in this incarnation: only their answers renew its lease
+    expired_incarnation: int = 0  # leases of incarnations up to this one have expired
+    has_acknowledged_term: bool = False  # a heartbeat has shown our own term
+    last_heartbeat_at: datetime = NEVER  # when the newest heartbeat in our term arrived
+    lease_renewed_at: datetime = NEVER  # when the newest heartbeat arrived whose answer may have renewed its lease
+    unconfirmed_since: datetime = NEVER  # first answer to a heartbeat that does not show our term
+    last_answered_heartbeat: tuple[int, int] = (0, 0)  # (incarnation, sequence) of the newest heartbeat answered 200
     last_answered_at: datetime = NEVER
-    suspected_since: datetime = NEVER  # signs that our answers do not reach it, and no proof since
-    unreachable_since: datetime = NEVER  # and our questions do not either
-    dropped_order_count: int = 0  # orders in a row that it did not take up
+    suspected_since: datetime = NEVER  # our answers seem not to reach it, and no proof since that they do
+    unreachable_since: datetime = NEVER  # and our probes do not reach it either
+    dropped_order_count: int = 0  # consecutive start orders that it did not receive
     known_since: datetime = NEVER
     scaled_out_at: datetime = NEVER
     is_booting: bool = False
     is_autoscaled: bool = False  # by a leader of this service, not found standing
-    is_surge: bool = False  # rented to take the place of one that is drained
+    is_surge: bool = False  # scaled out to replace a machine that is drained
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory: float = 0.0
     cpu_only_cpus: float = 0.0  # CPUs taken by tasks that need no GPU
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
     exits_to_clear: list[tuple[str, int, str]] = field(default_factory=list)  # to clear: task, attempt, cause
-    unknown_tasks: list[tuple[str, int]] = field(default_factory=list)  # to halt: task, attempt
+    unknown_tasks: list[tuple[str, int]] = field(default_factory=list)  # to stop: task, attempt
     image_cache: OrderedDict[str, float] = field(default_factory=OrderedDict)
     spot_reclaim_at: datetime | None = None
-    # While it is silent: when it was last asked, whether it took the connection, and how often it did not.
+    # While it sends no heartbeats: when it was last probed, whether it accepted the connection, how often it did not.
     last_probe_at: datetime = NEVER
     is_hung: bool = False
     missed_probe_count: int = 0
@@ -227,18 +263,21 @@
 
     @property
     def is_suspected(self) -> bool:
+        """Whether our answers seem not to reach the machine (`one_way_partition.py`)."""
         return self.suspected_since != NEVER
 
     @property
     def is_unreachable(self) -> bool:
+        """Whether our probes do not reach the suspected machine either."""
         return self.unreachable_since != NEVER
 
     @property
     def machine_type_name(self) -> str:
+        """Name of the machine's type in the catalog."""
         return self.machine_type.name
 
     def has_image(self, image: str) -> bool:
-        """Cached here, or being fetched for another task."""
+        """Whether the image is cached here, or being fetched for another task."""
         if image in self.image_cache:
             return True
         if self._expected_images_change_count != self.change_count:
@@ -249,7 +288,7 @@
         return image in self._expected_images
 
     def record_image_use(self, image: str, size_gb: float) -> None:
-        """Follow the worker's cache: most recently used images, up to its size."""
+        """Follow the worker's image cache, which keeps the most recently used images up to `cache_gb`."""
         if image in self.image_cache:
             self.image_cache.move_to_end(image)
             return
@@ -261,10 +300,10 @@
     def count_fitting_tasks(
         self, spec: JobSpec, cpus_reserved_per_gpu: float, headroom: tuple[float, float] = (0.0, 0.0)
     ) -> int:
-        """How many tasks of the job fit now.
+        """Return how many tasks of the job fit now.
 
-        CPU-only work leaves each GPU of the machine `reserve` CPUs, which GPU jobs bring along. `kept`: CPUs and GB
-        that are left free.
+        CPU-only work leaves `cpus_reserved_per_gpu` CPUs free for each GPU of the machine, which GPU jobs need.
+        `headroom`: CPUs and GB of memory that are left free.
         """
         free_cpus = self.free_cpus - headroom[0]
         if spec.gpus <= 0 and self.machine_type.gpus > 0 and cpus_reserved_per_gpu > 0:
@@ -275,7 +314,7 @@
 
 
 def max_fitting_tasks(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of the job fit into so much."""
+    """Return how many tasks of the job fit into these free resources."""
     max_tasks = 1 << 30
     for free, required in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory_gb)):
         if required > 0:
--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -15,7 +15,8 @@
 from roseweir.membership.failure_detector import LeaderSearch
 from roseweir.notifier import Notifier
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.heartbeat_reconciliation import LeaseRenewal
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
+from roseweir.scheduler.lease_renewal import LeaseRenewal, decide_lease_renewal, stop_orders_for
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.one_way_partition import record_answer
 from roseweir.workers import messages as wire
@@ -49,6 +50,7 @@
         self._connect = connect
         self._may_hold_response = may_hold_response  # there is room for a connection that waits
         self.cluster_state = cluster_state
+        self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
         self.leader_lease = leader_lease
         self.recorded_notifier = recorded_notifier
         self.work_available = work_available
@@ -88,22 +90,20 @@
         if not self.may_answer(now):
             return json_response(503, {"error": "no news from the state service"})
         try:
-            machine = self.cluster_state.apply_heartbeat(heartbeat, now)
+            machine = self._heartbeat_reconciler.apply_heartbeat(heartbeat, now)
         except ValueError as e:
             return json_response(400, {"error": str(e)})
         if machine is None:
             if heartbeat.machine_name in self.cluster_state.released_machines:
                 return json_response(503, {"error": "released"})
-            renewal = self.cluster_state.heartbeat_reconciler.decide_lease_renewal(heartbeat, now)
+            renewal = decide_lease_renewal(self.cluster_state, heartbeat, now)
             if renewal is LeaseRenewal.REFUSED:
                 return json_response(503, {"error": "not known to hear this node"})
             if renewal is LeaseRenewal.NOT_RENEWED:
                 return json_response(200, wire.heartbeat_response(None, []))
             return json_response(
                 200,
-                wire.heartbeat_response(
-                    self.cluster_state.term, self.cluster_state.heartbeat_reconciler.stop_orders_for(heartbeat)
-                ),
+                wire.heartbeat_response(self.cluster_state.term, stop_orders_for(self.cluster_state, heartbeat)),
             )
         if self.worker_reachability.should_redirect(machine.name, bool(machine.placements), now):
             return json_response(503, {"error": "look for another leader"})
@@ -213,4 +213,4 @@
         if heartbeat.fencing_token > self.cluster_state.term:
             self.leader_lease.end(f"{machine.name} has seen term {heartbeat.fencing_token}")
         elif reply.status == 200:
-            self.cluster_state.apply_command_response(heartbeat, monotonic_now())
+            self._heartbeat_reconciler.apply_command_response(heartbeat, monotonic_now())
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -16,7 +16,9 @@
 from roseweir.kv_store.fenced_writes import FencedWriter
 from roseweir.kv_store.transaction_limits import TransactionLimits
 from roseweir.leader_election.messages import LEADER_KEY
-from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler, LeaseRenewal
+from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
+from roseweir.scheduler.lease_renewal import LeaseRenewal, decide_lease_renewal
 from roseweir.scheduler.scheduling_pass import run_scheduling_pass
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX
 from roseweir.workers import messages as wire
@@ -57,7 +59,7 @@
             record(self.board)
 
     def arrives(self, sent: datetime, report: wire.Heartbeat, copy: bool = False) -> None:
-        machine = self.board.apply_heartbeat(report, self.now)
+        machine = HeartbeatReconciler(self.board).apply_heartbeat(report, self.now)
         orders: list[dict[str, Any]] = []
         if machine is None:
             known = self.board.machines.get(report.machine_name)
@@ -68,7 +70,7 @@
                 and not copy
             ):
                 self.overtaken += 1
-            if self.board.heartbeat_reconciler.decide_lease_renewal(report, self.now) is not LeaseRenewal.COUNTED:
+            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.COUNTED:
                 return
         else:
             orders = self.board.collect_orders(machine, self.now, may_start_tasks=True)
@@ -101,7 +103,7 @@
         elif what < 0.95 and "i-1" in self.board.machines:
             machine = self.hand.machine
             before = (machine.incarnation, machine.sequence)
-            self.board.heartbeat_reconciler.apply_probe_response(self.body(), before, self.now)
+            HeartbeatReconciler(self.board).apply_probe_response(self.body(), before, self.now)
         if "i-1" in self.board.machines:
             self.place()
         self.board.apply_timeouts(self.now)
@@ -128,10 +130,11 @@
 def uncounted(patch: Patch) -> None:
     """A report that is not the newest word is answered, and the lease that it renews does not count."""
 
-    def renewal(self: HeartbeatReconciler, report: wire.Heartbeat, at: datetime) -> LeaseRenewal:
+    def renewal(cluster_state: ClusterState, report: wire.Heartbeat, at: datetime) -> LeaseRenewal:
         return LeaseRenewal.COUNTED
 
-    patch.setattr(HeartbeatReconciler, "decide_lease_renewal", renewal)
+    for caller in (__name__, "roseweir.workers.handlers"):
+        patch.setattr(f"{caller}.decide_lease_renewal", renewal)
 
 
 def test_a_lease_that_is_not_counted_is_caught(monkeypatch: Patch) -> None:
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -11,6 +11,7 @@
 from roseweir.http import Reply
 from roseweir.scheduler import heartbeat_reconciliation, one_way_partition
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
+from roseweir.scheduler.lease_renewal import decide_lease_renewal, stop_orders_for
 from roseweir.scheduler.model import PlacementPhase
 from roseweir.scheduler.one_way_partition import WORKER_ANSWER_TIMEOUT, record_answer
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
@@ -61,7 +62,7 @@
     # It went to other nodes meanwhile, though it was answered here: answers seem lost.
     hand.seq += 2
     at += WORKER_ANSWER_TIMEOUT + seconds(2)
-    cluster_state.apply_heartbeat(hand.body(), at)
+    HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), at)
     assert machine.is_suspected and cluster_state.collect_orders(machine, at, True) == []
     for _ in range(MIN_FAILED_PROBES):
         assert machines_to_probe(cluster_state, at) == [machine]
@@ -79,7 +80,10 @@
     assert 0 in runs.placements, "it may run until its lease is over"
     # The next tenure is the earliest proof that it does not any more.
     machine_of = runs.placements[0].machine
-    assert cluster_state.apply_heartbeat(hand.body(session=2), at) is machine_of and not runs.placements
+    assert (
+        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(session=2), at) is machine_of
+        and not runs.placements
+    )
     assert ("deaf" in [why for _, why in plan_scale_in(cluster_state, SchedulingPassResult(), at)]) is False
     assert (machine, "deaf") in plan_scale_in(
         cluster_state,
@@ -88,7 +92,7 @@
     )
     # It answers a question of ours: the way is open.
     report = hand.body(session=2)
-    cluster_state.heartbeat_reconciler.apply_probe_response(report, (machine.incarnation, machine.sequence), at)
+    HeartbeatReconciler(cluster_state).apply_probe_response(report, (machine.incarnation, machine.sequence), at)
     assert not machine.is_unreachable and not machine.is_suspected
 
 
@@ -179,8 +183,8 @@
     )  # fmt: skip
     for _ in range(1000):
         assert (
-            cluster_state.apply_heartbeat(copy, NOW + seconds(1)) is None
-            and cluster_state.heartbeat_reconciler.stop_orders_for(copy) == []
+            HeartbeatReconciler(cluster_state).apply_heartbeat(copy, NOW + seconds(1)) is None
+            and stop_orders_for(cluster_state, copy) == []
         )
     assert (
         machine.last_heartbeat_at < NOW
@@ -188,11 +192,14 @@
         and {p.attempt for p in run.placements.values()} == {9}
     )
     assert all(p.phase == PlacementPhase.RECOVERED for p in run.placements.values())
-    assert cluster_state.apply_heartbeat(real, NOW + seconds(2)) is machine
+    assert HeartbeatReconciler(cluster_state).apply_heartbeat(real, NOW + seconds(2)) is machine
     assert cluster_state.collect_orders(machine, NOW + seconds(2), True) == [] and len(run.placements) == 2
     # In our own term it is older than what is known.
     heard = machine.last_heartbeat_at
-    assert cluster_state.apply_heartbeat(real, NOW + seconds(9)) is None and machine.last_heartbeat_at == heard
+    assert (
+        HeartbeatReconciler(cluster_state).apply_heartbeat(real, NOW + seconds(9)) is None
+        and machine.last_heartbeat_at == heard
+    )
 
 
 def test_copies_keep_no_lost_machines_tasks_and_bring_no_released_machine_back() -> None:
@@ -204,17 +211,23 @@
     while at < NOW + seconds(120) and run.placements:
         at += seconds(0.5)
         word = hand.body(TERM - 1)
-        assert cluster_state.apply_heartbeat(word, at) is None
-        cluster_state.heartbeat_reconciler.decide_lease_renewal(word, at)
+        assert HeartbeatReconciler(cluster_state).apply_heartbeat(word, at) is None
+        decide_lease_renewal(cluster_state, word, at)
         cluster_state.apply_timeouts(at)
     assert (
         not run.placements
         and at - NOW <= cluster_state.max_lease_duration * 2 + cluster_state.stale_cancellation_window
     ), "words renew for a lease at the most"
     cluster_state.forget_machine("i-1", at, "released")
-    assert cluster_state.apply_heartbeat(hand.body(), at + seconds(600)) is None and "i-1" not in cluster_state.machines
+    assert (
+        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), at + seconds(600)) is None
+        and "i-1" not in cluster_state.machines
+    )
     stranger = Hand(cluster_state, "i-9")
-    assert cluster_state.apply_heartbeat(stranger.body(TERM - 1), at) is None and "i-9" not in cluster_state.machines
+    assert (
+        HeartbeatReconciler(cluster_state).apply_heartbeat(stranger.body(TERM - 1), at) is None
+        and "i-9" not in cluster_state.machines
+    )
 
 
 # -- a lone controller --------------------------------------------------------------------------
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -12,6 +12,7 @@
 from roseweir.limits.rules import renew_fetch_limits
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.job_explanation import explain_job
 from roseweir.scheduler.log_writer import RecoveredStarts
 from roseweir.scheduler.model import JobRun, Machine, PlacementPhase
@@ -49,7 +50,7 @@
         )
 
     def report(self, now: datetime, term: int = TERM, session: int = 1) -> list[dict[str, Any]]:
-        machine = self.board.apply_heartbeat(self.body(term, session), now)
+        machine = HeartbeatReconciler(self.board).apply_heartbeat(self.body(term, session), now)
         assert machine is not None
         orders = self.board.collect_orders(machine, now, may_start_tasks=True)
         for order in orders:
@@ -96,7 +97,7 @@
     run_scheduling_pass(cluster_state, NOW)
     assert hand.report(NOW) == []
     record(cluster_state)
-    machine = cluster_state.apply_heartbeat(hand.body(), NOW)
+    machine = HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), NOW)
     assert machine is not None and cluster_state.collect_orders(machine, NOW, may_start_tasks=False) == []
     assert [o["verb"] for o in hand.report(NOW)] == ["run"]
 
@@ -108,15 +109,15 @@
     run = cluster_state.add_job(job(1), 1)
     run_scheduling_pass(cluster_state, NOW)
     record(cluster_state)
-    machine = cluster_state.apply_heartbeat(hand.body(), NOW)
+    machine = HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), NOW)
     assert machine is not None
     assert [o["verb"] for o in cluster_state.collect_orders(machine, NOW, may_start_tasks=True)] == ["run"]
     # The answer is still under way. A direct command's answer lists nothing, and proves nothing.
-    cluster_state.apply_command_response(hand.body(), NOW)
+    HeartbeatReconciler(cluster_state).apply_command_response(hand.body(), NOW)
     assert run.placements[0].phase == PlacementPhase.SENT
     # A late report is older than what is known, and says nothing either.
     late = Heartbeat("i-1", "10.1.0.1:9", "cpu", "a", False, 1, 1, TERM, [])
-    assert cluster_state.apply_heartbeat(late, NOW) is None
+    assert HeartbeatReconciler(cluster_state).apply_heartbeat(late, NOW) is None
     # The worker's next report proves the answer dropped: the recorded order may go out again.
     assert [o["verb"] for o in hand.report(NOW)] == ["run"]
 
@@ -127,7 +128,7 @@
     machine = cluster_state.restore_machine("i-1", GPU, "a", False, NOW)
     cluster_state.restore_placement(run, 0, machine, 7, NOW)
     hand = Hand(cluster_state, "i-1", "gpu")
-    assert cluster_state.apply_heartbeat(hand.body(TERM - 1), NOW) is None
+    assert HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(TERM - 1), NOW) is None
     assert 0 in run.placements and cluster_state.usage_by_team["t0"].gpus == 2.0
     run_scheduling_pass(cluster_state, NOW)
     assert list(run.placements) == [0]
