--- a/roseweir/cloud/probing.py
+++ b/roseweir/cloud/probing.py
@@ -9,6 +9,7 @@
 from roseweir.cloud.liveness import PROBE_TIMEOUT, machines_to_probe, record_probe_result
 from roseweir.http import Connect, Unreachable
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine
 from roseweir.workers import messages as wire
 
@@ -25,6 +26,7 @@
     def __init__(self, cluster_state: ClusterState, connect: Connect) -> None:
         self.cluster_state = cluster_state
         self._connect = connect
+        self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
         self._active_count = 0
         max_sockets = cluster_state.settings.params.process_limits.max_sockets
         self._max_probes = max(MIN_CONCURRENT_PROBES, max_sockets // SOCKETS_PER_PROBE)
@@ -42,7 +44,7 @@
         is_connected = True
         try:
             reply = await self._connect(machine.address, 0)("GET", "/status", timeout=PROBE_TIMEOUT)
-            self.cluster_state.heartbeat_reconciler.apply_probe_response(
+            self._heartbeat_reconciler.apply_probe_response(
                 msgspec.convert(reply.json(), wire.Heartbeat), known_heartbeat, monotonic_now()
             )
         except Unreachable as e:
--- a/roseweir/workers/direct_commands.py
+++ b/roseweir/workers/direct_commands.py
@@ -9,6 +9,7 @@
 from roseweir.clock import monotonic_now, seconds, sleep
 from roseweir.http import Connect, Unreachable
 from roseweir.scheduler.cluster_state import ClusterState
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
 from roseweir.scheduler.model import Machine
 from roseweir.workers import messages as wire
 from roseweir.workers.answer_authority import AnswerAuthority
@@ -30,6 +31,7 @@
         self.cluster_state = cluster_state
         self._authority = authority
         self._connect = connect
+        self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
 
     async def run(self) -> None:
         """Send stop commands that all tasks of a gang must get together as soon as they are due; never returns.
@@ -73,4 +75,4 @@
         if heartbeat.fencing_token > self.cluster_state.term:
             self._authority.leader_lease.end(f"{machine.name} has seen term {heartbeat.fencing_token}")
         elif reply.status == 200:
-            self.cluster_state.apply_command_response(heartbeat, monotonic_now())
+            self._heartbeat_reconciler.apply_command_response(heartbeat, monotonic_now())
--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -15,7 +15,8 @@
 from roseweir.membership.failure_detector import LeaderSearch
 from roseweir.notifier import Notifier
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.heartbeat_reconciliation import LeaseRenewal
+from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
+from roseweir.scheduler.lease_renewal import LeaseRenewal, decide_lease_renewal, stop_orders_for
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.one_way_partition import record_answer
 from roseweir.workers import messages as wire
@@ -53,6 +54,7 @@
             may_hold_response: Whether there is room for a connection that waits.
         """
         self.cluster_state = cluster_state
+        self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
         self.leader_lease = leader_lease
         self.recorded_notifier = recorded_notifier
         self.work_available = work_available
@@ -78,7 +80,7 @@
         if not self.authority.may_answer(now):
             return _stale_response()
         try:
-            machine = self.cluster_state.apply_heartbeat(heartbeat, now)
+            machine = self._heartbeat_reconciler.apply_heartbeat(heartbeat, now)
         except ValueError as e:
             return json_response(400, {"error": str(e)})
         if machine is None:
@@ -93,12 +95,12 @@
         """Answer a heartbeat that proves nothing about a machine of the cluster."""
         if heartbeat.machine_name in self.cluster_state.released_machines:
             return json_response(503, {"error": "released"})
-        renewal = self.cluster_state.heartbeat_reconciler.decide_lease_renewal(heartbeat, now)
+        renewal = decide_lease_renewal(self.cluster_state, heartbeat, now)
         if renewal is LeaseRenewal.REFUSED:
             return json_response(503, {"error": "not known to hear this node"})
         if renewal is LeaseRenewal.NOT_RENEWED:
             return json_response(200, wire.heartbeat_response(None, []))
-        return self._commands_response(self.cluster_state.heartbeat_reconciler.stop_orders_for(heartbeat))
+        return self._commands_response(stop_orders_for(self.cluster_state, heartbeat))
 
     def _answer_machine(self, machine: Machine, heartbeat: wire.Heartbeat) -> Response:
         """Answer a machine's heartbeat after its hold, with what the machine is to do now."""
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -102,7 +102,7 @@
             await server.close()
         for task in list(cluster.tasks):
             task.cancel()
-    assert b"elected: term 1" in log
+    assert b"leader elected: term=1" in log
 
 
 def test_entry_point_serves_on_loopback(tmp_path: Path) -> None:
