--- a/roseweir/workflows/__init__.py
+++ b/roseweir/workflows/__init__.py
@@ -1,1 +1,1 @@
-"""Chains: jobs that follow one another, from a registry's amendment to the viewer, told by the jobs' own records."""
+"""Workflows: the steps of an amendment, accepted as a whole and released in the order of their dependencies."""
--- a/roseweir/workflows/cli.py
+++ b/roseweir/workflows/cli.py
@@ -1,4 +1,4 @@
-"""`roseweir amend` and `roseweir chains`."""
+"""Commands `roseweir amend` and `roseweir chains`: sending amendments, and watching workflows."""
 
 import argparse
 import sys
@@ -14,11 +14,12 @@
 
 WORKFLOWS_PATH = "/chains"
 POLL_INTERVAL_S = 2.0
-# An amendment that may not be taken yet is sent again for so long.
+# An amendment that cannot be accepted yet is sent so many times at the most.
 MAX_AMEND_ATTEMPTS = 40
 
 
 def add_commands(commands: Any) -> None:
+    """Add the commands to the subparsers of the command line."""
     amend = commands.add_parser("amend", help="send an amendment: its chain of jobs is taken, whole or not at all")
     amend.add_argument("file", metavar="FILE", help="the amendment (JSON); `-`: standard input")
     _add_common_arguments(amend, _run_amend)
@@ -45,7 +46,8 @@
 
 
 def _run_amend(args: argparse.Namespace) -> int:
-    from roseweir.workflows.model import WorkflowRejected, parse_amendment
+    from roseweir.workflows.amendment_validation import parse_amendment
+    from roseweir.workflows.errors import WorkflowRejected
 
     validate_address(args.at)
     try:
@@ -98,7 +100,7 @@
 
 
 def _poll_until_ended(at: str, workflow_id: str) -> int:
-    """A line for each change until the chain is over."""
+    """Print a line for each change until the workflow ends or is blocked; return the exit code."""
     last_line = ""
     while True:
         row = post_command(at, WORKFLOWS_PATH, {"verb": "list", "name": workflow_id})["chain"]
--- a/roseweir/workflows/controller.py
+++ b/roseweir/workflows/controller.py
@@ -1,8 +1,8 @@
-"""The leader's side of chains: takes amendments, lets steps go as what they follow has ended, and tells how they stand.
+"""The leader's workflows: amendments accepted, steps released as their dependencies end, status reported.
 
-Idle until there is a chain. A step is an accepted job that names what it follows; the board holds it until this desk
-lets it go. Who lets go and when is no record of its own: a new leader knows it from the jobs that live, the marks in
-the pages and the ends since these were written.
+Idle until there is a workflow. A step is an accepted job that names its dependencies; the cluster state holds it until
+this controller releases it. Releases have no record of their own: a new leader derives them from the live jobs, the
+steps in the stored pages and the ends of jobs since the pages were written.
 """
 
 import asyncio
@@ -16,12 +16,10 @@
 from roseweir.clock import ZERO, monotonic_now, seconds, sleep, utc_now_ms, wait_at_most
 from roseweir.http import Unreachable
 from roseweir.kv_store import CompareFailed, Entry, KeyValueStoreClient, StoreError
-from roseweir.kv_store.client import delete, put
+from roseweir.kv_store.client import put
 from roseweir.kv_store.fenced_writes import LeadershipLost
-from roseweir.kv_store.write_confirmation import commit_or_confirm
 from roseweir.limits import TokenBucket
 from roseweir.scheduler.cluster_state import ClusterState
-from roseweir.scheduler.job_explanation import explain_job
 from roseweir.scheduler.model import JobRun
 from roseweir.submissions.jobs import (
     COMPLETED_JOB_PREFIX,
@@ -33,32 +31,39 @@
     to_stored,
 )
 from roseweir.workflows import step_transitions
-from roseweir.workflows.model import (
-    Workflow,
-    WorkflowRejected,
-    WorkflowRetryLater,
-    WorkflowStep,
-    build_workflow,
-    job_specs,
-    parse_amendment,
-    step_dependencies,
-)
+from roseweir.workflows.amendment_validation import job_specs, parse_amendment
+from roseweir.workflows.errors import WorkflowRejected, WorkflowRetryLater
+from roseweir.workflows.job_cancellation import cancel_live_job
+from roseweir.workflows.job_progress import failure_count, has_started
+from roseweir.workflows.model import Workflow, WorkflowStep, build_workflow
 from roseweir.workflows.settings import WorkflowSettings
-from roseweir.workflows.store import MAX_PAGE_AGE_REVISIONS, WorkflowStore, compact_ended_workflow
+from roseweir.workflows.step_dependencies import step_dependencies
+from roseweir.workflows.store import (
+    MAX_PAGE_AGE_REVISIONS,
+    PAGE_KEY_PREFIX,
+    WorkflowStore,
+    compact_ended_workflow,
+)
+from roseweir.workflows.views import workflow_view
 
 log = logging.getLogger(__name__)
 
-EVALUATION_INTERVAL, SAVE_INTERVAL, REPORT_INTERVAL = timedelta(seconds=1), timedelta(seconds=2), timedelta(seconds=60)
-# Deliveries of older chains that one waits for, at the most.
+EVALUATION_INTERVAL = timedelta(seconds=1)
+SAVE_INTERVAL = timedelta(seconds=2)
+REPORT_INTERVAL = timedelta(seconds=60)
+# Deliveries of older workflows that one workflow may wait for.
 MAX_BLOCKING_JOBS = 50
-# So long after its acceptance a step whose chain was never recorded is ended.
+# So long after its acceptance a step whose workflow was never recorded is cancelled.
 ORPHANED_JOB_TIMEOUT_MS = 180_000
-# Chains that are looked at in a step though nothing is known to have happened in them.
+# Workflows evaluated in a pass though no event of theirs is known.
 MAX_IDLE_EVALUATIONS_PER_PASS = 200
-MAX_LISTED_WORKFLOWS = 200  # chains that one answer lists
+# Workflows that one answer lists.
+MAX_LISTED_WORKFLOWS = 200
 
 
 class WorkflowController:
+    """Accepts amendments and runs their workflows, for one term of a leader."""
+
     def __init__(
         self,
         settings: WorkflowSettings,
@@ -73,41 +78,44 @@
         self.kv_store = kv_store
         self.store = WorkflowStore(kv_store, leader_version)
         self.workflows: dict[str, Workflow] = {}
-        self.workflow_by_job: dict[str, Workflow] = {}  # of steps that are not over
-        self.open_workflow_ids_by_lot: dict[str, set[str]] = {}  # open chains
-        self.newest_revision_by_lot: dict[
-            str, int
-        ] = {}  # by lot, the newest revision that was taken, as far as it is told of
-        # Until when a chain is promised in the viewer, and who wants to know of changes, if anybody does.
+        self.workflow_by_job: dict[str, Workflow] = {}  # of unfinished steps
+        self.open_workflow_ids_by_lot: dict[str, set[str]] = {}  # unfinished workflows
+        # The newest accepted revision of each lot, among the workflows that are kept.
+        self.newest_revision_by_lot: dict[str, int] = {}
+        # Set by the controller of delivery deadlines, where there is one: when a workflow is due, and its changes.
         self.assign_due_ms: Callable[[Workflow], int] = lambda workflow: 0
         self.on_workflow_changed: Callable[[Workflow], None] = lambda workflow: None
-        self.watched_revision: Callable[[], int] = lambda: 0  # up to which the ends of jobs have been told
+        self.watched_revision: Callable[[], int] = lambda: 0  # up to which ends have been reported
         self.work_available = asyncio.Event()
-        self.has_loaded_ends = False  # the ends since the pages were written are known
+        self.has_loaded_ends = False  # the ends of jobs since the pages were written are known
         self._may_write = may_write
         self._step_down = step_down
         now = monotonic_now()
         self._intake_limiter = TokenBucket.full(now, settings.max_amendments_per_window, settings.intake_window)
-        self._dirty_pages: set[int] = set()  # pages that differ from what is written, and have to be written
-        self._workflows_with_unsaved_marks: set[str] = set()  # chains with marks that can wait
+        self._dirty_pages: set[int] = set()  # pages that have to be written
+        self._workflows_with_unsaved_marks: set[str] = set()  # changes whose write can wait
         self._lock = asyncio.Lock()
-        self._workflows_to_evaluate: set[str] = set()  # chains in which something has happened
-        self._remaining_in_round: list[str] = []  # of all open ones, those that were not looked at yet in this round
-        self._blocked_workflows_by_job: dict[
-            str, set[str]
-        ] = {}  # jobs that some delivery waits for, and of which chains
-        self._orphaned_jobs: set[str] = set()  # steps that were recorded, and their chain never was
-        self._ended_jobs: set[str] = set()  # jobs known to have ended, that some delivery waits for
-        self._is_save_urgent = False  # a chain came to stand still: the next leader has to know
+        self._workflows_to_evaluate: set[str] = set()  # workflows with new events
+        self._remaining_in_round: list[str] = []  # unfinished ones not evaluated yet in this round
+        # Jobs that some delivery waits for, and the workflows of these deliveries.
+        self._blocked_workflows_by_job: dict[str, set[str]] = {}
+        self._orphaned_jobs: set[str] = set()  # recorded steps whose workflow never was
+        self._ended_jobs: set[str] = set()  # ended jobs that some delivery waits for
+        self._is_save_urgent = False  # a workflow was blocked: the next leader has to know
         cluster_state.on_task_failed = self._on_task_failed
 
-    # -- taking over --------------------------------------------------------------------------
+    # -- failover -----------------------------------------------------------------------------
 
     async def read_entries(self) -> list[Entry]:
+        """Read the stored pages of workflows."""
         return await self.store.read_entries()
 
     def restore(self, entries: list[Entry]) -> None:
-        """Before any pass: what a chain holds must not start."""
+        """Load the stored workflows. To be called before the first scheduling pass: held steps must not start.
+
+        Raises:
+            StoreError: a page cannot be decoded.
+        """
         self.workflows = self.store.restore(entries)
         self._dirty_pages |= self.store.oversized_pages()
         for workflow in self.workflows.values():
@@ -119,11 +127,11 @@
         self._restore_delivery_order()
 
     def _restore_delivery_order(self) -> None:
-        """What delivers before what, of chains that go on: derived, and not only read.
+        """Derive the order of deliveries of unfinished workflows again, in addition to what the pages hold.
 
-        An older amendment that comes after a newer one is put before it. That stands on the newer one's page, which is
-        written a moment later: a leader that ended in between left the two free to deliver in any order, and a lot's
-        older state came into the viewer after its newer one (tests/test_fault_combinations.py).
+        An older amendment that is accepted after a newer one delivers before it. That is stored on the newer one's
+        page, which is written a moment later: when a leader failed in between, the two could deliver in any order, and
+        a lot's older state came into the viewer after its newer one (tests/test_fault_combinations.py).
         """
         for workflow in self._open_workflows():
             for workflow_id in sorted(
@@ -163,11 +171,11 @@
                     del self.open_workflow_ids_by_lot[lot]
 
     async def _load_job_ends(self) -> None:
-        """The ends of steps that no leader has marked: of those since the pages were written the service tells."""
+        """Load the ends of steps that are not on the pages: the store's history has those since they were written."""
         jobs = self.cluster_state.jobs
         for job_id, run in [(job_id, jobs[job_id]) for job_id in self.workflow_by_job if job_id in jobs]:
             if run.final_state:
-                # On the board for its tasks' sake, as the record of places names them.
+                # Still in the cluster state because the write-ahead log names its tasks.
                 self.record_job_end(job_id, run.final_state)
         missing_jobs = {job_id for job_id in self.workflow_by_job if job_id not in jobs}
         states_by_job: dict[str, str] = {}
@@ -191,7 +199,7 @@
                 state = None if entry is None else decode_completed_job(entry.value).state
             if state is not None:
                 self.record_job_end(job_id, state)
-        # Steps whose chain was never answered for: their sender was told nothing, and may send it again for a while.
+        # Steps whose amendment was never acknowledged: its sender may repeat it for a while.
         self._orphaned_jobs = {
             run.spec.id for run in self.cluster_state.jobs.values() if run.spec.workflow_id not in ("", *self.workflows)
         }
@@ -200,9 +208,10 @@
     def _open_workflows(self) -> Iterable[Workflow]:
         return (workflow for workflow in self.workflows.values() if not workflow.is_ended)
 
-    # -- the term -----------------------------------------------------------------------------
+    # -- control loop -------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Evaluate workflows at each event and interval, save and log them at theirs, until cancelled."""
         last_saved = last_reported = monotonic_now()
         while True:
             await wait_at_most(EVALUATION_INTERVAL, self.work_available.wait())
@@ -228,19 +237,19 @@
             except LeadershipLost as e:
                 self._step_down(str(e))
             except (StoreError, Unreachable, CompareFailed) as e:
-                log.info("chains: %s", e)
+                log.info("workflows not evaluated or saved, retrying: error=%s", e)
                 await sleep(seconds(0.25))
             else:
                 await sleep(seconds(0.05))
 
     def record_job_end(self, job_id: str, outcome: str) -> None:
-        """A job's end is durable."""
+        """Note that a job has ended, durably; `outcome`: done or cancelled."""
         self._ended_jobs.add(job_id)
         workflow = self.workflow_by_job.pop(job_id, None)
         if workflow is not None and step_transitions.record_step_outcome(workflow, job_id, outcome, utc_now_ms()):
             self._workflows_with_unsaved_marks.add(workflow.id)
             self.on_workflow_changed(workflow)
-            self._log_event(workflow, f"step {job_id} {outcome}")
+            self._log_event(workflow, f"step ended: job={job_id} outcome={outcome}")
         affected_workflow_ids = self._blocked_workflows_by_job.get(job_id, set()) | (
             {workflow.id} if workflow is not None else set()
         )
@@ -249,12 +258,12 @@
             self.work_available.set()
 
     async def _evaluate_workflows(self) -> None:
-        """Let go what is free, end what has to end, and see which chains are over or cannot go on."""
+        """Release, cancel and supersede steps, and find the workflows that have ended or are blocked."""
         now_ms = utc_now_ms()
         await self._cancel_orphaned_jobs(now_ms)
         if not self._remaining_in_round:
             self._remaining_in_round = [workflow.id for workflow in self._open_workflows()]
-        # Those in which something has happened, and of the others some at a time: jobs fail without an end.
+        # Those with new events, and some of the others in each pass: a job may fail without an end.
         workflow_ids = self._workflows_to_evaluate | set(self._remaining_in_round[-MAX_IDLE_EVALUATIONS_PER_PASS:])
         del self._remaining_in_round[-MAX_IDLE_EVALUATIONS_PER_PASS:]
         self._workflows_to_evaluate = set()
@@ -288,36 +297,12 @@
             if run is None or run.final_state or run.spec.workflow_id in self.workflows:
                 self._orphaned_jobs.discard(job_id)
             elif now_ms - run.spec.accepted_ms > ORPHANED_JOB_TIMEOUT_MS:
-                log.info("chains: %s is ended: its amendment %s was not taken", job_id, run.spec.workflow_id)
-                await self._cancel_live_job(job_id, run.spec)
+                log.info("orphaned step cancelled: job=%s workflow=%s", job_id, run.spec.workflow_id)
+                await cancel_live_job(self.kv_store, job_id, run.spec)
                 self._orphaned_jobs.discard(job_id)
 
-    async def _cancel_live_job(self, job_id: str, spec: JobSpec) -> bool:
-        """A job's end by its sender's word, durable when this returns. False if it does not live."""
-        live = await self.kv_store.get(LIVE_JOB_PREFIX + job_id)
-        if live is None:
-            return False
-        ops = [
-            put(COMPLETED_JOB_PREFIX + job_id, to_stored(completed_job(spec, "cancelled"))),
-            delete(LIVE_JOB_PREFIX + job_id),
-        ]
-
-        async def confirm_cancelled() -> int | None:
-            entry = await self.kv_store.get(COMPLETED_JOB_PREFIX + job_id)
-            return (
-                entry.version if entry is not None and decode_completed_job(entry.value).state == "cancelled" else None
-            )
-
-        await commit_or_confirm(
-            self.kv_store,
-            [(LIVE_JOB_PREFIX + job_id, live.version), (COMPLETED_JOB_PREFIX + job_id, 0)],
-            ops,
-            confirm_cancelled,
-        )
-        return True
-
     def _has_job_ended(self, job_id: str) -> bool:
-        # Not before its tasks have left their machines: one that was stopped might deliver yet.
+        # Not before its tasks have left their machines: a task that is being stopped may still deliver.
         return job_id not in self.cluster_state.jobs and (
             job_id in self._ended_jobs or (self.has_loaded_ends and job_id not in self.workflow_by_job)
         )
@@ -325,33 +310,33 @@
     def _release_step(self, workflow: Workflow, step: WorkflowStep, now_ms: int) -> None:
         run = self.cluster_state.jobs.get(step.job_id)
         if run is None or run.final_state:
-            self._workflows_to_evaluate.add(workflow.id)  # the watch tells of it in a moment
+            self._workflows_to_evaluate.add(workflow.id)  # the watch reports its end shortly
             return
         step.released_ms = now_ms
         self._workflows_with_unsaved_marks.add(workflow.id)
         self._release_held_job(run, step)
         self.on_workflow_changed(workflow)
-        self._log_event(workflow, f"step {step.job_id} may start")
+        self._log_event(workflow, f"step released: job={step.job_id}")
 
     def _release_held_job(self, run: JobRun, step: WorkflowStep) -> None:
         if run.hold_reason:
-            # Its due time and its place in the queue run from here.
+            # Its due time and its place in the queue count from its release.
             self.cluster_state.release_job(run, step.released_ms)
 
     def _hold_unstarted_steps(self, workflow: Workflow) -> None:
-        """Nothing more begins of a chain that stands still or was stopped; a step that fails does not go on failing."""
+        """Hold the unstarted steps of a blocked or stopped workflow, and of a blocked one the failing step as well."""
         for step in workflow.steps:
             run = self.cluster_state.jobs.get(step.job_id)
             if run is None or step.outcome or run.final_state:
                 continue
-            may_continue = bool(step.released_ms) and _has_started(run) and workflow.state != "standing"
+            may_continue = bool(step.released_ms) and has_started(run) and workflow.state != "standing"
             if may_continue:
                 self._release_held_job(run, step)
             elif not run.hold_reason:
                 self.cluster_state.hold_job(run, f"its chain {workflow.id} to go on: {workflow.reason}")
 
     def _on_task_failed(self, run: JobRun) -> None:
-        """A task has failed. A step whose attempts are used up is held at once, before anything places it again."""
+        """Hold a step whose attempts are used up at once, before a scheduling pass places it again."""
         workflow = self.workflow_by_job.get(run.spec.id)
         if workflow is not None and workflow.state == "open" and self._has_exhausted_attempts(run):
             self.cluster_state.hold_job(run, f"its chain {workflow.id} to go on: its attempts are used up")
@@ -359,44 +344,44 @@
             self.work_available.set()
 
     def _has_exhausted_attempts(self, run: JobRun) -> bool:
-        return _failure_count(run) >= self.settings.max_attempts and run.completed_count == 0
+        return failure_count(run) >= self.settings.max_attempts and run.completed_count == 0
 
     def _block_on_exhausted_attempts(self, workflow: Workflow) -> None:
-        """A step whose attempts are used up: the chain stands still, and says so."""
+        """Block the workflow if a step of it has used up its attempts."""
         for step in workflow.steps:
             run = self.cluster_state.jobs.get(step.job_id)
             if run is None or step.outcome or not step.released_ms:
                 continue
             if self._has_exhausted_attempts(run):
-                failure_count, machine_count = _failure_count(run), len(run.failed_machines)
+                failures, machines = failure_count(run), len(run.failed_machines)
                 workflow.state = "standing"
                 workflow.reason = (
-                    f"step {step.job_id} ({step.job_class}) failed {failure_count} times, on {machine_count} machines"
+                    f"step {step.job_id} ({step.job_class}) failed {failures} times, on {machines} machines"
                 )
                 self._mark_page_dirty(workflow)
                 self._is_save_urgent = True
                 self.on_workflow_changed(workflow)
-                self._log_event(workflow, "stands still")
+                self._log_event(workflow, "blocked")
                 return
             if run.hold_reason:
-                # A new leader knows from the page that it may start.
+                # A new leader learns from the page that the step has been released.
                 self._release_held_job(run, step)
 
     async def _end_step(self, workflow: Workflow, step: WorkflowStep, outcome: str) -> None:
-        """End a step by the word of its sender, as a user's cancel does. Durable when this returns."""
+        """Cancel a step, as a user's request does; durable when this returns. `outcome`: cancelled or superseded."""
         if not step.outcome:
             run = self.cluster_state.jobs.get(step.job_id)
-            if run is None or not await self._cancel_live_job(step.job_id, run.spec):
+            if run is None or not await cancel_live_job(self.kv_store, step.job_id, run.spec):
                 entry = await self.kv_store.get(COMPLETED_JOB_PREFIX + step.job_id)
                 if entry is None:
-                    return  # heard of in a moment
+                    return  # the watch reports its end shortly
                 if decode_completed_job(entry.value).state == "done":
                     outcome = "done"
             self.workflow_by_job.pop(step.job_id, None)
             self._ended_jobs.add(step.job_id)
             step.outcome, step.ended_ms = outcome, utc_now_ms()
             self._workflows_with_unsaved_marks.add(workflow.id)
-            self._log_event(workflow, f"step {step.job_id} {outcome}")
+            self._log_event(workflow, f"step ended: job={step.job_id} outcome={outcome}")
 
     def _finish_workflow(self, workflow: Workflow, state: str) -> None:
         workflow.state = state
@@ -409,12 +394,12 @@
         self._mark_page_dirty(compacted)
         self._workflows_with_unsaved_marks.discard(workflow.id)
         if state == "done":
-            # Whom this one has overtaken in the viewer needs to be known no more.
+            # Its deliveries are done: the ends that they waited for need not be known any more.
             self._ended_jobs.difference_update(workflow.blocking_jobs)
             for lot in workflow.lots:
                 self.newest_revision_by_lot[lot] = max(self.newest_revision_by_lot.get(lot, -1), workflow.revision)
 
-    # -- the record ---------------------------------------------------------------------------
+    # -- stored pages -------------------------------------------------------------------------
 
     def _mark_page_dirty(self, workflow: Workflow) -> None:
         page_number = self.store.page_by_workflow.get(workflow.id)
@@ -422,7 +407,7 @@
             self._dirty_pages.add(page_number)
 
     async def _save_pages(self) -> None:
-        """Pages with what must be known, and those whose marks would be forgotten by the state service."""
+        """Write the pages that must be durable, and those whose later ends the store is about to drop."""
         self._remove_expired_workflows()
         dirty_pages, self._dirty_pages = self._dirty_pages, set()
         page_numbers = set(dirty_pages)
@@ -435,10 +420,10 @@
                 > MAX_PAGE_AGE_REVISIONS
             ):
                 page_numbers.add(page_number)
-        # A page that nothing has changed on is old as well: ends are asked for from the oldest page on.
+        # An unchanged page ages as well: a new leader reads the ends since the oldest page.
         for key, version in self.store.key_versions.items():
             if watched_revision - version > MAX_PAGE_AGE_REVISIONS and len(page_numbers) < 4:
-                page_numbers.add(int(key.removeprefix("chain/")))
+                page_numbers.add(int(key.removeprefix(PAGE_KEY_PREFIX)))
         if not page_numbers:
             return
         dirty_pages |= self.store.oversized_pages()
@@ -465,7 +450,7 @@
         }
 
     def _remove_expired_workflows(self) -> None:
-        """Ended chains go after their time, and the oldest of them where there is no room."""
+        """Remove the ended workflows whose retention is over."""
         oldest_kept_ms = utc_now_ms() - round(self.settings.retention.total_seconds() * 1000)
         for workflow in [c for c in self.workflows.values() if c.is_ended and c.ended_ms < oldest_kept_ms]:
             self._remove_workflow(workflow)
@@ -476,7 +461,7 @@
         self.workflows.pop(workflow.id, None)
 
     def _evict_oldest_ended_workflows(self) -> bool:
-        """The oldest chains that have ended make way for one that comes. Whether some did."""
+        """Evict the oldest ended workflows to make room for a new one. Return whether there were any."""
         ended_workflows = sorted((c for c in self.workflows.values() if c.is_ended), key=lambda c: (c.ended_ms, c.id))
         for workflow in ended_workflows[:20]:
             self._remove_workflow(workflow)
@@ -485,7 +470,15 @@
     # -- registries and operators ---------------------------------------------------------------
 
     async def accept_amendment(self, value: Any) -> tuple[bool, dict[str, Any]]:
-        """Take an amendment; durable when this returns. (whether it is new, how it stands); Refused or NotNow."""
+        """Accept an amendment; durable when this returns.
+
+        Returns:
+            Whether it is new, and the workflow's view.
+
+        Raises:
+            WorkflowRejected: it is invalid, or conflicts with what was accepted before.
+            WorkflowRetryLater: it cannot be accepted or recorded now.
+        """
         amendment = parse_amendment(value)
         async with self._lock:
             existing = self.workflows.get(amendment.id)
@@ -497,7 +490,7 @@
             if existing is not None:
                 if existing.digest != workflow.digest:
                     raise WorkflowRejected(f"amendment {amendment.id} is known with another content", 409)
-                return False, self._workflow_view(existing)
+                return False, workflow_view(existing, self.cluster_state)
             self._validate_jobs(amendment.id, specs)
             if not self.has_loaded_ends:
                 raise WorkflowRetryLater("a new leader looks at what has ended")
@@ -515,22 +508,23 @@
             self._intake_limiter.debit(1.0, monotonic_now())
             self.workflows[workflow.id] = workflow
             if workflow.is_ended:
-                self._log_event(workflow, "superseded: a newer amendment of its lots is here")
+                self._log_event(workflow, "superseded by a newer amendment of its lots")
                 self.on_workflow_changed(workflow)
-                return True, self._workflow_view(workflow)
+                return True, workflow_view(workflow, self.cluster_state)
             self._add_to_indexes(workflow)
             self._log_event(
-                workflow, f"taken: {len(workflow.steps)} steps, {len(workflow.lots)} lots, revision {workflow.revision}"
+                workflow,
+                f"accepted: steps={len(workflow.steps)} lots={len(workflow.lots)} revision={workflow.revision}",
             )
             self.on_workflow_changed(workflow)
             self.work_available.set()
-            return True, self._workflow_view(workflow)
+            return True, workflow_view(workflow, self.cluster_state)
 
     def _retry_after_s(self) -> float:
         return max(1.5, round(self.settings.intake_window.total_seconds() / self.settings.max_amendments_per_window, 1))
 
     def _validate_jobs(self, workflow_id: str, specs: list[JobSpec]) -> None:
-        """What a submission would be refused for."""
+        """Reject what would be rejected as a submission."""
         classes = {o.job_class for o in self.cluster_state.settings.params.objectives if o.job_class}
         classes |= {workflow_id for group in self.settings.step_order for workflow_id in group}
         for spec in specs:
@@ -546,7 +540,7 @@
                 raise WorkflowRejected(f"step {spec.id}: a job{owner} has this id already", 409)
 
     def _order_deliveries(self, workflow: Workflow) -> None:
-        """What this one's delivery waits for. A chain that comes after newer ones is superseded as it is taken."""
+        """Order its deliveries among those of other workflows of its lots; if all lots are newer, it is superseded."""
         if all(self.newest_revision_by_lot.get(lot, -1) > workflow.revision for lot in workflow.lots):
             workflow.state, workflow.ended_ms = "superseded", workflow.accepted_ms
             for step in workflow.steps:
@@ -578,12 +572,12 @@
                 f"newer revisions of {shown_lots} are in the viewer or on their way: send the rest alone", 409
             )
         for other in newer:
-            # It came first and is newer: what it delivers waits for this one.
+            # Accepted before and newer: its deliveries wait for this one's.
             self._add_blocking_jobs(other, step_transitions.pending_delivery_jobs(workflow, other))
             self._mark_page_dirty(other)
 
     def _may_have_delivered(self, workflow: Workflow) -> bool:
-        """Whether some of its delivery may have begun, also under an earlier leader, whose release is not on record."""
+        """Return whether a delivery may have started, also under an earlier leader whose releases are not stored."""
         return any(
             step.is_delivery and (step.released_ms or step.outcome or self._has_step_started(step))
             for step in workflow.steps
@@ -591,10 +585,10 @@
 
     def _has_step_started(self, step: WorkflowStep) -> bool:
         run = self.cluster_state.jobs.get(step.job_id)
-        return run is not None and _has_started(run)
+        return run is not None and has_started(run)
 
     async def _write_workflow(self, workflow: Workflow, specs: list[JobSpec]) -> None:
-        """The chain's page and all its jobs' records, or nothing."""
+        """Write the workflow's page and the records of all its jobs, or nothing."""
         max_operations = self.kv_store.transaction_limits.max_txn_ops
         page_number = self.store.assign_page(workflow)
         while page_number is None and self._evict_oldest_ended_workflows():
@@ -612,7 +606,7 @@
             await self.store.refresh_version(key)
             remaining_specs = list(specs)
             while len(remaining_specs) > max_operations - 1:
-                # Jobs first: without the chain's page they are held, and taken up as the same amendment comes again.
+                # Jobs first: without the workflow's page they are held, and reused when the same amendment is repeated.
                 await self._write_jobs(workflow, remaining_specs[: max_operations - 1], is_superseded, None)
                 remaining_specs = remaining_specs[max_operations - 1 :]
             await self._write_jobs(
@@ -661,14 +655,19 @@
                         and isinstance(entry.value, dict)
                         and entry.value.get("chain") == workflow.id
                     ):
-                        own_jobs.add(job_id)  # an earlier try of this amendment that nobody was told of
+                        own_jobs.add(job_id)  # an earlier attempt at this amendment, never acknowledged
                     else:
                         raise WorkflowRejected(f"step {job_id}: a job has this id already", 409) from e
                 specs = [spec for spec in specs if spec.id not in own_jobs]
         raise StoreError("the steps' ids kept changing")
 
     async def stop_or_resume(self, workflow_id: str, verb: str) -> dict[str, Any]:
-        """Stop a chain where it stands, or let it go on."""
+        """Stop or resume a workflow; durable when this returns. Return its view.
+
+        Raises:
+            WorkflowRejected: there is no such workflow, or it has ended.
+            WorkflowRetryLater: it cannot be recorded now.
+        """
         async with self._lock:
             workflow = self.workflows.get(workflow_id)
             if workflow is None:
@@ -698,100 +697,53 @@
                         self._release_held_job(run, step)
             self._workflows_to_evaluate.add(workflow.id)
             self.on_workflow_changed(workflow)
-            self._log_event(workflow, "goes on" if verb == "resume" else "stopped")
+            self._log_event(workflow, "resumed" if verb == "resume" else "stopped")
             self.work_available.set()
-            return self._workflow_view(workflow)
+            return workflow_view(workflow, self.cluster_state)
 
-    # -- told ---------------------------------------------------------------------------------
+    # -- reports ------------------------------------------------------------------------------
 
     def _log_event(self, workflow: Workflow, event: str) -> None:
-        log.info("chain %s: %s%s", workflow.id, event, f"; {workflow.reason}" if workflow.reason else "")
+        log.info("workflow %s: %s%s", workflow.id, event, f" reason={workflow.reason}" if workflow.reason else "")
 
     def _log_counts(self) -> None:
         counts = self.count_by_state()
         if any(state in counts for state in ("open", "standing", "stopped")):
-            log.info("chains: %s", ", ".join(f"{n} {state}" for state, n in counts.items()))
+            log.info("workflows: %s", " ".join(f"{state}={n}" for state, n in counts.items()))
 
     def count_by_state(self) -> dict[str, int]:
+        """Return the number of workflows in each state."""
         counts: dict[str, int] = {}
         for workflow in self.workflows.values():
             counts[workflow.state] = counts.get(workflow.state, 0) + 1
         return dict(sorted(counts.items()))
 
     def summary(self) -> dict[str, Any]:
-        """For `status`."""
+        """Return the part of `status`: workflows by state, and the blocked ones with their reasons."""
         if not self.workflows:
             return {}
         blocked = [f"{c.id}: {c.reason}" for c in self.workflows.values() if c.state == "standing"]
         return {"chains": self.count_by_state(), "chains_standing": blocked[:20]}
 
     def describe(self) -> dict[str, Any]:
+        """Return the answer that lists the workflows, blocked ones first."""
         state_order = {"standing": 0, "stopped": 1, "open": 2, "superseded": 3, "done": 4}
         workflows = sorted(self.workflows.values(), key=lambda c: (state_order[c.state], -c.accepted_ms, c.id))
         return {
             "counts": self.count_by_state(),
-            "chains": [self._workflow_view(workflow, is_brief=True) for workflow in workflows[:MAX_LISTED_WORKFLOWS]],
+            "chains": [
+                workflow_view(workflow, self.cluster_state, is_brief=True)
+                for workflow in workflows[:MAX_LISTED_WORKFLOWS]
+            ],
         }
 
     def describe_workflow(self, workflow_id: str) -> dict[str, Any]:
+        """Return a workflow with its steps.
+
+        Raises:
+            WorkflowRejected: there is none of this id.
+        """
         workflow = self.workflows.get(workflow_id)
         if workflow is None:
             raise WorkflowRejected(f"no chain is called {workflow_id}", 404)
-        return self._workflow_view(workflow)
-
-    def _workflow_view(self, workflow: Workflow, is_brief: bool = False) -> dict[str, Any]:
-        now_ms = utc_now_ms()
-        answer: dict[str, Any] = {
-            "id": workflow.id,
-            "revision": workflow.revision,
-            "team": workflow.team,
-            "state": workflow.state,
-            "why": workflow.reason or None,
-            "lots": len(workflow.lots),
-            "steps": len(workflow.steps),
-            "steps_over": sum(bool(step.outcome) for step in workflow.steps),
-            "taken_s_ago": round((now_ms - workflow.accepted_ms) / 1000, 1),
-            "ended_s_ago": round((now_ms - workflow.ended_ms) / 1000, 1) if workflow.ended_ms else None,
-            "due_ms": workflow.due_ms or None,
-            "waits_for": self._waiting_reason(workflow),
-        }
-        if not is_brief:
-            answer["detail"] = [self._step_view(step, workflow) for step in workflow.steps]
-        return answer
-
-    def _waiting_reason(self, workflow: Workflow) -> str | None:
-        if workflow.is_ended:
-            return None
-        if workflow.state != "open":
-            return workflow.reason
-        for step in workflow.steps:
-            if not step.outcome and step.released_ms:
-                explanation = explain_job(self.cluster_state, step.job_id, monotonic_now())
-                if explanation is not None and explanation["waits_for"]:
-                    return f"step {step.job_id}: {explanation['waits_for']}"
-        unfinished = [step.job_id for step in workflow.steps if not step.outcome]
-        return (
-            f"steps {', '.join(unfinished[:3])}{' and more' if len(unfinished) > 3 else ''} to end"
-            if unfinished
-            else None
-        )
-
-    def _step_view(self, step: WorkflowStep, workflow: Workflow) -> dict[str, Any]:
-        run = self.cluster_state.jobs.get(step.job_id)
-        state = step.outcome or ("waits" if not step.released_ms else "runs" if run and _has_started(run) else "queued")
-        return {
-            "job": step.job_id,
-            "class": step.job_class,
-            "state": state,
-            "follows": [workflow.steps[n].job_id for n in step.dependencies],
-            "tasks": run.spec.task_count if run is not None else None,
-            "tasks_done": run.completed_count if run is not None else None,
-        }
-
-
-def _failure_count(run: JobRun) -> int:
-    return max(run.failure_count, len(run.failed_machines))
-
-
-def _has_started(run: JobRun) -> bool:
-    return run.has_started or run.completed_count > 0 or any(p.phase > 0 for p in run.placements.values())
+        return workflow_view(workflow, self.cluster_state)
--- a/roseweir/workflows/handlers.py
+++ b/roseweir/workflows/handlers.py
@@ -1,10 +1,10 @@
-"""What operators, registries and peers send to `/chains`, and what is answered."""
+"""Handler of `/chains`: requests about workflows, of operators, registries and peers."""
 
 from typing import TYPE_CHECKING, Any, Literal
 
 import msgspec
 
-from roseweir.workflows.model import WorkflowRejected, WorkflowRetryLater
+from roseweir.workflows.errors import WorkflowRejected, WorkflowRetryLater
 
 if TYPE_CHECKING:
     from roseweir.workflows.controller import WorkflowController
@@ -16,16 +16,20 @@
     forbid_unknown_fields=True,
     rename={"is_forwarded": "passed_on", "workflow_id": "name"},
 ):
-    """The body of a POST: an amendment to take, a chain to stop or to go on with; nothing: how they stand."""
+    """The body of a POST: an amendment to accept, a workflow to stop, resume or show; empty: list all."""
 
     verb: Literal["amend", "stop", "resume", "list"] = "list"
     amendment: Any = None
     workflow_id: str = ""
-    is_forwarded: bool = False  # by a node that does not lead
+    is_forwarded: bool = False  # by a node that is not the leader
 
 
 def decode_request(method: str, body: bytes) -> WorkflowRequest:
-    """Raises ValueError, whose text is one line about what is wrong."""
+    """Return the request that a body holds.
+
+    Raises:
+        ValueError: it is malformed; the message is one line.
+    """
     request = msgspec.json.decode(body, type=WorkflowRequest) if method == "POST" and body else WorkflowRequest()
     if request.verb == "amend" and request.amendment is None:
         raise ValueError("`amendment` is missing")
@@ -33,8 +37,11 @@
 
 
 async def handle_request(controller: "WorkflowController", method: str, body: bytes) -> tuple[int, dict[str, Any]]:
-    """Status and answer: 201 for a new chain, 200 for one that is there; 400, 404, 409 or 422: refused; 429 or
-    503 with a time to come back."""
+    """Return the HTTP status and answer of a request.
+
+    201 for a new workflow, 200 for a known one; 400, 404, 409 or 422: rejected; 429 or 503: retry after the time in
+    the answer.
+    """
     try:
         request = decode_request(method, body)
         if request.verb == "amend":
--- a/roseweir/workflows/settings.py
+++ b/roseweir/workflows/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(chain ...)`: the usual order of steps, and what happens where a chain cannot go on."""
+"""The operators' form `(chain ...)`: the default order of steps, and what happens where a workflow cannot go on."""
 
 from datetime import timedelta
 from typing import Any
@@ -19,19 +19,20 @@
         "retention": "keep",
     },
 ):
-    """docs/chains.md gives the reason for each default."""
+    """Settings of workflows; docs/chains.md gives the reason for each default."""
 
-    # Classes in the order in which their steps follow one another; those of one group run side by side.
+    # Classes in the order of their dependencies; those of one group run in parallel.
     step_order: list[list[str]] = msgspec.field(default_factory=list)
     delivery_class: str = ""  # the class whose end puts the lots into the viewer; "": the last steps are the delivery
-    max_attempts: int = 5  # failures of a step, after which its chain stands still
-    on_cancel: str = "stop"  # what follows a step that its sender cancelled: `stop` or `skip` it
-    superseded: str = "finish"  # what runs of a chain that a newer amendment overtook: `finish` or `stop` it
-    max_amendments_per_window: float = 60.0  # amendments that may be taken at once, and
-    intake_window: timedelta = timedelta(seconds=60)  # within how long as many more may be
-    retention: timedelta = timedelta(days=30)  # ended chains are told of for so long, if there is room
+    max_attempts: int = 5  # failures of a step, after which its workflow is blocked
+    on_cancel: str = "stop"  # after a cancelled step: `stop` its dependents, or `skip` it
+    superseded: str = "finish"  # running steps of a superseded workflow: `finish` or `stop` them
+    max_amendments_per_window: float = 60.0  # amendments that may be accepted at once, and
+    intake_window: timedelta = timedelta(seconds=60)  # the time after which as many more may be
+    retention: timedelta = timedelta(days=30)  # ended workflows are kept for so long, if there is room
 
     def group_index(self, job_class: str) -> int | None:
+        """Return the position of a class in `step_order`, or None."""
         return next((n for n, group in enumerate(self.step_order) if job_class in group), None)
 
 
@@ -39,7 +40,11 @@
 
 
 def parse_workflow_settings(entries: list[Any]) -> WorkflowSettings:
-    """Read `(chain (order "a" ("b" "c") "d") (delivery "d") (attempts 5) (intake 60 60) (keep-days 30) ...)`."""
+    """Read `(chain (order "a" ("b" "c") "d") (delivery "d") (attempts 5) (intake 60 60) (keep-days 30) ...)`.
+
+    Raises:
+        SettingsError: the form is malformed.
+    """
     settings = WorkflowSettings()
     for entry in entries:
         name, args = read_form(entry)
--- a/roseweir/workflows/step_transitions.py
+++ b/roseweir/workflows/step_transitions.py
@@ -1,8 +1,8 @@
-"""What happens next in chains. Pure: what is known of jobs goes in, what is to be done comes out.
+"""State transitions of workflows. Pure: takes what is known of jobs, returns the actions to perform.
 
-A step is *free* once all that it follows is over for good: done, or cancelled where the settings skip that. Nothing is
-kept of that which the jobs' own records do not tell: a chain whose marks are old is brought up to date by the ends
-since.
+A step is releasable once all its dependencies are satisfied: done, or cancelled where the settings skip cancelled
+steps. A workflow stores nothing beyond what the jobs' own records show: one that was stored long ago is brought up to
+date by the ends of jobs since.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class PendingActions:
-    """What a look at one chain asks for."""
+    """The actions that an evaluation of one workflow asks for."""
 
     releasable: list[int] = field(default_factory=list)  # steps that may start now
-    cancellable: list[int] = field(default_factory=list)  # steps that have to end, and are not over
-    final_state: str = ""  # the chain's state, if it is over
+    cancellable: list[int] = field(default_factory=list)  # steps that have to be cancelled
+    final_state: str = ""  # the workflow's final state, if it has ended
 
 
 def record_step_outcome(workflow: Workflow, job_id: str, outcome: str, now_ms: int) -> bool:
-    """A step's job is over, durably. Whether that is news."""
+    """Note the durable end of a step's job, at `now_ms`. Return whether it was not known before."""
     for step in workflow.steps:
         if step.job_id == job_id and not step.outcome:
             step.outcome = outcome
@@ -32,13 +32,19 @@
 
 
 def evaluate(workflow: Workflow, settings: WorkflowSettings, has_ended: Callable[[str], bool]) -> PendingActions:
-    """`is_over`: whether a job of an older chain, which this one's delivery waits for, has ended in whatever way."""
+    """Return the pending actions of a workflow.
+
+    Args:
+        workflow: the workflow.
+        settings: the settings of workflows.
+        has_ended: whether a job of an older workflow, which blocks this one's deliveries, has ended in whatever way.
+    """
     actions = PendingActions()
     if workflow.is_ended:
         return actions
     cancelled_steps = [n for n, step in enumerate(workflow.steps) if step.outcome == "cancelled"]
     if cancelled_steps and settings.on_cancel == "stop":
-        # What follows a step that was cancelled will never have what it needs.
+        # The dependencies of these steps will never be satisfied.
         for n in _transitive_dependents(workflow, cancelled_steps):
             if not workflow.steps[n].outcome:
                 actions.cancellable.append(n)
@@ -75,19 +81,25 @@
 def superseded_steps(
     older: Workflow,
     newest_revision_by_lot: Mapping[str, int],
-    has_begun: Callable[[WorkflowStep], bool],
+    has_started: Callable[[WorkflowStep], bool],
     settings: WorkflowSettings,
 ) -> list[int]:
-    """Steps of the older chain that have to end, since newer ones are about all lots that they are for.
+    """Return the steps of the older workflow that have to end, as newer workflows cover all their lots.
+
+    A step that another unfinished step depends on stays: otherwise, with one lot of a join superseded, the join would
+    wait for a step that never ends, and the newer workflow for the join.
 
-    `newest`: by lot, the newest revision that has been taken. A step that another one needs stays: with one lot of a
-    join overtaken, the join waited for a step that never came, and the newer amendment waited for the join.
+    Args:
+        older: the workflow.
+        newest_revision_by_lot: the newest accepted revision of each lot.
+        has_started: whether a step's job has started.
+        settings: the settings of workflows.
     """
     found = []
     for n, step in enumerate(older.steps):
         if step.outcome or not all(newest_revision_by_lot.get(lot, -1) > older.revision for lot in older.lots_of(step)):
             continue
-        if not has_begun(step) or settings.superseded == "stop":
+        if not has_started(step) or settings.superseded == "stop":
             found.append(n)
     while still_needed := [
         n for n in found if any(not older.steps[f].outcome and f not in found for f in older.dependents(n))
@@ -97,9 +109,9 @@
 
 
 def pending_delivery_jobs(older: Workflow, newer: Workflow) -> list[str]:
-    """Jobs of the older chain that may still deliver lots of the newer one, which must come after them.
+    """Return the jobs of the older workflow that may still deliver lots of the newer one, which must come after them.
 
-    Those that are to be superseded count as well, until they are.
+    Those that are to be superseded count as well, until they have ended.
     """
     lots = set(newer.lots)
     return [
--- a/roseweir/workflows/store.py
+++ b/roseweir/workflows/store.py
@@ -1,9 +1,10 @@
-"""Chains in the state service: many to a value, all guarded by the leader's key and their own versions.
+"""Workflows in the key-value store: many to a page, written on condition of the leader's key and the page's version.
 
-`chain/NNNN` holds chains by id. One that is taken is written with its jobs' own records, one that has ended is written
-as its last job has; what happens in between is told by the jobs' records, and written only as the state service is
-about to forget the changes since the page was last written (`AGED`). So a chain costs at most two changes beside its
-jobs' own, and one for as many others as share its page. Ended chains are kept in a few bytes, the oldest go first.
+`chain/NNNN` holds workflows by id. A workflow is written with its jobs' own records when it is accepted, and again when
+its last job has ended. What happens in between is derived from the jobs' records, and written only when the store is
+about to drop the changes since the page was last written (`MAX_PAGE_AGE_REVISIONS`). So a workflow costs at most two
+writes beside those of its jobs, shared with the others on its page. Ended workflows are stored in a few bytes, and the
+oldest are evicted first.
 """
 
 from typing import Any
@@ -16,14 +17,19 @@
 from roseweir.workflows.model import Workflow
 
 PAGE_KEY_PREFIX = "chain/"
-MAX_PAGE_FILL, MAX_PAGE_BYTES = 0.85, 8 * 1024
-# The state service tells of its last 10,000 changes: pages are written anew well before they are so old.
+# The part of the largest value that a page may take.
+MAX_PAGE_FILL = 0.85
+# The most that it takes where the store allows larger values.
+MAX_PAGE_BYTES = 8 * 1024
+# The key-value store keeps its last 10,000 changes: pages are written again well before they are that old.
 MAX_PAGE_AGE_REVISIONS = 6000
-# Pages at the most: what is there beyond them is ended chains.
+# Pages at the most: ended workflows are evicted before there are more.
 MAX_PAGES = 2000
 
 
 class WorkflowStore(FencedWriter):
+    """The pages of workflows: which workflow is on which page, and how full each is."""
+
     def __init__(self, kv_store: KeyValueStoreClient, leader_key_version: int) -> None:
         super().__init__(kv_store, leader_key_version, "chains")
         self.page_by_workflow: dict[str, int] = {}
@@ -31,15 +37,20 @@
 
     @property
     def page_capacity(self) -> int:
-        """Bytes of a page, within the limits as they are known now."""
+        """Return the bytes that a page may take, within the store's limits as they are known now."""
         return int(min(self.kv_store.transaction_limits.max_value_bytes, MAX_PAGE_BYTES) * MAX_PAGE_FILL)
 
     async def read_entries(self) -> list[Entry]:
+        """Read all pages."""
         entries, _ = await self.kv_store.scan(PAGE_KEY_PREFIX)
         return entries
 
     def restore(self, entries: list[Entry]) -> dict[str, Workflow]:
-        """Trouble if a page can't be read: its chains would stand still and nobody would be told."""
+        """Return the workflows of the pages, by id.
+
+        Raises:
+            StoreError: a page cannot be decoded. Without it its workflows would stop unnoticed.
+        """
         self.load(entries)
         self.page_by_workflow, self.page_sizes = {}, {}
         workflows_by_id: dict[str, Workflow] = {}
@@ -57,7 +68,7 @@
         return workflows_by_id
 
     def assign_page(self, workflow: Workflow) -> int | None:
-        """The page that the chain goes to; None: it fits none."""
+        """The page that the workflow goes to; None: it fits none."""
         size = stored_size(workflow)
         if size > self.page_capacity:
             return None
@@ -75,13 +86,13 @@
         return page_number
 
     def oversized_pages(self) -> set[int]:
-        """Pages that were written under a higher limit."""
+        """Return the pages that were written under a higher limit."""
         return {number for number, used in self.page_sizes.items() if used > self.page_capacity}
 
     def split_oversized_pages(self, workflows: dict[str, Workflow]) -> list[int]:
-        """Move chains off pages that are too large; the pages that take them, which have to be written first.
+        """Move workflows off pages that are too large, and return the pages they move to, to be written first.
 
-        A reader takes a chain that is found on two pages from one of them: until the older page is written they agree.
+        A reader that finds a workflow on two pages takes either: they agree until the older page is written.
         """
         target_pages: list[int] = []
         for page_number in sorted(self.oversized_pages()):
@@ -105,17 +116,19 @@
         return target_pages
 
     def record_compaction(self, workflow: Workflow, compacted: Workflow) -> None:
-        """It takes less of its page from now on."""
+        """Note that an ended workflow takes less of its page from now on."""
         page_number = self.page_by_workflow.get(workflow.id)
         if page_number is not None:
             self.page_sizes[page_number] += stored_size(compacted) - stored_size(workflow)
 
     def release_page_space(self, workflow: Workflow) -> None:
+        """Take a workflow off its page."""
         page_number = self.page_by_workflow.pop(workflow.id, None)
         if page_number is not None:
             self.page_sizes[page_number] = max(0, self.page_sizes[page_number] - stored_size(workflow))
 
     def encode_page(self, page_number: int, workflows: dict[str, Workflow]) -> dict[str, Any]:
+        """Return the value to store of a page, and measure how full it is."""
         workflow_ids = sorted(
             name for name, page in self.page_by_workflow.items() if page == page_number and name in workflows
         )
@@ -125,20 +138,21 @@
 
     @staticmethod
     def page_key(page_number: int) -> str:
+        """Return the key of a page."""
         return f"{PAGE_KEY_PREFIX}{page_number:04d}"
 
     def oldest_page_revision(self) -> int:
-        """The revision from which on ends have to be asked for: everything before is in the pages."""
+        """Return the store revision from which on ends of jobs have to be read: the pages hold those before."""
         return min(self.key_versions.values(), default=0)
 
 
 def stored_size(workflow: Workflow) -> int:
-    """Bytes that a chain takes of its page, with what its marks may still grow by."""
+    """Return the bytes that a workflow takes of its page, with what the ends of its steps may still add."""
     reserved_growth = 40 * sum(not step.ended_ms for step in workflow.steps)
     return len(orjson.dumps(msgspec.to_builtins(workflow))) + len(workflow.id) + 8 + reserved_growth
 
 
 def compact_ended_workflow(workflow: Workflow) -> Workflow:
-    """What is kept of a chain that has ended: enough to know it again, and to tell how it went."""
+    """Return what is kept of an ended workflow: enough to recognize a repeated request, and to report its outcome."""
     steps = [msgspec.structs.replace(step, dependencies=[]) for step in workflow.steps if step.is_delivery]
     return msgspec.structs.replace(workflow, steps=steps, blocking_jobs=[])
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -15,16 +15,11 @@
 from roseweir.scheduler.model import JobRun
 from roseweir.sexp import SettingsError
 from roseweir.workflows import step_transitions
-from roseweir.workflows.model import (
-    Workflow,
-    WorkflowRejected,
-    WorkflowStep,
-    build_workflow,
-    job_specs,
-    parse_amendment,
-    step_dependencies,
-)
+from roseweir.workflows.amendment_validation import job_specs, parse_amendment
+from roseweir.workflows.errors import WorkflowRejected
+from roseweir.workflows.model import Workflow, WorkflowStep, build_workflow
 from roseweir.workflows.settings import WorkflowSettings, parse_workflow_settings
+from roseweir.workflows.step_dependencies import step_dependencies
 from roseweir.workflows.store import PAGE_KEY_PREFIX
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.workflows import WorkflowCluster, workflow_config
