--- a/roseweir/workflows/controller.py
+++ b/roseweir/workflows/controller.py
@@ -32,7 +32,7 @@
 )
 from roseweir.workflows import step_transitions
 from roseweir.workflows.amendment_validation import job_specs, parse_amendment
-from roseweir.workflows.errors import WorkflowRejected, WorkflowRetryLater
+from roseweir.workflows.errors import JobIdsContended, WorkflowRejected, WorkflowRetryLater
 from roseweir.workflows.job_cancellation import cancel_live_job
 from roseweir.workflows.job_progress import failure_count, has_started
 from roseweir.workflows.model import Workflow, WorkflowStep, build_workflow
@@ -114,7 +114,7 @@
         """Load the stored workflows. To be called before the first scheduling pass: held steps must not start.
 
         Raises:
-            StoreError: a page cannot be decoded.
+            PageUnreadable: a page cannot be decoded.
         """
         self.workflows = self.store.restore(entries)
         self._dirty_pages |= self.store.oversized_pages()
@@ -659,7 +659,7 @@
                     else:
                         raise WorkflowRejected(f"step {job_id}: a job has this id already", 409) from e
                 specs = [spec for spec in specs if spec.id not in own_jobs]
-        raise StoreError("the steps' ids kept changing")
+        raise JobIdsContended(workflow.id)
 
     async def stop_or_resume(self, workflow_id: str, verb: str) -> dict[str, Any]:
         """Stop or resume a workflow; durable when this returns. Return its view.
--- a/roseweir/workflows/errors.py
+++ b/roseweir/workflows/errors.py
@@ -1,5 +1,7 @@
 """Errors of workflows."""
 
+from roseweir.kv_store import StoreError
+
 
 class WorkflowError(Exception):
     """Base of the errors of this package."""
@@ -27,3 +29,29 @@
     def __init__(self, reason: str, retry_after_s: float = 1.0) -> None:
         super().__init__(reason)
         self.retry_after_s = retry_after_s
+
+
+class PageUnreadable(WorkflowError, StoreError):
+    """A stored page of workflows cannot be decoded.
+
+    Attributes:
+        key: the page's key.
+        cause: the error met while decoding.
+    """
+
+    def __init__(self, key: str, cause: Exception) -> None:
+        super().__init__(f"{key} can't be read: {cause!r}")
+        self.key = key
+        self.cause = cause
+
+
+class JobIdsContended(WorkflowError, StoreError):
+    """The records of a workflow's jobs changed at each attempt to write them.
+
+    Attributes:
+        workflow_id: the workflow.
+    """
+
+    def __init__(self, workflow_id: str) -> None:
+        super().__init__("the steps' ids kept changing")
+        self.workflow_id = workflow_id
--- a/roseweir/workflows/store.py
+++ b/roseweir/workflows/store.py
@@ -12,8 +12,9 @@
 import msgspec
 import orjson
 
-from roseweir.kv_store import Entry, KeyValueStoreClient, StoreError
+from roseweir.kv_store import Entry, KeyValueStoreClient
 from roseweir.kv_store.fenced_writes import FencedWriter
+from roseweir.workflows.errors import PageUnreadable
 from roseweir.workflows.model import Workflow
 
 PAGE_KEY_PREFIX = "chain/"
@@ -49,7 +50,7 @@
         """Return the workflows of the pages, by id.
 
         Raises:
-            StoreError: a page cannot be decoded. Without it its workflows would stop unnoticed.
+            PageUnreadable: a page cannot be decoded. Without it its workflows would stop unnoticed.
         """
         self.load(entries)
         self.page_by_workflow, self.page_sizes = {}, {}
@@ -59,7 +60,7 @@
             try:
                 workflows = [msgspec.convert(value, Workflow) for value in entry.value["chains"].values()]
             except (msgspec.ValidationError, KeyError, TypeError, AttributeError) as e:
-                raise StoreError(f"{entry.key} can't be read: {e!r}") from e
+                raise PageUnreadable(entry.key, e) from e
             self.page_sizes[page_number] = 0
             for workflow in workflows:
                 workflows_by_id[workflow.id] = workflow
