--- a/roseweir/forecast/history_store.py
+++ b/roseweir/forecast/history_store.py
@@ -11,7 +11,8 @@
 from roseweir.forecast.demand_history import Block, DemandHistory, InvalidStoredBlock
 from roseweir.http import Unreachable
 from roseweir.kv_store import CompareFailed, KeyValueStoreClient, StoreError
-from roseweir.kv_store.client import put
+from roseweir.kv_store.errors import LeadershipLost
+from roseweir.kv_store.operations import put
 from roseweir.leader_election.messages import LEADER_KEY
 
 log = logging.getLogger(__name__)
@@ -27,10 +28,6 @@
 MAX_LOGGED_INVALID_BLOCKS = 3
 
 
-class LeadershipLost(Exception):
-    """Another leads."""
-
-
 class DemandHistoryStore:
     def __init__(self, kv_store: KeyValueStoreClient, history: DemandHistory, leader_key_version: int) -> None:
         self.kv_store = kv_store
--- a/roseweir/forecast/predictive_scaler.py
+++ b/roseweir/forecast/predictive_scaler.py
@@ -9,10 +9,11 @@
 from roseweir.clock import NEVER, monotonic_now, sleep
 from roseweir.cloud.offers import MachineOffer, MachineRequest
 from roseweir.forecast.capacity_plan import CapacityHold, CapacityPlan
-from roseweir.forecast.history_store import DemandHistoryStore, LeadershipLost
+from roseweir.forecast.history_store import DemandHistoryStore
 from roseweir.forecast.scaling_planner import ScalingPlanner
 from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.kv_store import KeyValueStoreClient
+from roseweir.kv_store.errors import LeadershipLost
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun
 
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -18,11 +18,12 @@
     DemandHistory,
     InvalidStoredBlock,
 )
-from roseweir.forecast.history_store import DemandHistoryStore, LeadershipLost
+from roseweir.forecast.history_store import DemandHistoryStore
 from roseweir.forecast.scaling_planner import ScalingPlanner
 from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.http import Unreachable
 from roseweir.kv_store import KeyValueStoreClient
+from roseweir.kv_store.errors import LeadershipLost
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.operator_config import OperatorConfig
 from tests.simulation import virtual_time
