--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -31,7 +31,7 @@
     Attributes:
         authority: What the leader may tell workers now.
         direct_commands: Sends the commands that cannot wait for a heartbeat.
-        worker_reachability: Workers that are sent to look for another leader.
+        leader_search: Workers that are sent to look for another leader.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.work_available = work_available
         self.authority = AnswerAuthority(cluster_state, leader_lease)
         self.direct_commands = DirectCommandSender(cluster_state, self.authority, connect)
-        self.worker_reachability = LeaderSearch()
+        self.leader_search = LeaderSearch()
         self._may_hold_response = may_hold_response
 
     async def handle_heartbeat(self, request: Request) -> Response:
@@ -85,7 +85,7 @@
             return json_response(400, {"error": str(e)})
         if machine is None:
             return self._answer_unproven(heartbeat, now)
-        if self.worker_reachability.should_redirect(machine.name, bool(machine.placements), now):
+        if self.leader_search.should_redirect(machine.name, bool(machine.placements), now):
             return json_response(503, {"error": "look for another leader"})
         self.work_available.set()
         await self._hold_response(machine, heartbeat.sequence, now)
