--- a/roseweir/scheduler/compaction.py
+++ b/roseweir/scheduler/compaction.py
@@ -169,7 +169,7 @@
         for machine_name in self.segment_table.current_machines(segment_number):
             machine = self.cluster_state.machines.get(machine_name)
             if machine is not None:
-                batch.segment_placements += self.segment_table.recorded_placements(machine)
+                batch.segment_placements += self.segment_table.placements_in_entry(machine)
         batch.size_bytes += size
 
     def _add_completion_chunks(self, batch: LogBatch, run: JobRun, max_operations: int) -> None:
--- a/roseweir/scheduler/log_segments.py
+++ b/roseweir/scheduler/log_segments.py
@@ -201,7 +201,7 @@
         entry["tasks"] = encode_machine_tasks(chosen)
         return machine_entry_bytes(machine.name, entry)
 
-    def recorded_placements(self, machine: Machine) -> Iterable[Placement]:
+    def placements_in_entry(self, machine: Machine) -> Iterable[Placement]:
         """Return the placements that a machine's entry holds."""
         return self.partial_placements.get(machine.name, machine.placements.values())
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -295,7 +295,7 @@
         pages.update_machine(cluster_state, "i-1")
         number = pages.segment_by_machine["i-1"]
         assert pages.is_writable(number) and len(orjson.dumps(pages.encode_segment(number))) <= 2048
-        held = set(pages.recorded_placements(machine))
+        held = set(pages.placements_in_entry(machine))
         assert all(p in held for p in machine.placements.values() if p.is_in_segment), "it is in no note any more"
         for placement in held:
             placement.is_in_segment = True
