--- a/roseweir/scheduler/batch_builder.py
+++ b/roseweir/scheduler/batch_builder.py
@@ -1,4 +1,4 @@
-"""Builds batches of the write-ahead log from what is new: starts, completions, and ends of jobs."""
+"""Builds batches of the write-ahead log from new starts, completions and ends of jobs."""
 
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.kv_store.client import delete, put
@@ -13,9 +13,9 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX, completed_job, to_stored
 from roseweir.submissions.task_bitmap import split_chunk_keys_for_completion
 
-# Of a transaction's operations, the part that ends of jobs leave to deltas.
+# Ends of jobs leave up to one in this many of a transaction's operations to deltas.
 DELTA_OPERATION_DIVISOR = 4
-# Of a transaction's bytes, the part that ends of jobs may take.
+# Ends of jobs are added until a batch has reached MAX_BATCH_BYTES divided by this.
 JOB_END_BYTES_DIVISOR = 4
 # Estimated bytes of the end of a job, and of each of its operations.
 JOB_END_BYTES = 512
@@ -37,12 +37,12 @@
         """Create a builder for one log.
 
         Args:
-            kv_store: Tells the transaction limits.
-            cluster_state: Source of what is new.
+            kv_store: Provides the transaction limits.
+            cluster_state: Source of new starts, completions and ends of jobs.
             leader_version: Version of the leader's key, which guards every batch.
             segment_table: Segments of the log.
             delta_table: Deltas of the log.
-            refused_parts: Decides whether a part may go with a batch.
+            refused_parts: Decides whether a part may be added to a batch.
         """
         self.kv_store = kv_store
         self.cluster_state = cluster_state
@@ -52,7 +52,7 @@
         self.refused_parts = refused_parts
 
     def build(self) -> LogBatch:
-        """Return a batch of what is new, as far as there is room; planned placements without room stay planned."""
+        """Return a batch of the new entries that fit; placements that do not fit stay planned."""
         self._apply_value_limit()
         max_operations = self.kv_store.transaction_limits.max_txn_ops
         batch = LogBatch(compare_versions={LEADER_KEY: self.leader_version})
@@ -70,7 +70,7 @@
         return batch
 
     def _apply_value_limit(self) -> None:
-        """Obey a limit that a refusal has revealed."""
+        """Apply the current value size limit, which is lowered after the store refuses a larger value."""
         max_value_bytes = self.kv_store.transaction_limits.max_value_bytes
         if max_value_bytes == self.delta_table.max_value_bytes:
             return
@@ -79,7 +79,7 @@
         self.segment_table.split_oversized()
 
     def _collect_completions(self) -> tuple[list[CompletedTask], list[JobRun]]:
-        """Return uncommitted completions of jobs that go on, and the jobs that are complete."""
+        """Return the uncommitted completions of jobs that are not complete, and the jobs that are."""
         cluster_state = self.cluster_state
         completions: list[CompletedTask] = []
         completed_runs: list[JobRun] = []
@@ -96,14 +96,14 @@
     def _add_job_ends(
         self, batch: LogBatch, completed_runs: list[JobRun], max_operations: int, *, has_new_entries: bool
     ) -> None:
-        """Add ends of jobs, within quota and by priority first; only one if deltas have new entries to take."""
+        """Add ends of jobs, those within quota first, then by priority; only one if there are entries for deltas."""
         max_job_end_operations = max_operations - min(
             len(self.delta_table.deltas), max_operations // DELTA_OPERATION_DIVISOR
         )
         completed_runs.sort(key=lambda run: (not run.is_within_quota, run.priority, run.eligible_from_ms))
         for run in completed_runs:
-            # Each end takes two operations and more. A large number of small jobs ended in their hundreds before any
-            # start was logged: 4,800 tasks of others waited for a delta (own day, swarm).
+            # The end of a job takes at least two operations. Without this limit, the ends of hundreds of small jobs
+            # were logged before any start, and 4,800 tasks of other jobs waited to be logged.
             if batch.size_bytes >= MAX_BATCH_BYTES // JOB_END_BYTES_DIVISOR or (
                 batch.finished_jobs and has_new_entries
             ):
@@ -136,7 +136,7 @@
         completions: list[CompletedTask],
         max_operations: int,
     ) -> list[Placement]:
-        """Put what is new into deltas with room, the emptiest first; return the placements that are left over."""
+        """Add new entries to deltas with room, the emptiest first; return the placements that do not fit."""
         if not planned_placements and not completions:
             return []
         self.delta_table.prune()
--- a/roseweir/scheduler/compaction.py
+++ b/roseweir/scheduler/compaction.py
@@ -16,16 +16,16 @@
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX, TASKS_PER_CHUNK
 from roseweir.submissions.task_bitmap import chunk_key, encode_bitmap
 
-# Log entries of tasks that are over can wait: they only make a new leader more cautious.
+# Interval between removals of the log entries of ended tasks, which a new leader takes for tasks that may be running.
 CLEANUP_INTERVAL = timedelta(seconds=1)
-# Bringing segments up to date costs time for each machine that changed, so it is done for several batches together.
+# Updating segments costs time for each machine that changed, so one update serves several batches.
 MIN_COMPACTION_INTERVAL = timedelta(milliseconds=150)
-# When the deltas are this full, segments and bitmaps are written without waiting for CLEANUP_INTERVAL; when they are
-# twice as full, with all writes that the log may spend.
+# Fullness of the deltas above which segments and bitmaps are written without waiting for CLEANUP_INTERVAL. Above twice
+# this, compaction may use all writes that are available to the log.
 PRESSURE_FULLNESS = 0.25
-# Of a second's writes, what is kept for deltas and ends of jobs before segments and bitmaps get any.
+# Share of a second's writes that compaction leaves to deltas and ends of jobs.
 COMPACTION_RESERVE_SHARE = 0.25
-# Bytes that a start takes of a delta, and a completion.
+# Estimated bytes of a start, and of a completion, in a delta.
 START_ENTRY_BYTES = 25
 COMPLETION_ENTRY_BYTES = 5
 # Added to the size of a segment or bitmap for its key and the punctuation around it.
@@ -35,12 +35,12 @@
 class CompactionTarget(NamedTuple):
     """A segment, by its number, or the bitmaps of a job, with the bytes that writing them frees in deltas."""
 
-    gained_bytes: int
+    freed_bytes: int
     target: JobRun | int
 
 
 class LogCompactor:
-    """Adds to batches what makes room in the deltas."""
+    """Adds segments and completion bitmaps to batches, which frees space in the deltas."""
 
     def __init__(
         self,
@@ -54,12 +54,12 @@
         """Create a compactor of one log.
 
         Args:
-            kv_store: Tells the current write rate.
-            cluster_state: Source of what segments hold.
+            kv_store: Provides the current write rate.
+            cluster_state: Source of the segments' entries.
             segment_table: Segments of the log.
             delta_table: Deltas of the log.
-            refused_parts: Decides whether a part may go with a batch.
-            orphaned_chunk_keys: Bitmaps of ended jobs, which are deleted when there is room.
+            refused_parts: Decides whether a part may be added to a batch.
+            orphaned_chunk_keys: Keys of ended jobs' bitmaps, deleted in batches that have room.
         """
         self.kv_store = kv_store
         self.cluster_state = cluster_state
@@ -71,10 +71,10 @@
         self._compacted_at = NEVER
 
     def compact(self, batch: LogBatch, max_operations: int, available_writes: float) -> None:
-        """Add the segments and bitmaps that take the most out of the deltas, then segments that only lose entries.
+        """Add the segments and bitmaps that free the most space in the deltas, then segments that only lose entries.
 
         Args:
-            batch: What is to be written, with new starts and completions already in it.
+            batch: The batch to extend; new starts and completions are already in it.
             max_operations: Limit of the store on the operations of a transaction.
             available_writes: Writes that the rate limit allows now.
         """
@@ -108,33 +108,33 @@
         self.cluster_state.dirty_machines.clear()
 
     def _score_segments(self, includes_all_dirty: bool) -> list[CompactionTarget]:
-        """Return the segments worth writing; if all dirty ones are included, also those that gain nothing."""
+        """Return the dirty segments that free space in deltas; with `includes_all_dirty`, also those that free none."""
         dirty_segments = self.segment_table.dirty_segments
-        gained_bytes: dict[int, int] = dict.fromkeys(dirty_segments, 0) if includes_all_dirty else {}
+        freed_bytes: dict[int, int] = dict.fromkeys(dirty_segments, 0) if includes_all_dirty else {}
         for placement in self.cluster_state.planned_placements:
-            # No delta has room for it.
+            # Still planned because no delta has room for it.
             number = self.segment_table.segment_by_machine.get(placement.machine.name)
             if number in dirty_segments:
-                gained_bytes[number] = gained_bytes.get(number, 0) + START_ENTRY_BYTES
+                freed_bytes[number] = freed_bytes.get(number, 0) + START_ENTRY_BYTES
         for delta in self.delta_table.deltas:
             for placement in delta.starts:
                 number = self.segment_table.segment_by_machine.get(placement.machine.name)
                 if number in dirty_segments and not placement.is_in_segment:
-                    gained_bytes[number] = gained_bytes.get(number, 0) + START_ENTRY_BYTES
-        return [CompactionTarget(gain, number) for number, gain in gained_bytes.items()]
+                    freed_bytes[number] = freed_bytes.get(number, 0) + START_ENTRY_BYTES
+        return [CompactionTarget(size, number) for number, size in freed_bytes.items()]
 
     def _score_jobs(self) -> list[CompactionTarget]:
         """Return the jobs with completions that bitmaps could hold in place of deltas."""
-        gained_bytes: dict[JobRun, int] = {}
+        freed_bytes: dict[JobRun, int] = {}
         for delta in self.delta_table.deltas:
             for run, index in delta.completions:
                 if index in run.delta_completions and not run.final_state and not run.is_complete:
-                    gained_bytes[run] = gained_bytes.get(run, 0) + COMPLETION_ENTRY_BYTES
-        return [CompactionTarget(gain, run) for run, gain in gained_bytes.items()]
+                    freed_bytes[run] = freed_bytes.get(run, 0) + COMPLETION_ENTRY_BYTES
+        return [CompactionTarget(size, run) for run, size in freed_bytes.items()]
 
     def _add_targets(self, batch: LogBatch, targets: list[CompactionTarget], max_operations: int) -> None:
-        """Add what gains the most, as far as there is room."""
-        for _, target in sorted(targets, key=lambda each: -each.gained_bytes):
+        """Add the targets that free the most space, as far as they fit into the batch."""
+        for _, target in sorted(targets, key=lambda candidate: -candidate.freed_bytes):
             if len(batch.operations) >= max_operations:
                 return
             if isinstance(target, int):
@@ -143,7 +143,7 @@
                 self._add_completion_chunks(batch, target, max_operations)
 
     def _rewrite_stale_deltas(self, batch: LogBatch, max_operations: int) -> None:
-        """Rewrite deltas of which much is stale: one that takes no new entries would keep that for ever."""
+        """Rewrite the deltas with the most stale entries: one without new entries would keep them for ever."""
         self.delta_table.prune()
         for delta in sorted(self.delta_table.deltas, key=lambda delta: -delta.stale_entry_count):
             if not batch.has_room(delta.size_bytes, max_operations) or not delta.stale_entry_count:
--- a/roseweir/scheduler/delta_table.py
+++ b/roseweir/scheduler/delta_table.py
@@ -10,7 +10,7 @@
 
 # Pruning all deltas costs time for each of their entries. A delta that is written is pruned in any case.
 PRUNE_INTERVAL = timedelta(milliseconds=500)
-# A batch's first delta is written if it is no fuller than this share of its capacity, further ones likewise.
+# Maximum fullness, as a share of its capacity, of a delta that is written as a batch's first one, or as a further one.
 MAX_FIRST_DELTA_FULLNESS = 0.9
 MAX_FURTHER_DELTA_FULLNESS = 0.5
 
@@ -19,12 +19,12 @@
     """The deltas of the log.
 
     Attributes:
-        deltas: All of them, by number. An earlier leader may have had more than a log starts with.
+        deltas: All deltas, by number. An earlier leader may have stored more than INITIAL_DELTA_COUNT.
         max_value_bytes: Limit of the store on one value.
     """
 
     def __init__(self, segment_table: SegmentTable, max_value_bytes: int) -> None:
-        """Create empty deltas of the capacity that segments are filled to."""
+        """Create empty deltas with the capacity of a segment."""
         self.deltas = [Delta() for _ in range(INITIAL_DELTA_COUNT)]
         self.max_value_bytes = max_value_bytes
         self._segment_table = segment_table
@@ -40,12 +40,12 @@
         return delta_key(self.deltas.index(delta))
 
     def fullness(self) -> float:
-        """Return the share taken of all deltas that there may be."""
+        """Return the used share of the capacity of all deltas that the log may have."""
         max_deltas = max(len(self.deltas), max_delta_count(self.max_value_bytes))
         return sum(delta.size_bytes for delta in self.deltas) / (self.capacity_bytes * max_deltas)
 
     def by_free_space(self) -> Iterator[Delta]:
-        """Yield the deltas, the emptiest first; before one that is over half full, new ones while there may be more."""
+        """Yield the deltas, the emptiest first; before one over half full, new ones up to the maximum number."""
         max_deltas = max_delta_count(self.max_value_bytes)
         for delta in sorted(self.deltas, key=lambda delta: (delta.size_bytes, -delta.stale_entry_count)):
             while delta.size_bytes > self.capacity_bytes * MAX_FURTHER_DELTA_FULLNESS and len(self.deltas) < max_deltas:
--- a/roseweir/scheduler/log_batch.py
+++ b/roseweir/scheduler/log_batch.py
@@ -1,4 +1,4 @@
-"""One transaction of the write-ahead log: what it compares, what it writes, and what holds once it is committed."""
+"""One transaction of the write-ahead log: what it compares and writes, and which entries a commit stores."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -28,10 +28,10 @@
 
 @dataclass
 class LogBatch:
-    """A transaction in the making.
+    """A transaction that is being built.
 
     Attributes:
-        compare_versions: Versions by key that the transaction is guarded by.
+        compare_versions: Versions that the transaction compares, by key.
         operations: Writes and deletions.
         delta_writes: Deltas among the writes.
         segment_numbers: Segments among the writes.
@@ -41,7 +41,7 @@
         deleted_chunk_keys: Completion bitmaps of ended jobs among the deletions.
         size_bytes: Estimated size of the transaction.
         part_keys: Keys of its parts (deltas, segments, bitmaps, ends of jobs).
-        suspect_key: The one of these parts that was in a refused batch before.
+        suspect_key: The one of these parts that may have caused the refusal of an earlier batch, if any.
     """
 
     compare_versions: dict[str, int] = field(default_factory=dict)
--- a/roseweir/scheduler/log_delta.py
+++ b/roseweir/scheduler/log_delta.py
@@ -12,7 +12,7 @@
 from roseweir.scheduler.model import JobRun, Placement
 
 # Deltas that a log starts with. More are added as these fill up, as long as all of them together stay below
-# MAX_TOTAL_DELTA_BYTES: a start that ends while it is in a delta never has to go into a segment.
+# MAX_TOTAL_DELTA_BYTES: the start of a task that ends soon is then never written to a segment.
 INITIAL_DELTA_COUNT = 6
 MAX_TOTAL_DELTA_BYTES = 768 * 1024
 # Bytes of an encoded delta without entries.
@@ -20,7 +20,7 @@
 
 
 def max_delta_count(max_value_bytes: int) -> int:
-    """Return how many deltas there may be: the smaller they are, the more. Readers accept any number of them."""
+    """Return the maximum number of deltas, which is higher for smaller ones. Recovery accepts any number."""
     return MAX_TOTAL_DELTA_BYTES // min(max_value_bytes, MAX_SEGMENT_BYTES)
 
 
@@ -66,12 +66,12 @@
 
     Attributes:
         version: Version of the stored value, 0 if there is none.
-        starts: Starts, each with the parts that it was counted with: the attempt of a recovered task may be corrected
-            by a heartbeat meanwhile.
-        completions: Completed tasks as (job, index), with the parts that they were counted with.
+        starts: Starts, each with its parts when it was added: a heartbeat may correct the attempt of a recovered task
+            later.
+        completions: Completed tasks as (job, index), with their parts.
         size_bytes: Estimated size of the encoded value.
-        stale_entry_count: Entries of the stored value that the next write leaves out. Each makes a new leader more
-            cautious, and has it read how the job ended if the job is over.
+        stale_entry_count: Entries of the stored value that the next write leaves out. A new leader assumes that the
+            tasks of stale starts may be running, and reads the ends of their jobs if these have ended.
     """
 
     version: int = 0
@@ -82,7 +82,7 @@
     _part_reference_counts: dict[object, int] = field(default_factory=dict)
 
     def prune(self) -> None:
-        """Remove what segments and completion bitmaps hold by now, and what is over."""
+        """Remove entries that segments or completion bitmaps hold, and those of ended tasks and jobs."""
         for placement in [p for p in self.starts if p.is_in_segment or p.run.placements.get(p.index) is not p]:
             self._release_parts(self.starts.pop(placement))
             self.stale_entry_count += 1
@@ -95,7 +95,7 @@
             self.stale_entry_count += 1
 
     def mark_written(self, version: int) -> None:
-        """Note that the delta was stored as it is, under this version."""
+        """Record that the delta was stored with its current entries under this version."""
         self.version = version
         self.stale_entry_count = 0
 
@@ -142,8 +142,8 @@
             machine_name = placement.machine.name
             instance_pool = (placement.machine.machine_type.name, placement.machine.zone, placement.machine.is_spot)
             machines[machine_name] = instance_pools.setdefault(instance_pool, len(instance_pools))
-            attempts = starts.setdefault(placement.run.spec.id, {})
-            attempts.setdefault(encode_start_id(placement), {}).setdefault(machine_name, []).append(placement.index)
+            job_starts = starts.setdefault(placement.run.spec.id, {})
+            job_starts.setdefault(encode_start_id(placement), {}).setdefault(machine_name, []).append(placement.index)
         completions: dict[str, list[int]] = {}
         for run, index in self.completions:
             completions.setdefault(run.spec.id, []).append(index)
--- a/roseweir/scheduler/log_keys.py
+++ b/roseweir/scheduler/log_keys.py
@@ -70,6 +70,6 @@
     """Return `{job id: {start id: [task indices]}}` of placements on one machine."""
     indices_by_job: dict[str, dict[str, list[int]]] = {}
     for placement in placements:
-        attempts = indices_by_job.setdefault(placement.run.spec.id, {})
-        attempts.setdefault(encode_start_id(placement), []).append(placement.index)
+        indices_by_start_id = indices_by_job.setdefault(placement.run.spec.id, {})
+        indices_by_start_id.setdefault(encode_start_id(placement), []).append(placement.index)
     return indices_by_job
--- a/roseweir/scheduler/log_segments.py
+++ b/roseweir/scheduler/log_segments.py
@@ -1,15 +1,15 @@
 """Segments of the write-ahead log: which tasks may be on which machine.
 
 A segment is one value of the key-value store and holds the entries of several machines. With hundreds of machines a
-scheduling pass touches every segment, and writing all of them before a task may start took seconds (2,000 to 3,000
-tasks waited for that on the grown belanger-cadastre). So new starts go into a delta first (`log_delta`), and segments
-follow as the store's write rate allows (`compaction`).
+scheduling pass changes every segment, and writing all of them before tasks could start took seconds, while 2,000 to
+3,000 tasks waited. So new starts are written to a delta first (`log_delta`), and to segments later, as the store's
+write rate allows (`compaction`).
 
 A segment that an earlier leader wrote under a higher value limit is split: entries move to other segments, and it is
 written again once the remaining ones fit.
 
 Segments and deltas are guarded by their own versions as well as the leader's key: a late write of an older value then
-fails instead of hiding newer placements.
+fails instead of overwriting newer placements.
 """
 
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 from roseweir.scheduler.log_keys import encode_machine_tasks, encode_start_id
 from roseweir.scheduler.model import Machine, Placement
 
-# Share of a value that is filled. Sizes are measured on the encoded entry, and entries grow afterwards.
+# Share of its maximum size up to which a segment is filled: the encoded entries grow after they were added.
 SEGMENT_FILL_RATIO = 0.8
 # Punctuation of a start in a machine's entry.
 START_OVERHEAD_BYTES = 12
@@ -29,7 +29,7 @@
 ENTRY_OVERHEAD_BYTES = 8
 # A segment larger than this share of the value limit is not written at all.
 MAX_VALUE_RATIO = 0.95
-# Several segments share one transaction, which holds 64 KiB in all.
+# Several segments share one transaction, which is limited to 64 KiB.
 MAX_SEGMENT_BYTES = 8 * 1024
 
 
@@ -39,13 +39,13 @@
 
 
 def _build_entry(machine: Machine, tasks: dict[str, dict[str, list[int]]]) -> dict[str, Any]:
-    """Return a machine's entry with all that is known of it."""
+    """Return the entry of a machine with these tasks."""
     return {
         "type": machine.machine_type.name,
         "zone": machine.zone,
         "spot": machine.is_spot,
         "tasks": tasks,
-        # Images need not be accurate, but a new leader that knows them places better.
+        # May be out of date: a new leader only uses images to place tasks where they are cached.
         "images": {image: round(size, 2) for image, size in machine.image_cache.items()},
         "rented": machine.is_autoscaled,
     }
@@ -63,11 +63,12 @@
         segment_versions: Stored version of each segment, 0 if it is not stored.
         dirty_segments: Segments that differ from what is stored.
         segment_by_machine: Segment with the newest entry of each machine.
-        superseded_segments: Segments that still hold an older entry of a machine that has moved. The entry stays until
-            the newer segment is written, so each segment can be written by itself. Segments that had to be written
-            together grew into groups that fitted no transaction, and after a failover nothing was logged any more.
-        partial_placements: For machines whose tasks do not all fit a value, those that their entry holds. The others
-            stay in deltas.
+        superseded_segments: Segments that hold an older entry of a machine whose entry has moved, by machine name. The
+            older entry stays until the segment with the newer one is written, so each segment can be written by
+            itself. Segments that had to be written together formed groups too large for a transaction, and after a
+            failover nothing could be logged.
+        partial_placements: Placements in the entry of each machine whose tasks do not all fit into one value. The
+            other placements of the machine stay in deltas.
     """
 
     def __init__(self, max_value_bytes: int) -> None:
@@ -84,41 +85,41 @@
         self.partial_placements: dict[str, set[Placement]] = {}
 
     def set_max_value_bytes(self, max_value_bytes: int) -> None:
-        """Limit what is written from now on; `split_oversized` takes care of what is there already."""
+        """Set the limit for later writes; `split_oversized` applies it to the existing segments."""
         self.fill_bytes = int(min(max_value_bytes, MAX_SEGMENT_BYTES) * SEGMENT_FILL_RATIO)
         self.max_segment_bytes = int(max_value_bytes * MAX_VALUE_RATIO)
 
     def is_writable(self, number: int) -> bool:
-        """Return whether a segment fits a value."""
+        """Return whether a segment fits into one value."""
         return self.segment_bytes[number] <= self.max_segment_bytes
 
     def split_oversized(self) -> None:
-        """Move entries off segments that are too large to be written, as if their machines had outgrown them.
+        """Move entries out of segments that are too large to be written.
 
-        A machine's older entry is removed as soon as the segment with the newer one is written.
+        A moved entry is removed from its old segment as soon as the new segment is written.
         """
         self.dirty_segments.update(self.segment_by_machine[machine_name] for machine_name in self.superseded_segments)
         for number in sorted(number for number in self.entries_by_segment if not self.is_writable(number)):
-            kept_bytes = 0
+            remaining_bytes = 0
             for machine_name, size in list(self.entry_bytes[number].items()):
                 if self.segment_by_machine[machine_name] != number or size > self.max_segment_bytes:
                     continue
-                if kept_bytes + size <= self.fill_bytes:
-                    kept_bytes += size
+                if remaining_bytes + size <= self.fill_bytes:
+                    remaining_bytes += size
                 else:
                     self._move_entry(number, machine_name)
 
     def _move_entry(self, number: int, machine_name: str) -> None:
         entry, size = self.entries_by_segment[number][machine_name], self.entry_bytes[number][machine_name]
-        superseded = self.superseded_segments.setdefault(machine_name, set())
-        superseded.add(number)
-        target = self._find_segment(size)
-        superseded.discard(target)
-        self._store_entry(target, machine_name, entry, size)
-        self.dirty_segments.add(target)
+        superseded_numbers = self.superseded_segments.setdefault(machine_name, set())
+        superseded_numbers.add(number)
+        target_number = self._find_segment(size)
+        superseded_numbers.discard(target_number)
+        self._store_entry(target_number, machine_name, entry, size)
+        self.dirty_segments.add(target_number)
 
     def load_segment(self, number: int, value: dict[str, Any], version: int) -> None:
-        """Take a stored segment into the table."""
+        """Add a stored segment to the table."""
         self.segment_versions[number] = version
         self.entries_by_segment[number] = {}
         self.entry_bytes[number] = {}
@@ -127,7 +128,7 @@
             current_segment = self.segment_by_machine.get(machine_name)
             self._store_entry(number, machine_name, entry, machine_entry_bytes(machine_name, entry))
             if current_segment is not None:
-                # The leader ended between the writes of two segments: the machine counts with the tasks of both.
+                # An earlier leader ended between the writes of two segments: the tasks of both entries are restored.
                 self.segment_by_machine[machine_name] = current_segment
                 self.superseded_segments.setdefault(machine_name, set()).add(number)
 
@@ -166,12 +167,13 @@
         size = machine_entry_bytes(machine_name, entry)
         self.partial_placements.pop(machine_name, None)
         if size > self.fill_bytes:
-            # A value has to hold the machine's tasks; its images only make a new leader place better.
+            # Leaves room for tasks: images only improve the placements of a new leader.
             entry["images"] = {}
             size = machine_entry_bytes(machine_name, entry)
         if size > self.max_segment_bytes:
             size = self._truncate_entry(machine, entry)
-        # An entry that no value holds, of an earlier leader's, stays as it is stored until tasks of it have ended.
+        # An entry still above the value limit, written by an earlier leader, stays in its segment, which is not written
+        # until tasks of it have ended.
         if number is not None and size <= self.max_segment_bytes:
             other_entry_bytes = self.segment_bytes[number] - self.entry_bytes[number][machine_name]
             if other_entry_bytes + size > self.fill_bytes and other_entry_bytes > 0:
@@ -184,9 +186,9 @@
         self.dirty_segments.add(number)
 
     def _truncate_entry(self, machine: Machine, entry: dict[str, Any]) -> int:
-        """Leave tasks out of an entry that no value holds; return its size. Tasks in no delta any more stay in it."""
-        chosen = [p for p in machine.placements.values() if p.is_in_segment]
-        size = machine_entry_bytes(machine.name, entry | {"tasks": encode_machine_tasks(chosen)})
+        """Remove tasks from an entry above the value limit, except tasks that are in no delta; return its size."""
+        included_placements = [p for p in machine.placements.values() if p.is_in_segment]
+        size = machine_entry_bytes(machine.name, entry | {"tasks": encode_machine_tasks(included_placements)})
         for placement in machine.placements.values():
             start_bytes = (
                 len(placement.run.spec.id)
@@ -195,14 +197,14 @@
                 + START_OVERHEAD_BYTES
             )
             if not placement.is_in_segment and size + start_bytes <= self.fill_bytes:
-                chosen.append(placement)
+                included_placements.append(placement)
                 size += start_bytes
-        self.partial_placements[machine.name] = set(chosen)
-        entry["tasks"] = encode_machine_tasks(chosen)
+        self.partial_placements[machine.name] = set(included_placements)
+        entry["tasks"] = encode_machine_tasks(included_placements)
         return machine_entry_bytes(machine.name, entry)
 
     def placements_in_entry(self, machine: Machine) -> Iterable[Placement]:
-        """Return the placements that a machine's entry holds."""
+        """Return the placements in a machine's entry."""
         return self.partial_placements.get(machine.name, machine.placements.values())
 
     def _find_segment(self, size: int) -> int:
@@ -221,7 +223,7 @@
         ]
 
     def mark_written(self, number: int, version: int) -> None:
-        """Note that a segment was stored under this version, and drop the older entries of its machines elsewhere."""
+        """Record that a segment was stored under this version, and remove older entries of its machines elsewhere."""
         self.segment_versions[number] = version
         self.dirty_segments.discard(number)
         for machine_name in self.current_machines(number):
--- a/roseweir/scheduler/log_writer.py
+++ b/roseweir/scheduler/log_writer.py
@@ -35,12 +35,12 @@
 log = logging.getLogger(__name__)
 
 RETRY_INTERVAL = timedelta(milliseconds=250)
-# Batches are so far apart that each may have this many writes within the store's rate limit.
+# The interval between batches leaves room in the store's rate limit for this many writes per batch.
 WRITES_PER_BATCH = 2.0
-# Or this many while the deltas fill up: the fewer deltas are written, the more is left for segments and ends of jobs.
+# The same while the deltas fill up: with fewer delta writes, more writes are left for segments and ends of jobs.
 WRITES_PER_BATCH_UNDER_PRESSURE = 4.0
-# But no closer together than this: each batch costs its deltas' encoding and a request, whatever it holds.
-# At 180 writes a second they were 16 ms apart, and starts waited no less for that than for the next scheduling pass.
+# Minimum interval between batches: each costs the encoding of its deltas and a request, however little it contains.
+# With batches 16 ms apart, at 180 writes per second, starts waited at least as long for them as for the next pass.
 MIN_BATCH_INTERVAL = timedelta(milliseconds=50)
 # Share of a second's writes that the log leaves to submissions.
 SUBMISSION_WRITE_SHARE = 0.25
@@ -53,17 +53,17 @@
 
 
 class LogWriter:
-    """Writes the cluster state's changes to the write-ahead log, and marks there what is committed.
+    """Writes the cluster state's changes to the write-ahead log, and marks in the cluster state what is committed.
 
     Attributes:
         leader_version: Version of the leader's key, which guards every transaction.
         segment_table: Segments of the log.
         deltas: Deltas of the log, by number.
         work_available: Set when there may be something to write.
-        urgent_work_available: Set when a start that must not wait is planned: the next batch goes out sooner.
-        orphaned_chunk_keys: Completion bitmaps of ended jobs that had no room in the transaction of their job's end.
+        urgent_work_available: Set when a start that must not wait is planned; ends the wait for the next batch early.
+        orphaned_chunk_keys: Keys of completion bitmaps that did not fit into the transaction that ended their job.
         on_job_ended: Called with a job's id and final state when its end is stored.
-        commit_notifier: Notified of machines that start orders may go to, so that held responses are looked at again.
+        commit_notifier: Notified of machines with newly committed starts, so that held responses can be sent.
     """
 
     def __init__(
@@ -140,7 +140,7 @@
         recovery.restore(live_entries, chunk_entries, log_entries, ended_jobs)
 
     async def run(self) -> None:
-        """Write until cancelled: deltas as often as the store's limits allow, segments and bitmaps with what is left.
+        """Write until cancelled: deltas as often as the rate limit allows, segments and bitmaps with what remains.
 
         Raises:
             LeadershipLost: Another controller has become leader.
@@ -162,7 +162,7 @@
                 self.work_available.set()
 
     def _batch_interval(self) -> timedelta:
-        """Return how far apart batches are at the current write rate and fullness of the deltas."""
+        """Return the interval between batches at the current write rate and fullness of the deltas."""
         is_under_pressure = self._delta_table.fullness() > PRESSURE_FULLNESS
         writes_per_batch = WRITES_PER_BATCH_UNDER_PRESSURE if is_under_pressure else WRITES_PER_BATCH
         return max(MIN_BATCH_INTERVAL, seconds(writes_per_batch / self.kv_store.writes_per_s))
@@ -187,7 +187,8 @@
             self._handle_refused_batch(batch, error)
             return
         except (StoreError, Unreachable) as error:
-            # It may have run or may run yet. All guards stay, so at most one of the tries counts.
+            # The transaction may have been applied, or may still be. A retry compares the same versions, so at most one
+            # of the two takes effect.
             self._requeue_batch(batch)
             log.log(logging.DEBUG if self._is_failing else logging.INFO, "log write failed: error=%s", error)
             self._is_failing = True
@@ -197,9 +198,9 @@
         self._apply_committed(batch, revision)
 
     def _apply_committed(self, batch: LogBatch, revision: int) -> None:
-        """Mark what a committed batch holds as stored, and let orders for its starts go out."""
+        """Mark the contents of a committed batch as stored, and allow start orders for its starts."""
         self._refused_parts.record_committed(batch)
-        ready_machines = {p.machine.name for p in batch.segment_placements} | {
+        committed_machines = {p.machine.name for p in batch.segment_placements} | {
             p.machine.name for write in batch.delta_writes for p in write.new_starts
         }
         for number in batch.segment_numbers:
@@ -220,7 +221,7 @@
         self.orphaned_chunk_keys.difference_update(batch.deleted_chunk_keys)
         for run in batch.finished_jobs:
             self.record_job_end(run.spec.id, completed_job(run.spec, "done"))
-        self.commit_notifier.notify(sorted(ready_machines))
+        self.commit_notifier.notify(sorted(committed_machines))
 
     def _handle_refused_batch(self, batch: LogBatch, error: ValueTooLarge) -> None:
         self._refused_parts.record_refusal(batch, error)
@@ -230,13 +231,13 @@
             placement.phase = PlacementPhase.COMMITTED
 
     def _requeue_batch(self, batch: LogBatch) -> None:
-        """Take back the new starts and completions of a batch that was not written."""
+        """Remove the new entries of a batch that was not written from its deltas, and plan the starts again."""
         for write in batch.delta_writes:
             write.delta.remove_unwritten(write.new_starts, write.new_completions)
             self.cluster_state.planned_placements += write.new_starts
 
     async def _refresh_versions(self, keys: list[str]) -> None:
-        """Read the versions that an earlier, unanswered try or a user's cancellation has left behind."""
+        """Read the versions of keys that an earlier, unanswered transaction or a user's cancellation has changed."""
         for key in keys:
             try:
                 if key.startswith(LIVE_JOB_PREFIX):
@@ -260,7 +261,7 @@
                     run.chunk_versions[int(chunk_number)] = version
 
     async def refresh_job_end(self, job_id: str) -> None:
-        """Read whether a job whose live key has changed or gone is over, and record its end if so.
+        """Check whether a job whose live key was changed or deleted has ended, and record its end if so.
 
         Raises:
             StoreError: The store refused the request.
@@ -271,7 +272,7 @@
             self.record_job_end(job_id, decode_completed_job(ended_entry.value))
 
     def record_job_end(self, job_id: str, ended_job: CompletedJob) -> None:
-        """Apply a job's end that the store holds. Bitmaps that were not deleted with it are deleted by compaction."""
+        """Apply the stored end of a job. Compaction deletes the bitmaps that were not deleted with it."""
         run = self.cluster_state.jobs.get(job_id)
         if run is None or run.final_state:
             return
--- a/roseweir/scheduler/recovery.py
+++ b/roseweir/scheduler/recovery.py
@@ -30,7 +30,7 @@
 
 
 class InconsistentLog(StoreError):
-    """The log refers to something that this controller does not know; a later try may succeed."""
+    """The log refers to a machine type or job that this controller cannot find; a later attempt may succeed."""
 
 
 class UnknownMachineTypes(InconsistentLog):
@@ -46,26 +46,26 @@
 
 
 class UnknownJob(InconsistentLog):
-    """The log holds starts of a job that is neither live nor over.
+    """The log holds starts of a job that is stored neither as live nor as ended.
 
     Attributes:
         job_id: The job's id.
     """
 
     def __init__(self, job_id: str) -> None:
-        super().__init__(f"job {job_id} is known from the write-ahead log only")
+        super().__init__(f"job {job_id} is in the write-ahead log, but is stored neither as live nor as ended")
         self.job_id = job_id
 
 
 @dataclass(frozen=True, slots=True)
 class StoredLog:
-    """What a new leader reads before it rebuilds its state.
+    """The stored data from which a new leader rebuilds its state.
 
     Attributes:
         live_entries: Live jobs.
         chunk_entries: Bitmaps of completed tasks, by job and chunk.
         log_entries: Segments and deltas.
-        ended_jobs: Jobs that the log refers to and that are over, by id.
+        ended_jobs: Ended jobs that the log refers to, by id.
         revision: Store revision from which changes of live jobs have to be watched.
     """
 
@@ -77,7 +77,7 @@
 
 
 class LoggedStart(NamedTuple):
-    """A start as the log tells of it.
+    """A logged start of a task.
 
     Attributes:
         start_order: Attempt and replacement number; newer starts compare greater.
@@ -102,17 +102,19 @@
         self.newest_starts: dict[tuple[str, int], LoggedStart] = {}
         self.stale_machines: set[str] = set()
 
-    def add(self, job_id: str, attempts: dict[str, list[int]], machine: Machine, delta: Delta | None) -> None:
+    def add(
+        self, job_id: str, indices_by_start_id: dict[str, list[int]], machine: Machine, delta: Delta | None
+    ) -> None:
         """Add logged starts of a job on a machine, `{start id: [task indices]}`; `delta` is None for a segment's."""
-        for start_id, indices in attempts.items():
+        for start_id, indices in indices_by_start_id.items():
             start_order = decode_start_id(start_id)
             for index in indices:
-                known_start = self.newest_starts.get((job_id, index))
-                if known_start is None or start_order > known_start.start_order:
-                    if known_start is not None:
-                        self.stale_machines.add(known_start.machine.name)
+                newest_start = self.newest_starts.get((job_id, index))
+                if newest_start is None or start_order > newest_start.start_order:
+                    if newest_start is not None:
+                        self.stale_machines.add(newest_start.machine.name)
                     self.newest_starts[job_id, index] = LoggedStart(start_order, machine, delta)
-                elif known_start.machine is not machine:
+                elif newest_start.machine is not machine:
                     self.stale_machines.add(machine.name)
 
 
@@ -125,18 +127,18 @@
 
 
 async def read_stored_log(kv_store: KeyValueStoreClient, catalog: dict[str, MachineType]) -> StoredLog:
-    """Read everything after a failover. Transactions of earlier leaders fail from here on.
+    """Read the jobs and the log after a failover. Transactions of earlier leaders fail from here on.
 
-    All is read before any of it is used. A try that fails half-way must leave nothing behind: a job cancelled between
-    two tries would otherwise stay in the cluster state, and no watch event would tell of its end.
+    Everything is read before any of it is applied, so that a failed attempt leaves the cluster state unchanged. A job
+    that is cancelled between two attempts would otherwise stay there, since no watch event reports its end.
 
     Raises:
         InconsistentLog: The log refers to an unknown machine type or job.
         StoreError: The store refused a request.
         Unreachable: The store did not answer.
     """
-    # In any order: placements and completions only change by the leader, and changes of live jobs after the first page
-    # of theirs was read come by the watch that goes on from there.
+    # The order does not matter: only the leader changes placements and completions, and the watch of live jobs starts
+    # at the revision of their first page, so it reports later changes.
     scans = await gather_all(
         *(kv_store.scan(prefix) for prefix in (LIVE_JOB_PREFIX, COMPLETED_TASKS_PREFIX, LOG_PREFIX))
     )
@@ -146,7 +148,7 @@
     for entry in log_entries:
         machine_types, job_ids = referenced_types_and_jobs(entry.value)
         if not machine_types <= catalog.keys():
-            # Tasks on such machines could not be counted, so this controller must not lead yet.
+            # Resources used on such machines are unknown, so this controller must not lead yet.
             raise UnknownMachineTypes(machine_types - catalog.keys())
         finished_job_ids |= job_ids - live_job_ids
     ended_jobs = await _read_ended_jobs(kv_store, finished_job_ids)
@@ -154,7 +156,7 @@
 
 
 async def _read_ended_jobs(kv_store: KeyValueStoreClient, job_ids: set[str]) -> dict[str, CompletedJob]:
-    """Read how these jobs ended; UnknownJob if the store does not hold the end of one."""
+    """Return the stored ends of these jobs; raise UnknownJob if one is not stored."""
     ended_jobs: dict[str, CompletedJob] = {}
     ended_entries = await kv_store.get_many(COMPLETED_JOB_PREFIX + job_id for job_id in sorted(job_ids))
     for key, ended_entry in ended_entries.items():
@@ -175,13 +177,13 @@
         deltas: list[Delta],
         orphaned_chunk_keys: set[str],
     ) -> None:
-        """Prepare to fill these; all of them are changed in place.
+        """Create a recovery that changes its arguments in place.
 
         Args:
-            cluster_state: Gets jobs, machines and placements.
-            segment_table: Gets the stored segments.
-            deltas: Get the stored deltas; more are appended if an earlier leader had more.
-            orphaned_chunk_keys: Gets the keys of completion bitmaps whose jobs are over.
+            cluster_state: Receives jobs, machines and placements.
+            segment_table: Receives the stored segments.
+            deltas: Receive the stored deltas; more are appended if an earlier leader had more.
+            orphaned_chunk_keys: Receives the keys of completion bitmaps whose jobs have ended.
         """
         self.cluster_state = cluster_state
         self.segment_table = segment_table
@@ -221,7 +223,7 @@
         job_id, _, chunk_number = entry.key.removeprefix(COMPLETED_TASKS_PREFIX).rpartition("/")
         run = self.cluster_state.jobs.get(job_id)
         if run is None or run.final_state:
-            # Only a leader writes bitmaps, and none but this one can now: it is left from before the job's end.
+            # Only leaders write bitmaps, and no other leader can now, so this one was written before the job's end.
             self.orphaned_chunk_keys.add(entry.key)
             return
         run.chunk_versions[int(chunk_number)] = entry.version
@@ -244,11 +246,11 @@
                     )
                 for image, size in machine_entry.get("images", {}).items():
                     machine.record_image_use(image, size)
-                for job_id, attempts in machine_entry["tasks"].items():
-                    starts.add(job_id, attempts, machine, None)
+                for job_id, indices_by_start_id in machine_entry["tasks"].items():
+                    starts.add(job_id, indices_by_start_id, machine, None)
 
     def _restore_delta(self, number: int, entry: Entry, starts: RecoveredStarts) -> None:
-        """Take over a stored delta; its starts count as stale until they turn out to be the newest of their tasks."""
+        """Restore a stored delta; its starts count as stale until they prove to be the newest of their tasks."""
         while number >= len(self.deltas):
             self.deltas.append(Delta())
         delta, value = self.deltas[number], entry.value
@@ -256,8 +258,8 @@
         machines: dict[str, Machine] = {}
         for name, instance_pool in value["machines"].items():
             machines[name] = self._restore_machine(name, *value["kinds"][instance_pool])
-        for job_id, attempts in value["starts"].items():
-            for start_id, indices_by_machine in attempts.items():
+        for job_id, job_starts in value["starts"].items():
+            for start_id, indices_by_machine in job_starts.items():
                 for name, indices in indices_by_machine.items():
                     delta.stale_entry_count += len(indices)
                     starts.add(job_id, {start_id: indices}, machines[name], delta)
@@ -278,9 +280,9 @@
     def _restore_placements(self, starts: RecoveredStarts) -> None:
         """Restore one placement for each task: of several logged starts only the newest counts.
 
-        It was planned once the earlier ones were proven to be over; their log entries are removed later. Restoring an
-        earlier one ran the task twice: a heartbeat of that machine freed it, while the machine of the later start had
-        not sent one yet (d7edf7f1, rough).
+        The newest start was planned after the earlier ones were proven gone; their log entries are removed later. If
+        an earlier one is restored instead, a heartbeat of its machine frees the task to be placed again before the
+        machine of the newest start has sent a heartbeat, and the task runs twice.
         """
         cluster_state, now = self.cluster_state, monotonic_now()
         for (job_id, index), (start_order, machine, delta) in starts.newest_starts.items():
--- a/roseweir/scheduler/refused_parts.py
+++ b/roseweir/scheduler/refused_parts.py
@@ -14,21 +14,21 @@
 
 
 class RefusedParts:
-    """Finds the part over which batches are refused when the refusal itself does not tell.
+    """Finds the part that causes the refusal of batches when the store's error does not identify it.
 
-    All parts of such a batch become suspects, and each later batch takes one of them at most, until it is known which
-    part is refused. That one alone is held back, until REFUSAL_RETRY_INTERVAL has passed.
+    All parts of a refused batch become suspects, and each later batch contains at most one suspect, until a refusal
+    identifies the part. Only this part is then excluded from batches, for REFUSAL_RETRY_INTERVAL.
     """
 
     def __init__(self) -> None:
         """Start without suspects."""
         self._suspect_part_keys: set[str] = set()
-        self._refused_until: dict[str, datetime] = {}
+        self._excluded_until: dict[str, datetime] = {}
 
     def try_add(self, batch: LogBatch, part_key: str) -> bool:
-        """Return whether the part with this key may go with the batch; if so, it counts as one of the batch's parts."""
-        refused_until = self._refused_until.get(part_key)
-        if refused_until is not None and monotonic_now() < refused_until:
+        """Add the key of a part to the batch's parts if the batch may contain it; return whether it was added."""
+        excluded_until = self._excluded_until.get(part_key)
+        if excluded_until is not None and monotonic_now() < excluded_until:
             return False
         if part_key in self._suspect_part_keys:
             if batch.suspect_key is not None:
@@ -38,13 +38,13 @@
         return True
 
     def record_committed(self, batch: LogBatch) -> None:
-        """Clear the parts of a batch that was written."""
+        """Remove the parts of a committed batch from the suspects."""
         self._suspect_part_keys.difference_update(batch.part_keys)
 
     def record_refusal(self, batch: LogBatch, error: ValueTooLarge) -> None:
-        """Hold back the refused part of a batch, or suspect all of its parts.
+        """Exclude the refused part of a batch, or suspect all of its parts if it is not identified.
 
-        Nothing is done if the refusal has lowered the transaction limits: the next batches obey those.
+        Does nothing if the refusal has lowered the transaction limits: later batches comply with them.
         """
         if error.is_limit_lowered:
             return
@@ -53,5 +53,5 @@
             self._suspect_part_keys.update(batch.part_keys)
             return
         self._suspect_part_keys.discard(refused_part_key)
-        self._refused_until[refused_part_key] = monotonic_now() + REFUSAL_RETRY_INTERVAL
+        self._excluded_until[refused_part_key] = monotonic_now() + REFUSAL_RETRY_INTERVAL
         log.warning("log part refused: key=%s error=%s", refused_part_key, error)
