--- a/roseweir/workers/answer_authority.py
+++ b/roseweir/workers/answer_authority.py
@@ -1,4 +1,4 @@
-"""Whether a leader may still answer heartbeats and start tasks, by how old its knowledge of cancellations is."""
+"""Whether a leader may answer heartbeats and start tasks, given the age of its last read of cancellations."""
 
 from datetime import datetime, timedelta
 
@@ -6,15 +6,15 @@
 from roseweir.leader_election.election import LeaderLease
 from roseweir.scheduler.cluster_state import ClusterState
 
-# Nothing starts while cancellations were last read longer ago: the watch of the key-value store returns each second.
+# No task is started if the last read of cancellations is older. The watch of the key-value store returns each second.
 MAX_CANCELLATION_STALENESS = timedelta(seconds=5)
 
 
 class AnswerAuthority:
-    """What a leader's lease and its reads of cancellations allow it to tell workers, for one term.
+    """Decides from a leader's lease and its reads of cancellations what it may send to workers, for one term.
 
     Attributes:
-        cancellations_read_at: Every cancellation that was accepted up to then is known (monotonic).
+        cancellations_read_at: Time up to which every accepted cancellation has been read (monotonic).
     """
 
     def __init__(self, cluster_state: ClusterState, leader_lease: LeaderLease) -> None:
@@ -24,23 +24,23 @@
         self.cancellations_read_at = NEVER
 
     def begin(self, sent_at: datetime) -> None:
-        """Note that the state which this term starts from was read by requests sent at `sent_at`."""
+        """Record that the initial state of this term was read by requests sent at `sent_at`."""
         self.cancellations_read_at = sent_at
 
     def record_cancellations_read(self, sent_at: datetime) -> None:
-        """Note that cancellations were read by a request sent at `sent_at`; an older one changes nothing."""
+        """Record that cancellations were read by a request sent at `sent_at`; an older one changes nothing."""
         self.cancellations_read_at = max(self.cancellations_read_at, sent_at)
 
     @property
     def cancellations_known_at(self) -> datetime:
-        """The time up to which every cancellation is known, and nobody else led."""
+        """The time up to which every cancellation is known and no other controller was the leader."""
         return min(self.cancellations_read_at, self.leader_lease.confirmed_at)
 
     def may_answer(self, now: datetime) -> bool:
-        """Whether heartbeats may be answered: later, another leader may have accepted unknown cancellations.
+        """Whether heartbeats may be answered: after the window, another leader may have accepted unread cancellations.
 
-        The time counts from the renewal of our lease as well. A leader whose renewals failed while its watch went on
-        kept leases alive for longer than its successor counts on, and tasks ran twice.
+        The window also starts at the last renewal of the leader's lease. A leader whose renewals failed while its watch
+        still worked renewed workers' leases for longer than its successor assumed, and tasks ran twice.
         """
         return (
             now - self.cancellations_known_at < self.cluster_state.stale_cancellation_window
@@ -50,7 +50,7 @@
     def may_start_tasks(self, now: datetime) -> bool:
         """Whether tasks may be started: the lease is valid, and cancellations have been read recently.
 
-        The lease alone is not enough. A lease that an outage left to us is renewed before cancellations are read
-        again, and tasks of jobs that users had cancelled meanwhile at other nodes were started.
+        A valid lease is not enough: after an outage the lease is renewed before cancellations are read again, and
+        tasks of jobs that users had cancelled at other nodes during the outage were started.
         """
         return self.leader_lease.is_valid() and now - self.cancellations_read_at < MAX_CANCELLATION_STALENESS
--- a/roseweir/workers/direct_commands.py
+++ b/roseweir/workers/direct_commands.py
@@ -18,7 +18,7 @@
 
 DIRECT_COMMAND_TIMEOUT = timedelta(seconds=1)
 URGENT_STOP_INTERVAL = seconds(0.05)
-# Direct commands under way at once: one for this many of the process's sockets, but no fewer than the minimum.
+# Maximum of concurrent direct commands: one for this many of the process's sockets, but no fewer than the minimum.
 SOCKETS_PER_DIRECT_COMMAND = 25
 MIN_CONCURRENT_DIRECT_COMMANDS = 8
 
@@ -36,9 +36,9 @@
     async def run(self) -> None:
         """Send stop commands that all tasks of a gang must get together as soon as they are due; never returns.
 
-        Only machines with current heartbeats get them, and a bounded number at a time: after a zone was cut off, stop
-        commands for hundreds of machines that could not answer held a socket each until they timed out, and a machine
-        without heartbeats gets its commands first with its next heartbeat anyway.
+        They are sent only to machines with current heartbeats, and only a bounded number at a time. After a zone was
+        cut off, stop commands to hundreds of unreachable machines each held a socket until they timed out. A machine
+        without current heartbeats receives its commands with the response to its next heartbeat.
         """
         cluster_state = self.cluster_state
         max_concurrent = max(
@@ -61,18 +61,18 @@
     async def _send_stop_command(self, machine: Machine, semaphore: asyncio.Semaphore) -> None:
         async with semaphore:
             # Collected only now: a heartbeat may have reported meanwhile that the tasks are gone.
-            orders = self.cluster_state.collect_stop_orders(machine)
-            if not orders or not self._authority.may_answer(monotonic_now()):
+            commands = self.cluster_state.collect_stop_orders(machine)
+            if not commands or not self._authority.may_answer(monotonic_now()):
                 return
             send = self._connect(machine.address, 0)
             try:
-                body = wire.direct_command(self.cluster_state.term, machine.incarnation, orders)
+                body = wire.direct_command(self.cluster_state.term, machine.incarnation, commands)
                 reply = await send("POST", "/do", body, timeout=DIRECT_COMMAND_TIMEOUT)
                 heartbeat = msgspec.convert(reply.json(), wire.Heartbeat)
-            except (Unreachable, msgspec.ValidationError) as e:
-                log.debug("direct stop command failed: machine=%s error=%s", machine.name, e)
+            except (Unreachable, msgspec.ValidationError) as error:
+                log.debug("direct stop command failed: machine=%s error=%s", machine.name, error)
                 return
         if heartbeat.fencing_token > self.cluster_state.term:
-            self._authority.leader_lease.end(f"{machine.name} has seen term {heartbeat.fencing_token}")
+            self._authority.leader_lease.end(f"{machine.name} reported term {heartbeat.fencing_token}")
         elif reply.status == 200:
             self._heartbeat_reconciler.apply_command_response(heartbeat, monotonic_now())
--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -29,16 +29,16 @@
     """The leader's side of /hello, for one term.
 
     Attributes:
-        authority: What the leader may tell workers now.
+        authority: Decides whether the leader may answer heartbeats and start tasks.
         direct_commands: Sends the commands that cannot wait for a heartbeat.
-        leader_search: Workers that are sent to look for another leader.
+        leader_search: Redirects some workers to look for another leader.
     """
 
     def __init__(
         self,
         cluster_state: ClusterState,
         leader_lease: LeaderLease,
-        recorded_notifier: Notifier,
+        commit_notifier: Notifier,
         work_available: asyncio.Event,
         connect: Connect,
         may_hold_response: Callable[[], bool],
@@ -46,17 +46,17 @@
         """Answer from `cluster_state`.
 
         Args:
-            cluster_state: What the leader knows of machines, jobs and tasks.
-            leader_lease: The lease of this term; it ends when a worker has seen a higher one.
-            recorded_notifier: Notified by machine name when commands for the machine are durable.
-            work_available: Set when a heartbeat may have made room for a scheduling pass.
+            cluster_state: The leader's state of machines, jobs and tasks.
+            leader_lease: The lease of this term; it is ended when a worker reports a later term.
+            commit_notifier: Notified by machine name when start commands for the machine are committed.
+            work_available: Set when a heartbeat may have freed resources, to request a scheduling pass.
             connect: Opens connections to workers.
-            may_hold_response: Whether there is room for a connection that waits.
+            may_hold_response: Returns whether one more connection may be kept waiting.
         """
         self.cluster_state = cluster_state
         self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
         self.leader_lease = leader_lease
-        self.recorded_notifier = recorded_notifier
+        self.commit_notifier = commit_notifier
         self.work_available = work_available
         self.authority = AnswerAuthority(cluster_state, leader_lease)
         self.direct_commands = DirectCommandSender(cluster_state, self.authority, connect)
@@ -64,35 +64,35 @@
         self._may_hold_response = may_hold_response
 
     async def handle_heartbeat(self, request: Request) -> Response:
-        """Apply a heartbeat and answer with the machine's commands, held back for a short time if more may come.
+        """Apply a heartbeat and answer with the machine's commands, delayed for a short time if more may follow.
 
-        Returns 400 for a heartbeat that can't be read, 421 if its worker has seen a later term, 503 if this leader
-        may not answer, or not this worker.
+        Returns 400 for a heartbeat that can't be read, 421 if its worker reports a later term, 503 if this leader
+        may not answer any worker, or this one.
         """
         try:
             heartbeat = msgspec.convert(orjson.loads(request.body), wire.Heartbeat)
-        except (orjson.JSONDecodeError, msgspec.ValidationError, ValueError) as e:
-            return json_response(400, {"error": str(e)})
+        except (orjson.JSONDecodeError, msgspec.ValidationError, ValueError) as error:
+            return json_response(400, {"error": str(error)})
         if heartbeat.fencing_token > self.cluster_state.term:
-            self.leader_lease.end(f"{heartbeat.machine_name} has seen term {heartbeat.fencing_token}")
+            self.leader_lease.end(f"{heartbeat.machine_name} reported term {heartbeat.fencing_token}")
             return json_response(421, wire.not_leader_response(None))
         now = monotonic_now()
         if not self.authority.may_answer(now):
             return _stale_response()
         try:
             machine = self._heartbeat_reconciler.apply_heartbeat(heartbeat, now)
-        except ValueError as e:
-            return json_response(400, {"error": str(e)})
+        except ValueError as error:
+            return json_response(400, {"error": str(error)})
         if machine is None:
-            return self._answer_unproven(heartbeat, now)
+            return self._answer_unapplied_heartbeat(heartbeat, now)
         if self.leader_search.should_redirect(machine.name, bool(machine.placements), now):
             return json_response(503, {"error": "look for another leader"})
         self.work_available.set()
         await self._hold_response(machine, heartbeat.sequence, now)
-        return self._answer_machine(machine, heartbeat)
+        return self._answer_applied_heartbeat(machine, heartbeat)
 
-    def _answer_unproven(self, heartbeat: wire.Heartbeat, now: datetime) -> Response:
-        """Answer a heartbeat that proves nothing about a machine of the cluster."""
+    def _answer_unapplied_heartbeat(self, heartbeat: wire.Heartbeat, now: datetime) -> Response:
+        """Answer a heartbeat that was not applied to the cluster state."""
         if heartbeat.machine_name in self.cluster_state.released_machines:
             return json_response(503, {"error": "released"})
         renewal = decide_lease_renewal(self.cluster_state, heartbeat, now)
@@ -102,14 +102,14 @@
             return json_response(200, wire.heartbeat_response(None, []))
         return self._commands_response(stop_orders_for(self.cluster_state, heartbeat))
 
-    def _answer_machine(self, machine: Machine, heartbeat: wire.Heartbeat) -> Response:
-        """Answer a machine's heartbeat after its hold, with what the machine is to do now."""
+    def _answer_applied_heartbeat(self, machine: Machine, heartbeat: wire.Heartbeat) -> Response:
+        """Answer a machine's heartbeat after the delay, with the machine's current commands."""
         now = monotonic_now()
         if not self.authority.may_answer(now):
             return _stale_response()
         if (machine.incarnation, machine.sequence) != (heartbeat.incarnation, heartbeat.sequence):
-            # A later heartbeat came during the hold. This response renews the machine's lease all the same, and no
-            # response may do that without the stop commands.
+            # A later heartbeat came during the hold. This response still renews the machine's lease, and every
+            # response that does so has to contain the stop commands.
             return self._commands_response(self.cluster_state.collect_stop_orders(machine))
         response = self._commands_response(
             self.cluster_state.collect_orders(machine, now, self.authority.may_start_tasks(now))
@@ -122,9 +122,9 @@
         return json_response(200, wire.heartbeat_response(self.cluster_state.term, commands))
 
     async def _hold_response(self, machine: Machine, sequence: int, held_since: datetime) -> None:
-        """Wait while commands may come that can go out with this response: the heartbeat may have freed resources."""
+        """Wait while new commands may become ready for this response: the heartbeat may have freed resources."""
         while machine.sequence == sequence:
-            is_ready, is_recording = self.cluster_state.pending_order_status(machine)
+            is_ready, is_commit_pending = self.cluster_state.pending_order_status(machine)
             if is_ready:
                 return
             now = monotonic_now()
@@ -132,12 +132,12 @@
                 self.cluster_state,
                 machine,
                 held_since,
-                is_recording=is_recording,
+                is_commit_pending=is_commit_pending,
                 may_hold_response=self._may_hold_response,
             )
             if hold_until is None or now >= hold_until or not self.leader_lease.is_valid():
                 return
-            await self.recorded_notifier.wait(machine.name, hold_until - now)
+            await self.commit_notifier.wait(machine.name, hold_until - now)
 
 
 def _stale_response() -> Response:
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -6,8 +6,8 @@
 import msgspec
 from msgspec import Meta
 
-# A heartbeat is validated as a whole before any of it is applied: a task name that could not be parsed once left the
-# cluster state with the tasks before it in the list applied, and the rest not.
+# A heartbeat is validated as a whole before any of it is applied: a task name that fails to parse later would leave the
+# tasks before it in the list applied to the cluster state, and the rest not.
 TaskName = Annotated[str, Meta(pattern=r"^j-[0-9]{1,18}/[0-9]{1,6}$")]
 NonNegativeInt = Annotated[int, Meta(ge=0)]
 
@@ -24,7 +24,7 @@
 ):
     """One task on a machine, as its worker reports it.
 
-    `state` and `exit_reason` stay plain text: values that this version does not know are accepted.
+    `state` and `exit_reason` are strings rather than enums: values unknown to this version are accepted.
     """
 
     task_id: TaskName
@@ -52,7 +52,7 @@
     """A heartbeat with status, also the answer of a worker to a direct command.
 
     `incarnation` counts the worker's starts and `sequence` its messages since; `fencing_token` is the highest term that
-    it has seen; `reclaim_notice_s` is how many seconds remain until a spot machine is taken away.
+    it has received; `reclaim_notice_s` is how many seconds remain until a spot machine is taken away.
     """
 
     machine_name: str
@@ -71,7 +71,7 @@
     msgspec.Struct,
     rename={"machine_name": "host", "incarnation": "tenure", "sequence": "tally", "fencing_token": "warrant"},
 ):
-    """The part of a heartbeat that a node which does not lead reads."""
+    """The part of a heartbeat that is read by a node that is not the leader."""
 
     machine_name: str
     incarnation: int
@@ -121,7 +121,7 @@
 
 
 def direct_command(fencing_token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return a request that one incarnation of a worker carries out."""
+    """Return the body of a direct command, which only this incarnation of a worker carries out."""
     return {"warrant": fencing_token, "tenure": incarnation, "orders": commands}
 
 
