--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -156,8 +156,8 @@
         cluster_state.catalog = {machine_type.name: machine_type for machine_type in machine_types}
         cluster_state.wall_clock_epoch = monotonic_now() - timedelta(seconds=clock.utc_now().timestamp())
         if operator_config.rebalancing.choose != "off":
-            cluster_state.placement_chooser = placement_policy
-            cluster_state.is_chooser_always_enabled = operator_config.rebalancing.choose == "on"
+            cluster_state.placement_policy = placement_policy
+            cluster_state.is_placement_policy_always_enabled = operator_config.rebalancing.choose == "on"
         return cluster_state
 
     def _make_predictive_scaler(self) -> "PredictiveScaler | None":
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -85,7 +85,7 @@
         """Add who is to stop to the decision, each with its place in the account; what is to be recorded with it."""
         cluster_state = self.cluster_state
         machines = schedulable_machines(cluster_state, now)
-        if cluster_state.active_chooser is None:
+        if cluster_state.active_placement_policy is None:
             self.scorer.begin_pass(cluster_state.jobs.values(), machines, now)
         self._measure_fragmentation(machines, last_pass, now)
         self._discard_finished_plans(now, wall_ms)
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -155,8 +155,8 @@
         # Job ids that a machine is reserved for while tasks are moved, by machine name.
         self.reserved_machines: dict[str, set[str]] = {}
         # The placement policy for GPU tasks, if any, and whether it also applies without GPU services.
-        self.placement_chooser: PlacementPolicy | None = None
-        self.is_chooser_always_enabled = False
+        self.placement_policy: PlacementPolicy | None = None
+        self.is_placement_policy_always_enabled = False
         self.has_gpu_services = False  # set by the first: its replicas do not end, so fragmentation persists
         # Receives the tasks' lifecycle events, if set.
         self.lifecycle_listener: TaskLifecycleListener | None = None
@@ -246,9 +246,9 @@
         self.needs_scheduling = True
 
     @property
-    def active_chooser(self) -> PlacementPolicy | None:
+    def active_placement_policy(self) -> PlacementPolicy | None:
         """The placement policy, if it applies now."""
-        return self.placement_chooser if self.is_chooser_always_enabled or self.has_gpu_services else None
+        return self.placement_policy if self.is_placement_policy_always_enabled or self.has_gpu_services else None
 
     def refresh_service_stability(self, now: datetime) -> None:
         """No longer treat crash-looping services as such once one of their replicas runs stably."""
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -62,7 +62,7 @@
         if starts_to_keep_clear > 0 and possible_starts > 0:
             cpus_per_gpu[machine.name] = cluster_state.max_cpus_per_gpu
             starts_to_keep_clear -= possible_starts
-    pending_gpus = _pending_gpus(cluster_state) if cluster_state.active_chooser is not None else 0.0
+    pending_gpus = _pending_gpus(cluster_state) if cluster_state.active_placement_policy is not None else 0.0
     for machine in gpu_machines:
         if pending_gpus <= 0:
             break
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -176,8 +176,8 @@
     cluster_state.refresh_service_stability(now)
     schedulable = schedulable_machines(cluster_state, now)
     snapshot = CapacitySnapshot(cluster_state, schedulable, now)
-    if cluster_state.active_chooser is not None:
-        cluster_state.active_chooser.begin_pass(cluster_state.jobs.values(), schedulable, now)
+    if cluster_state.active_placement_policy is not None:
+        cluster_state.active_placement_policy.begin_pass(cluster_state.jobs.values(), schedulable, now)
     reservations = CapacityReservations(reserved_cpus_per_gpu(cluster_state, schedulable, now))
     queued_runs = build_queue(cluster_state, now)
     cluster_state.fetch_reserved_zones.clear()
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -80,7 +80,7 @@
         0.0 if spec.image in snapshot.cluster_state.low_latency_images else snapshot.urgent_image_penalty(machine)
     )
     capacity_left = machine.free_gpus if spec.gpus > 0 else machine.free_cpus / machine.machine_type.cpus
-    policy = snapshot.cluster_state.active_chooser
+    policy = snapshot.cluster_state.active_placement_policy
     if policy is not None and spec.gpus > 0:
         # Fragmented GPUs stay so for longer than an image fetch takes. Among equals, long tasks go beside long ones.
         fragmentation_cost = policy.fragmentation_cost(machine, spec)
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -109,8 +109,8 @@
     draw = random.Random(seed)
     cluster_state, hands = place_of(10)
     if choose:
-        cluster_state.placement_chooser = FragmentationScorer()
-        assert cluster_state.active_chooser is None, "no service takes GPUs yet"
+        cluster_state.placement_policy = FragmentationScorer()
+        assert cluster_state.active_placement_policy is None, "no service takes GPUs yet"
     alive: list[JobRun] = []
     begun = 0
     for step in range(200):
