--- a/roseweir/scheduler/capacity_snapshot.py
+++ b/roseweir/scheduler/capacity_snapshot.py
@@ -84,7 +84,7 @@
         self.machines = machines
         self.now = now
         self._rank_by_machine = {m.name: n for n, m in enumerate(machines)}
-        self._urgent_image_penalties: dict[str, float] = {}
+        self._low_latency_image_penalties: dict[str, float] = {}
         self._fitting_gpu_machines: dict[tuple[MachineRequirements, TaskSize], list[Machine]] = {}
         self._fitting_gpu_machines_by_zone: dict[tuple[MachineRequirements, TaskSize], dict[str, list[Machine]]] = {}
         self._expected_ends_by_machine: dict[str, tuple[int, list[tuple[datetime, Placement]]]] = {}
@@ -97,28 +97,28 @@
         """Return the machine's position among those of the pass, the tie-breaker between equal machines."""
         return self._rank_by_machine[machine.name]
 
-    def urgent_image_penalty(self, machine: Machine) -> float:
+    def low_latency_image_penalty(self, machine: Machine) -> float:
         """Return 1.0 for a machine that has cached images of low-latency classes, else 0.0."""
-        penalty = self._urgent_image_penalties.get(machine.name)
+        penalty = self._low_latency_image_penalties.get(machine.name)
         if penalty is None:
-            urgent_images = self.cluster_state.low_latency_images
-            penalty = self._urgent_image_penalties[machine.name] = float(
-                any(image in urgent_images for image in machine.image_cache)
+            low_latency_images = self.cluster_state.low_latency_images
+            penalty = self._low_latency_image_penalties[machine.name] = float(
+                any(image in low_latency_images for image in machine.image_cache)
             )
         return penalty
 
     def fitting_gpu_machines(self, spec: JobSpec) -> list[Machine]:
         """Return the machines with GPUs on which a task of the job would fit if they were empty."""
         key = (machine_requirements(spec), task_size(spec))
-        fitting = self._fitting_gpu_machines.get(key)
-        if fitting is None:
-            fitting = [
+        fitting_machines = self._fitting_gpu_machines.get(key)
+        if fitting_machines is None:
+            fitting_machines = [
                 m
                 for m in self.machines
                 if m.machine_type.gpus > 0 and allows_machine(spec, m) and spec.fits_machine_type(m.machine_type)
             ]
-            self._fitting_gpu_machines[key] = fitting
-        return fitting
+            self._fitting_gpu_machines[key] = fitting_machines
+        return fitting_machines
 
     def fitting_gpu_machines_by_zone(self, spec: JobSpec) -> dict[str, list[Machine]]:
         """Return the machines of `fitting_gpu_machines` by zone."""
@@ -171,9 +171,9 @@
         Returns:
             `tasks_wanted` entries or fewer, by time and then by the machine's name.
         """
-        earliest: list[tuple[datetime, str, Machine]] = []
+        earliest_entries: list[tuple[datetime, str, Machine]] = []
         for earliest_possible, name, machine in self._machines_by_earliest_room():
-            if len(earliest) >= tasks_wanted and (earliest_possible, name) >= earliest[-1][:2]:
+            if len(earliest_entries) >= tasks_wanted and (earliest_possible, name) >= earliest_entries[-1][:2]:
                 break
             if (
                 zone not in (None, machine.zone)
@@ -184,11 +184,13 @@
             if is_excluded(machine):
                 continue
             room_times = self._room_times(machine, spec, tasks_wanted)
-            if room_times and (len(earliest) < tasks_wanted or (room_times[0], name) < earliest[-1][:2]):
-                earliest += [(free_at, name, machine) for free_at in room_times]
-                earliest.sort(key=_time_and_machine_name)
-                del earliest[tasks_wanted:]
-        return [MachineWithRoom(free_at, machine) for free_at, _, machine in earliest]
+            if room_times and (
+                len(earliest_entries) < tasks_wanted or (room_times[0], name) < earliest_entries[-1][:2]
+            ):
+                earliest_entries += [(free_at, name, machine) for free_at in room_times]
+                earliest_entries.sort(key=_time_and_machine_name)
+                del earliest_entries[tasks_wanted:]
+        return [MachineWithRoom(free_at, machine) for free_at, _, machine in earliest_entries]
 
     def _machines_by_earliest_room(self) -> list[tuple[datetime, str, Machine]]:
         """Return the machines with GPUs in the order of the earliest instant at which one may have room for a GPU task.
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -76,8 +76,8 @@
     # Work that may run on spot GPUs leaves the others to work that may not, and costs less there.
     uses_non_spot = float(spec.gpus > 0 and spec.allows_spot and not machine.is_spot)
     # A class that must start soon has no time to fetch: machines that hold its images are taken last.
-    urgent_image_penalty = (
-        0.0 if spec.image in snapshot.cluster_state.low_latency_images else snapshot.urgent_image_penalty(machine)
+    low_latency_image_penalty = (
+        0.0 if spec.image in snapshot.cluster_state.low_latency_images else snapshot.low_latency_image_penalty(machine)
     )
     capacity_left = machine.free_gpus if spec.gpus > 0 else machine.free_cpus / machine.machine_type.cpus
     policy = snapshot.cluster_state.active_placement_policy
@@ -87,14 +87,14 @@
         return (
             uses_non_spot,
             fragmentation_cost,
-            urgent_image_penalty,
+            low_latency_image_penalty,
             image_cost,
             capacity_left + policy.lifetime_mismatch(machine, spec) * 0.5,
         )
     if snapshot.cluster_state.headroom.is_urgent(spec):
         # An image fetch takes longer than the job may wait to start.
-        return (image_cost, wastes_gpus, uses_non_spot, urgent_image_penalty, capacity_left)
-    return (wastes_gpus, uses_non_spot, urgent_image_penalty, image_cost, capacity_left)
+        return (image_cost, wastes_gpus, uses_non_spot, low_latency_image_penalty, capacity_left)
+    return (wastes_gpus, uses_non_spot, low_latency_image_penalty, image_cost, capacity_left)
 
 
 def max_tasks_in_zone(run: JobRun, zone: str) -> int:
