--- a/roseweir/scheduler/lease_renewal.py
+++ b/roseweir/scheduler/lease_renewal.py
@@ -23,7 +23,7 @@
 class LeaseRenewal(Enum):
     """What the answer to a heartbeat that changes nothing here may do to its worker's lease."""
 
-    COUNTED = 0  # it may renew the lease, and the renewal is recorded
+    RENEWED = 0  # it may renew the lease, and the renewal is recorded
     NOT_RENEWED = 1  # it must not renew the lease: the heartbeat is a duplicate
     REFUSED = 2  # the heartbeat is refused: nothing proves that answers reach the machine
 
@@ -38,7 +38,7 @@
     """
     machine = cluster_state.machines.get(heartbeat.machine_name)
     if machine is None:
-        return LeaseRenewal.COUNTED  # no placement is recorded there; tasks that it has are stopped
+        return LeaseRenewal.RENEWED  # no placement is recorded there; tasks that it has are stopped
     if heartbeat.fencing_token == cluster_state.term or machine.has_acknowledged_term:
         # The heartbeat is older than the machine's newest message. Responses to commands and probes have higher
         # sequence numbers and renew nothing, so the answer to a heartbeat that one of them overtook does renew the
@@ -52,13 +52,13 @@
             return LeaseRenewal.NOT_RENEWED
         machine.heartbeat_sequence = heartbeat.sequence
         machine.lease_renewed_at = now
-        return LeaseRenewal.COUNTED
+        return LeaseRenewal.RENEWED
     if machine.unconfirmed_since == NEVER:
         machine.unconfirmed_since = now
     if now - machine.unconfirmed_since > cluster_state.max_lease_duration:
         return LeaseRenewal.REFUSED
     machine.lease_renewed_at = now
-    return LeaseRenewal.COUNTED
+    return LeaseRenewal.RENEWED
 
 
 def stop_commands_for(cluster_state: ClusterState, heartbeat: wire.Heartbeat) -> list[dict[str, Any]]:
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -70,7 +70,7 @@
                 and not copy
             ):
                 self.overtaken += 1
-            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.COUNTED:
+            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.RENEWED:
                 return
         else:
             orders = self.board.collect_commands(machine, self.now, may_start_tasks=True)
@@ -131,7 +131,7 @@
     """A report that is not the newest word is answered, and the lease that it renews does not count."""
 
     def renewal(cluster_state: ClusterState, report: wire.Heartbeat, at: datetime) -> LeaseRenewal:
-        return LeaseRenewal.COUNTED
+        return LeaseRenewal.RENEWED
 
     for caller in (__name__, "roseweir.workers.handlers"):
         patch.setattr(f"{caller}.decide_lease_renewal", renewal)
