--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -261,12 +261,12 @@
         """Number of starts of the largest GPU task or gang for which overflow work leaves machines free."""
         return 1 if self._min_gpu_wait_target >= MIN_RELAXED_WAIT_TARGET else 2
 
-    def end_job(self, job_id: str, ended: CompletedJob, now: datetime) -> None:
+    def end_job(self, job_id: str, completed_job: CompletedJob, now: datetime) -> None:
         """Apply the job's end, once the key-value store holds it, and stop its tasks."""
         run = self.jobs.get(job_id)
         if run is None or run.final_state:
             return
-        run.final_state = ended.state
+        run.final_state = completed_job.state
         if self.lifecycle_listener is not None:
             self.lifecycle_listener.job_ended(run)
         self.needs_quota_update = True
--- a/roseweir/scheduler/machine_fault_detection.py
+++ b/roseweir/scheduler/machine_fault_detection.py
@@ -77,23 +77,25 @@
     Only completed arrays are evaluated: before the end, machines that happened to run long tasks look slow.
     """
     run = placement.run
-    total, count = run.runtimes_by_machine.get(placement.machine.name, (ZERO, 0))
-    run.runtimes_by_machine[placement.machine.name] = (total + runtime, count + 1)
+    total_runtime, task_count = run.runtimes_by_machine.get(placement.machine.name, (ZERO, 0))
+    run.runtimes_by_machine[placement.machine.name] = (total_runtime + runtime, task_count + 1)
     if run.completed_count + 1 < run.spec.task_count or len(run.runtimes_by_machine) < SLOW_MACHINE_MIN_PEERS:
         return
     mean_runtime = sum((t for t, _ in run.runtimes_by_machine.values()), ZERO) / sum(
         n for _, n in run.runtimes_by_machine.values()
     )
-    for name, (total, count) in run.runtimes_by_machine.items():
+    for name, (total_runtime, task_count) in run.runtimes_by_machine.items():
         machine = cluster_state.machines.get(name)
-        if machine is None or count < SLOW_MACHINE_MIN_TASKS:
+        if machine is None or task_count < SLOW_MACHINE_MIN_TASKS:
             continue
         machine.slow_array_count = (
-            machine.slow_array_count + 1 if total / count > mean_runtime * SLOW_MACHINE_FACTOR else 0
+            machine.slow_array_count + 1 if total_runtime / task_count > mean_runtime * SLOW_MACHINE_FACTOR else 0
         )
         if machine.slow_array_count >= SLOW_MACHINE_MIN_ARRAYS and not machine.is_marked_for_release:
             log.info(
-                "slow machine marked for release: machine=%s runtime_ratio=%.1f", name, total / count / mean_runtime
+                "slow machine marked for release: machine=%s runtime_ratio=%.1f",
+                name,
+                total_runtime / task_count / mean_runtime,
             )
             machine.is_marked_for_release = True
 
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -153,15 +153,15 @@
         """Number of tasks that wait to be placed."""
         if self.final_state or self.hold_reason:
             return 0
-        missing = self.spec.task_count - self.completed_count - len(self.placements)
+        unplaced_count = self.spec.task_count - self.completed_count - len(self.placements)
         if self.spec.job_type == GANG and self.placements:
             # Members of a gang start together; only a gang that is still gathering takes replacements.
             is_gathering = not self.is_gang_stopping and all(
                 p.phase != PlacementPhase.RECOVERED and p.state in ("", "pulling", "gathering")
                 for p in self.placements.values()
             )
-            return missing if is_gathering else 0
-        return missing
+            return unplaced_count if is_gathering else 0
+        return unplaced_count
 
     def pop_next_index(self) -> int | None:
         """Return the index of the next task to place and take it off the queue; None if there is none."""
@@ -225,7 +225,7 @@
     suspected_since: datetime = NEVER  # since when our answers seem not to reach it, without proof that they do
     unreachable_since: datetime = NEVER  # since when our probes do not reach it either
     dropped_command_count: int = 0  # consecutive start commands that it did not receive
-    known_since: datetime = NEVER
+    known_since: datetime = NEVER  # when it was added to this leader's cluster state
     scaled_out_at: datetime = NEVER
     is_booting: bool = False
     is_autoscaled: bool = False  # created by a leader of this service, rather than found already running
