--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -49,9 +49,9 @@
 LEADER_SEARCH_TOLERANCE = timedelta(seconds=5)
 # How much later than two intervals the last heartbeat may be before nothing is started on the machine.
 HEARTBEAT_DELAY_ALLOWANCE = timedelta(seconds=1.5)
-# How long released machines are remembered: duplicates of their heartbeats arrive late and must not add them again.
+# How long the names of released machines are kept: late duplicates of their heartbeats must not add them again.
 RELEASED_MACHINE_RETENTION = timedelta(hours=1)
-# How many released machines are remembered at most.
+# How many names of released machines are kept at most.
 MAX_RELEASED_MACHINES = 20_000
 # A wait objective of at least this leaves time for a machine to become free.
 MIN_RELAXED_WAIT_TARGET = timedelta(seconds=120)
@@ -103,10 +103,10 @@
         self.runtime_ratios: dict[str, float] = {}
         # The smallest requests of waiting tasks since the last pass: CPUs of CPU-only tasks, GPUs of GPU tasks.
         self.min_waiting_cpus = self.min_waiting_gpus = 0.0
-        self.highest_gpu_priority = 1 << 30  # the highest priority of GPU jobs seen: lower numbers come first
-        self.max_task_gpus = 0.0  # GPUs of the largest task seen
-        self.max_gang_tasks = 1  # tasks of the largest GPU gang seen
-        self.max_cpus_per_gpu = 0.0  # the most CPUs for each GPU that a GPU job seen requests
+        self.highest_gpu_priority = 1 << 30  # the highest priority of GPU jobs in this term: lower numbers come first
+        self.max_task_gpus = 0.0  # GPUs of the largest task in this term
+        self.max_gang_tasks = 1  # tasks of the largest GPU gang in this term
+        self.max_cpus_per_gpu = 0.0  # the most CPUs per GPU that a GPU job of this term requests
         # CPU-only work may overflow onto the CPUs of idle GPU machines until then: no others can be obtained.
         self.overflow_until = NEVER
         # Images of job classes with a wait objective.
@@ -120,7 +120,7 @@
                 self._max_wait_by_class[objective.job_class] = min(
                     objective.threshold, self._max_wait_by_class.get(objective.job_class, objective.threshold)
                 )
-        self._min_gpu_wait_target = ZERO  # shortest wait objective of GPU job classes seen; zero: none
+        self._min_gpu_wait_target = ZERO  # shortest wait objective of this term's GPU job classes; zero: none
         # Capacity kept free for job classes that must start at once.
         self.headroom = Headroom.from_objectives(settings.params.objectives)
         self._low_latency_classes = {
@@ -446,7 +446,7 @@
         machine.has_acknowledged_term = False
 
     def forget_machine(self, name: str, now: datetime, reason: str) -> None:
-        """Remove a machine that was released or is gone, and remember its name for late heartbeats."""
+        """Remove a machine that was released or is gone, and keep its name, so that late heartbeats do not add it again."""
         machine = self.machines.get(name)
         if machine is not None:
             self.expire_machine(machine, now, reason)
@@ -471,7 +471,7 @@
                 and run is not None
                 and (int(index_text) in run.uncommitted_completions or not run.is_completed(int(index_text)))
             ):
-                continue  # the completion must be durable before the worker may forget it
+                continue  # the completion must be durable before the worker may discard it
             commands.append(wire.clear_command(task_name, attempt))
         for task_name, attempt in machine.unknown_tasks:
             commands.append(wire.stop_command(task_name, attempt, ZERO))
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -288,7 +288,7 @@
         return image in self._expected_images
 
     def record_image_use(self, image: str, size_gb: float) -> None:
-        """Follow the worker's image cache, which keeps the most recently used images up to `cache_gb`."""
+        """Mirror the worker's image cache, which keeps the most recently used images up to `cache_gb`."""
         if image in self.image_cache:
             self.image_cache.move_to_end(image)
             return
