--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -103,7 +103,7 @@
         self.runtime_ratios: dict[str, float] = {}
         # The smallest requests of waiting tasks since the last pass: CPUs of CPU-only tasks, GPUs of GPU tasks.
         self.min_waiting_cpus = self.min_waiting_gpus = 0.0
-        self.highest_gpu_priority = 1 << 30  # the highest priority of GPU jobs in this term: lower numbers come first
+        self.highest_gpu_priority = 1 << 30  # the highest priority of this term's GPU jobs: lower numbers come first
         self.max_task_gpus = 0.0  # GPUs of the largest task in this term
         self.max_gang_tasks = 1  # tasks of the largest GPU gang in this term
         self.max_cpus_per_gpu = 0.0  # the most CPUs per GPU that a GPU job of this term requests
@@ -446,7 +446,7 @@
         machine.has_acknowledged_term = False
 
     def forget_machine(self, name: str, now: datetime, reason: str) -> None:
-        """Remove a machine that was released or is gone, and keep its name, so that late heartbeats do not add it again."""
+        """Remove a machine that was released or is gone, and keep its name so that late heartbeats do not add it."""
         machine = self.machines.get(name)
         if machine is not None:
             self.expire_machine(machine, now, reason)
