--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -70,10 +70,10 @@
                 and not copy
             ):
                 self.overtaken += 1
-            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.COUNTED:
+            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.RENEWED:
                 return
         else:
-            orders = self.board.collect_orders(machine, self.now, may_start_tasks=True)
+            orders = self.board.collect_commands(machine, self.now, may_start_tasks=True)
         if copy or report.incarnation != self.session or self.now - sent > seconds(4):
             return  # its worker has given it up, or never waits for a copy's answer
         self.renewed = max(self.renewed, sent)
@@ -131,7 +131,7 @@
     """A report that is not the newest word is answered, and the lease that it renews does not count."""
 
     def renewal(cluster_state: ClusterState, report: wire.Heartbeat, at: datetime) -> LeaseRenewal:
-        return LeaseRenewal.COUNTED
+        return LeaseRenewal.RENEWED
 
     for caller in (__name__, "roseweir.workers.handlers"):
         patch.setattr(f"{caller}.decide_lease_renewal", renewal)
