--- a/roseweir/scheduler/gang_placement.py
+++ b/roseweir/scheduler/gang_placement.py
@@ -28,7 +28,7 @@
     reservations: CapacityReservations,
     now: datetime,
 ) -> int:
-    """Plan all missing tasks of a gang, or none: a whole gang, or replacements in one that has begun.
+    """Plan all pending tasks of a gang, or none: the whole gang, or replacements in one that has started.
 
     Returns:
         How many tasks were placed: `pending_tasks` or 0.
@@ -39,11 +39,11 @@
     if not run.placements:
         run.gang_attempt = cluster_state.allocate_attempt()
     else:
-        # The log may still name the places of those that are replaced, with the same attempt.
+        # The write-ahead log may still list the replaced tasks, with the same attempt.
         run.replacement_count += 1
     placed_count = 0
-    for machine, tasks in assignments:
-        for _ in range(tasks):
+    for machine, task_count in assignments:
+        for _ in range(task_count):
             index = run.pop_next_index()
             assert index is not None
             cluster_state.add_placement(run, index, machine, run.gang_attempt, now)
@@ -54,7 +54,7 @@
 def _best_assignments(
     run: JobRun, pending_tasks: int, candidates: list[Machine], reservations: CapacityReservations
 ) -> list[Assignment] | None:
-    """Where all the tasks fit, with the fewest image fetches; None if they do not fit together."""
+    """Assignments of all the tasks with the fewest image fetches; None if they do not fit together."""
     zones: list[str | None] = [None]
     if run.spec.requires_single_zone:
         occupied_zones = {p.machine.zone for p in run.placements.values()}
@@ -74,15 +74,15 @@
 
 
 def _try_start(cluster_state: ClusterState, run: JobRun, assignments: list[Assignment], now: datetime) -> bool:
-    """Whether the startup limits allow the starts; if so, they are counted."""
+    """Whether the startup limits allow the starts; if so, the limits are debited."""
     spec = run.spec
-    starts = [TaskStart(spec, machine, tasks) for machine, tasks in assignments]
-    fetching = [machine for machine, _ in assignments if not machine.has_image(spec.image)]
-    if any(is_fetch_reserved(cluster_state, run, machine) for machine in fetching):
+    starts = [TaskStart(spec, machine, task_count) for machine, task_count in assignments]
+    fetching_machines = [machine for machine, _ in assignments if not machine.has_image(spec.image)]
+    if any(is_fetch_reserved(cluster_state, run, machine) for machine in fetching_machines):
         return False
     if not cluster_state.limits.try_start(starts, limit_source(spec), now):
         if run.starvation_level > NOT_STARVING:
-            cluster_state.fetch_reserved_zones.update(machine.zone for machine in fetching)
+            cluster_state.fetch_reserved_zones.update(machine.zone for machine in fetching_machines)
         return False
     return True
 
@@ -94,9 +94,9 @@
     spec = run.spec
     assignments: list[Assignment] = []
     tasks_by_zone: dict[str, int] = {}
-    missing = pending_tasks
+    missing_tasks = pending_tasks
     for machine in candidates:
-        tasks_here = min(missing, reservations.task_capacity(machine, spec))
+        tasks_here = min(missing_tasks, reservations.task_capacity(machine, spec))
         if spec.spread_across_zones:
             tasks_in_zone = tasks_by_zone.get(machine.zone, run.count_placed_in_zone(machine.zone))
             tasks_here = min(tasks_here, (spec.task_count + 1) // 2 - tasks_in_zone)
@@ -104,8 +104,8 @@
         if tasks_here <= 0:
             continue
         assignments.append(Assignment(machine, tasks_here))
-        missing -= tasks_here
-        if missing == 0:
+        missing_tasks -= tasks_here
+        if missing_tasks == 0:
             return assignments
     return None
 
--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -1,13 +1,13 @@
 """Headroom: capacity kept free for classes whose jobs must start at once. No I/O.
 
-Some classes have a start-time objective shorter than any machine takes to boot, and come before all else. On a fleet
-that lower work fills, each of their tasks waited for something to end: 0.9 s in the median and up to a minute where
-their tasks have to be spread over zones of which one had no room but what lower work held (simulated cluster, log). So
-lower work leaves in each zone the room of HEADROOM_JOBS_PER_ZONE such jobs, on the machines that hold most of their
-images. What is taken of it is restored as lower work ends, before any of that starts again.
-
-Bound: at most MAX_HEADROOM_CPU_FRACTION of a zone's CPUs stand free so; nothing where no class has such an objective.
-The order of the queue is unchanged: a job that comes first only need not wait for tasks that run already.
+Some classes have the highest priority and a start-time objective shorter than the boot time of any machine. On a fleet
+filled with lower-priority tasks, each of their tasks waited for another to end: 0.9 s in the median, and up to a minute
+if the tasks had to be spread over zones and lower-priority tasks held all room of one zone (simulated cluster, log). So
+lower-priority jobs leave room for HEADROOM_JOBS_PER_ZONE such jobs free in each zone, on the machines that hold most of
+their images. Headroom that has been used is restored as lower-priority tasks end, before others of them start.
+
+Bound: at most MAX_HEADROOM_CPU_FRACTION of a zone's CPUs is kept free, and nothing if no class has such an objective.
+The queue order is unchanged: the headroom only spares the first job the wait for running tasks.
 """
 
 from collections.abc import Iterable
@@ -20,12 +20,12 @@
 from roseweir.settings import ServiceLevelObjective
 from roseweir.submissions.jobs import JobSpec, MachineType
 
-# Jobs of each urgent class that each zone keeps room for.
+# How many jobs of each urgent class each zone keeps room for.
 HEADROOM_JOBS_PER_ZONE = 1
-# The part of a zone's CPUs that may stand free.
+# The largest fraction of a zone's CPUs that is kept free.
 MAX_HEADROOM_CPU_FRACTION = 0.06
-# After this wait an urgent job may use machines that are kept clear for GPU work of lower priority: replicas waited a
-# minute in a zone that was full but for those.
+# After this wait an urgent job may use CPUs reserved for GPU jobs of lower priority: replicas waited a minute in a zone
+# where only those CPUs were free.
 GPU_RESERVE_WAIVED_AFTER = timedelta(seconds=5)
 
 
@@ -41,13 +41,13 @@
 
 @dataclass(slots=True)
 class UrgentClass:
-    """A class that must start at once, as its jobs have been so far."""
+    """A class whose jobs must start at once, and the sizes of its jobs seen so far."""
 
     latest_spec: JobSpec
     max_tasks_per_zone: int = 0  # tasks that its largest job may have in one zone
 
     def observe_job(self, spec: JobSpec) -> None:
-        """Take account of a job of the class."""
+        """Record a job of the class."""
         self.latest_spec = spec
         self.max_tasks_per_zone = max(
             self.max_tasks_per_zone, (spec.task_count + 1) // 2 if spec.spread_across_zones else spec.task_count
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Headroom:
-    """Which classes must start at once, and what was kept for them in the last pass, by the machine's name."""
+    """The urgent classes, and the capacity kept free for them in the last pass, by machine name."""
 
     start_time_objectives: dict[str, timedelta]
     urgent_classes: dict[str, UrgentClass] = field(default_factory=dict)
@@ -74,7 +74,7 @@
         )
 
     def observe_job(self, spec: JobSpec, catalog: Iterable[MachineType]) -> None:
-        """Take account of a job: its class is urgent if no machine boots within its objective and it needs no GPUs."""
+        """Record a job: its class is urgent if no machine boots within its objective and the job needs no GPUs."""
         objective = self.start_time_objectives.get(spec.job_class)
         if (
             objective is None
@@ -93,26 +93,26 @@
         return spec.job_class in self.urgent_classes
 
     def must_leave_headroom(self, run: JobRun) -> bool:
-        """Whether the job's tasks must leave the headroom free: it comes after some class that must start at once."""
+        """Whether the job must leave the headroom free: CPU-only, beyond its guarantee, and of lower priority."""
         if run.is_within_quota or run.spec.gpus > 0 or run.spec.job_class in self.urgent_classes:
             return False
-        return any(run.priority > each.latest_spec.priority for each in self.urgent_classes.values())
+        return any(run.priority > urgent_class.latest_spec.priority for urgent_class in self.urgent_classes.values())
 
-    def may_waive_gpu_reserve(self, run: JobRun, gpu_priority: int, now: datetime) -> bool:
-        """Whether the job need not leave GPU machines clear. `gpu_priority`: the highest of GPU work seen."""
-        if run.spec.job_class not in self.urgent_classes or run.priority >= gpu_priority:
+    def may_waive_gpu_reserve(self, run: JobRun, highest_gpu_priority: int, now: datetime) -> bool:
+        """Whether the job may use CPUs reserved for GPU jobs. `highest_gpu_priority`: of all GPU jobs seen."""
+        if run.spec.job_class not in self.urgent_classes or run.priority >= highest_gpu_priority:
             return False
         return run.first_waited_at != NEVER and now - run.first_waited_at >= GPU_RESERVE_WAIVED_AFTER
 
     def reserve(self, machines: Iterable[Machine], urgent_images: set[str]) -> dict[str, ReservedRoom]:
-        """Choose anew where the headroom is kept, of what is free now.
+        """Choose again on which machines the headroom is kept, from what is free now.
 
         Args:
-            machines: those that tasks may be started on.
+            machines: the machines that tasks may be started on.
             urgent_images: images of low-latency classes; machines that hold most of them come first.
 
         Returns:
-            What is kept free, by the machine's name; also in `reserved_by_machine`.
+            What is kept free, by machine name; also in `reserved_by_machine`.
         """
         self.reserved_by_machine = {}
         if not self.urgent_classes:
--- a/roseweir/scheduler/preemption.py
+++ b/roseweir/scheduler/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which tasks are stopped for a job that finds no room, where the least work is lost."""
+"""Preemption: selects the tasks to stop for a job that finds no room, so that the least work is lost."""
 
 import logging
 from datetime import datetime, timedelta
@@ -10,21 +10,21 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine, Placement, PlacementPhase
 from roseweir.scheduler.quota import QUOTA_TOLERANCE
-from roseweir.scheduler.reservations import CapacityReservations, is_reserved_for_other_job, reserved_for_job
+from roseweir.scheduler.reservations import CapacityReservations, is_reserved_for_other_job, reserving_job_id
 from roseweir.scheduler.task_placement import max_tasks_in_zone
 from roseweir.submissions.jobs import GANG
 
 log = logging.getLogger(__name__)
 
-# How long a job waits for room to come free by itself before it takes it from others.
+# How long a job waits for room to become free before other tasks are preempted for it.
 PREEMPTION_DELAY = timedelta(seconds=1)
-# The same for work that must start at once, where the room kept for it was not enough.
+# The same for jobs of urgent classes, whose headroom (`headroom.py`) was not enough.
 URGENT_PREEMPTION_DELAY = timedelta(milliseconds=300)
-# How long a machine is kept for the job that others were stopped for on it.
+# How long a machine stays reserved for the job that tasks on it were preempted for.
 MACHINE_RESERVATION_DURATION = timedelta(seconds=15)
 # The interval between two searches for tasks to preempt.
 PREEMPTION_RETRY_INTERVAL = timedelta(milliseconds=500)
-# The least rate that image fetches are assumed to have, against division by zero.
+# Lower bound of the assumed image fetch rate, against division by zero.
 MIN_FETCH_GB_PER_S = 0.01
 
 
@@ -37,9 +37,10 @@
 
 
 def may_preempt(cluster_state: ClusterState, run: JobRun, victim: JobRun) -> bool:
-    """Whether the job may preempt the victim: by higher priority, or by its team's guarantee against borrowed room.
+    """Whether the job may preempt the victim, by the protocol's rules for stopping other work.
 
-    Source: the protocol's rules for stopping other work.
+    It may if its priority is higher, or if it is within its team's guarantee and the victim runs on capacity that
+    another team uses beyond its own guarantee.
     """
     if victim.spec.id == run.spec.id or victim.final_state:
         return False
@@ -59,35 +60,35 @@
     return is_over_gpu_quota or is_over_cpu_quota
 
 
-def forget_old_failures(cluster_state: ClusterState, now: datetime) -> None:
-    """Forget searches that found nobody to preempt and are old enough to be repeated."""
+def expire_failed_preemptions(cluster_state: ClusterState, now: datetime) -> None:
+    """Drop records of searches without victims that are old enough to be repeated."""
     cluster_state.failed_preemptions = {
-        key: known
-        for key, known in cluster_state.failed_preemptions.items()
-        if now - known[1] < PREEMPTION_RETRY_INTERVAL
+        key: failed_search
+        for key, failed_search in cluster_state.failed_preemptions.items()
+        if now - failed_search[1] < PREEMPTION_RETRY_INTERVAL
     }
 
 
 def reserve_or_preempt(
     snapshot: CapacitySnapshot, run: JobRun, missing_tasks: int, reserved_from: dict[str, datetime]
 ) -> None:
-    """Keep later jobs off the machines that will soonest have room, and preempt other work if allowed.
+    """Reserve the machines that will have room earliest, and preempt other tasks if allowed.
 
-    A gang needs room for all its tasks at once, in one zone if it says so: made one machine at a time,
-    the first was lost again before the last was there.
+    A gang needs room for all its tasks at once, in one zone if it requires that. If room were made one machine at a
+    time, other tasks would take the first machine before the last one is free.
     """
     cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
     zones = _eligible_zones(snapshot, run)
     _reserve_earliest_room(snapshot, run, zones, missing_tasks, reserved_from)
     if now - run.first_waited_at < PREEMPTION_DELAY and now >= cluster_state.overflow_until:
         return
-    # Where one job found nobody to preempt, another like it does not search again for a moment, nor does a job for
-    # which room is being made: on a busy fleet that was half of what a pass cost.
-    tasks_together = run.pending_count if spec.job_type == GANG else 1
+    # After a search without victims, jobs with the same key do not search again within the interval, nor does a job
+    # that tasks are being stopped for: on a busy fleet, these repeated searches took half of a pass's time.
+    required_slots = run.pending_count if spec.job_type == GANG else 1
     key = _preemption_key(run)
-    min_failed_tasks, last_attempt_at = cluster_state.failed_preemptions.get(key, (0, NEVER))
+    min_failed_slots, last_attempt_at = cluster_state.failed_preemptions.get(key, (0, NEVER))
     if (
-        tasks_together >= min_failed_tasks and now - last_attempt_at < PREEMPTION_RETRY_INTERVAL
+        required_slots >= min_failed_slots and now - last_attempt_at < PREEMPTION_RETRY_INTERVAL
     ) or now - run.last_preemption_search_at < PREEMPTION_RETRY_INTERVAL:
         return
     machine_groups = (
@@ -95,10 +96,10 @@
         if zones == [None]
         else [snapshot.fitting_gpu_machines_by_zone(spec)[zone] for zone in zones if zone]
     )
-    if _preempt_least_work(snapshot, run, machine_groups, tasks_together):
+    if _preempt_with_least_lost_work(snapshot, run, machine_groups, required_slots):
         run.last_preemption_search_at = now
     elif not run.failed_machines and not run.placements:
-        cluster_state.failed_preemptions[key] = (tasks_together, now)
+        cluster_state.failed_preemptions[key] = (required_slots, now)
 
 
 def _reserve_earliest_room(
@@ -108,7 +109,7 @@
     missing_tasks: int,
     reserved_from: dict[str, datetime],
 ) -> None:
-    """Add to `reserved_from` the machines that will soonest have room for the missing tasks."""
+    """Add to `reserved_from` the machines that will have room for the missing tasks earliest."""
     cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
 
     def is_reserved(machine: Machine) -> bool:
@@ -118,16 +119,16 @@
     for zone in zones:
         earliest = snapshot.earliest_machines_with_room(spec, zone, missing_tasks, is_reserved)
         if len(earliest) < missing_tasks and spec.job_type == GANG:
-            continue  # it never fits there
+            continue  # the zone never has room for the whole gang
         if earliest and (not best or earliest[-1].free_at < best[-1].free_at):
             best = earliest
     for free_at, machine in best:
-        # In order of time: of several slots on a machine, the last one decides.
+        # Ascending by time, so that the last entry for a machine decides.
         reserved_from[machine.name] = best[-1].free_at if spec.job_type == GANG else free_at
 
 
 def _preemption_key(run: JobRun) -> tuple[object, ...]:
-    """What decides whom a job may preempt: where one job found nobody, no other of the same key does."""
+    """What decides which tasks a job may preempt: if one job finds no victims, no other with the same key does."""
     spec = run.spec
     return (
         spec.team,
@@ -146,9 +147,9 @@
 def preempt_for_urgent_job(
     snapshot: CapacitySnapshot, run: JobRun, missing_tasks: int, reservations: CapacityReservations
 ) -> None:
-    """Preempt lower work where the headroom was not enough for tasks that must start at once, least work lost first.
+    """Preempt lower-priority tasks if the headroom was not enough for an urgent job, least lost work first.
 
-    Room that comes free so goes to the first in the queue, which is this job or one before it, so nothing is reserved.
+    Nothing is reserved: the freed room goes to the first job in the queue, which is this one or one ahead of it.
     """
     cluster_state, now = snapshot.cluster_state, snapshot.now
     if (
@@ -185,7 +186,7 @@
     zone_limits: dict[str, int],
     reservations: CapacityReservations,
 ) -> list[Slot]:
-    """Slots for the job's tasks on machines that are not kept clear for GPU work, the least work lost first."""
+    """Slots for the job's tasks on machines without CPUs reserved for GPU jobs, the least lost work first."""
     cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
     slots: list[Slot] = []
     for machine in snapshot.machines:
@@ -198,15 +199,16 @@
             or is_reserved_for_other_job(cluster_state, machine, spec, now)
         ):
             continue
-        # A gang with checkpoints loses little by a stop, and was stopped for a replica of 2 CPUs (rough, 71 times).
+        # CPU-only victims: a gang with checkpoints counts as little lost work, and would be stopped for a replica of
+        # 2 CPUs (71 times in the simulation `rough`).
         slots += _find_slots(cluster_state, run, machine, tasks_wanted, now, cpu_only=True)
-    # With the image at hand first, as far as a fetch is worth.
+    # The lost work of a slot with victims includes the image fetch, which favours machines that hold the image.
     slots.sort(key=lambda slot: (slot.lost_work_s, slot.machine.machine_type.gpus > 0, slot.machine.name))
     return slots
 
 
 def _eligible_zones(snapshot: CapacitySnapshot, run: JobRun) -> list[str | None]:
-    """Zones in which all of the job's tasks may run together; None: in any, also apart."""
+    """Zones that may each hold all of the job's tasks; None stands for any mix of zones."""
     if not run.spec.requires_single_zone:
         return [None]
     occupied_zones = {p.machine.zone for p in run.placements.values()}
@@ -215,19 +217,19 @@
     ]
 
 
-def _preempt_least_work(
-    snapshot: CapacitySnapshot, run: JobRun, machine_groups: list[list[Machine]], tasks_together: int
+def _preempt_with_least_lost_work(
+    snapshot: CapacitySnapshot, run: JobRun, machine_groups: list[list[Machine]], required_slots: int
 ) -> bool:
-    """Make room for one task at a time, for a gang's together, where the least work is lost.
+    """Preempt tasks, with the least lost work, to make room for one task or for all pending tasks of a gang.
 
     Args:
-        snapshot: free capacity in this pass; told of preemptions.
+        snapshot: free capacity in this pass; invalidated after a preemption.
         run: the job that needs room.
-        machine_groups: each a set of machines on which the tasks may run together.
-        tasks_together: how many tasks need room at once.
+        machine_groups: groups of machines; the tasks run within one group.
+        required_slots: how many tasks need room at the same time.
 
     Returns:
-        False if there are not enough slots that can be made free.
+        False if not enough slots are free or can be freed.
     """
     cluster_state, now = snapshot.cluster_state, snapshot.now
     best: list[Slot] | None = None
@@ -237,15 +239,15 @@
         for machine in group:
             if machine.name in run.failed_machines or is_reserved_for_other_job(cluster_state, machine, run.spec, now):
                 continue
-            if reserved_for_job(cluster_state, machine, now) == run.spec.id and run.spec.job_type != GANG:
+            if reserving_job_id(cluster_state, machine, now) == run.spec.id and run.spec.job_type != GANG:
                 return True  # room is already being made
-            slots += _find_slots(cluster_state, run, machine, tasks_together, now)
-        if len(slots) < tasks_together:
+            slots += _find_slots(cluster_state, run, machine, required_slots, now)
+        if len(slots) < required_slots:
             continue
         slots.sort(key=lambda slot: (slot.lost_work_s, slot.machine.name))
         if run.spec.job_type != GANG and not slots[0].victims:
             return True  # there is room, or it is already being made
-        slots = slots[:tasks_together]
+        slots = slots[:required_slots]
         lost_work_s = sum(slot.lost_work_s for slot in slots)
         if best is None or lost_work_s < min_lost_work_s:
             best, min_lost_work_s = slots, lost_work_s
@@ -267,21 +269,21 @@
 def _find_slots(
     cluster_state: ClusterState, run: JobRun, machine: Machine, tasks_wanted: int, now: datetime, cpu_only: bool = False
 ) -> list[Slot]:
-    """Slots for the job's tasks that are or can be made free on the machine, `tasks_wanted` at most.
+    """Slots for the job's tasks that are free or can be freed on the machine, at most `tasks_wanted`.
 
     `cpu_only`: tasks with GPUs are not preempted.
     """
     spec = run.spec
     free_capacity = FreeCapacity(machine)
-    for p in machine.placements.values():
-        if p.stop_requested_at is not None:
-            free_capacity.release(p)
+    for placement in machine.placements.values():
+        if placement.stop_requested_at is not None:
+            free_capacity.release(placement)
     count = min(tasks_wanted, free_capacity.task_capacity(spec))
     slots = [Slot(0.0, machine, []) for _ in range(count)]
     if len(slots) >= tasks_wanted:
         return slots
     victims = _preemptible_placements(cluster_state, run, machine, now, cpu_only)
-    # Where the image is at hand the job starts sooner by the time of a fetch, which is often the longest wait.
+    # On a machine without the image the job starts later by the fetch time, which is often the longest wait.
     fetch_s = (
         0.0
         if machine.has_image(spec.image)
@@ -295,7 +297,7 @@
         slot_victims.append(victim)
         free_capacity.release(victim)
         if free_capacity.task_capacity(spec) > len(slots):
-            # Only as many slots as tasks that fit: each names those that must go for it.
+            # One more task fits: its slot lists the victims that must stop for it.
             slots.append(Slot(fetch_s + sum(_lost_work_s(p, now) for p in slot_victims), machine, slot_victims))
             slot_victims = []
             if len(slots) >= tasks_wanted:
@@ -319,7 +321,7 @@
 
 
 def _lost_work_s(placement: Placement, now: datetime) -> float:
-    """Seconds of work that stopping the task throws away; with checkpoints, the time to save one."""
+    """Seconds of work that are lost by stopping the task; with checkpoints, the time to save one."""
     spec = placement.run.spec
     if placement.running_since is None:
         return 0.0
--- a/roseweir/scheduler/queue_order.py
+++ b/roseweir/scheduler/queue_order.py
@@ -1,6 +1,6 @@
 """The order in which a scheduling pass considers waiting jobs: by quota, priority and arrival.
 
-Starving jobs (`starvation.py`) and jobs short of slack before a deadline (`dependencies/slack.py`) are the exceptions.
+Exceptions: starving jobs (`starvation.py`), and jobs with little slack before a deadline (`dependencies/slack.py`).
 """
 
 from datetime import datetime
@@ -25,7 +25,7 @@
 def _order_by_deadline_slack(cluster_state: ClusterState, waiting_runs: list[JobRun]) -> list[JobRun]:
     """Among one team's jobs of equal rank, those that may miss a delivery deadline go first, least slack first.
 
-    They change places with jobs of their own team alone: no other team's place in the queue moves.
+    Only positions of the same team's jobs are exchanged, so the positions of other teams' jobs do not change.
     """
     positions_by_group: dict[tuple[object, ...], list[int]] = {}
     for position, run in enumerate(waiting_runs):
@@ -48,7 +48,7 @@
 def _queue_rank(run: JobRun) -> tuple[object, ...]:
     """The sort key of a job: lower comes first.
 
-    A crash-looping job comes last. It fails wherever it is put, so it may try again where no other job waits for room.
+    A crash-looping job comes last: it probably fails on every machine, so it gets only room that no other job needs.
     """
     is_prioritized = run.is_within_quota or run.starvation_level > NOT_STARVING
     return (
--- a/roseweir/scheduler/quota.py
+++ b/roseweir/scheduler/quota.py
@@ -7,14 +7,15 @@
 
 # Guaranteed CPUs and GPUs are sums of floats: a difference below this is none.
 QUOTA_TOLERANCE = 1e-9
-# Stands for "no limit" where a number of tasks is wanted.
+# The number of tasks that is returned if there is no limit.
 UNLIMITED_TASKS = 1 << 30
 
 
 def mark_within_quota(cluster_state: ClusterState) -> None:
     """Mark each job that fits its team's guarantee together with the team's earlier unfinished jobs.
 
-    Sets `JobRun.is_within_quota`. Does nothing unless jobs have come or gone since (`needs_quota_update`).
+    Sets `JobRun.is_within_quota`. Does nothing unless jobs were added or removed since the last call
+    (`needs_quota_update`).
     """
     if not cluster_state.needs_quota_update:
         return
@@ -28,7 +29,7 @@
             continue
         counted_tasks = spec.task_count
         if not spec.is_admitted_as_unit:
-            # Of an array, only as many tasks count as the team's limit allows at once.
+            # Of an array, only as many tasks count as the team's limit allows at the same time.
             counted_tasks = min(counted_tasks, max_concurrent_tasks(cluster_state, spec))
         team_usage = usage_by_team.setdefault(spec.team, TeamUsage())
         if spec.gpus > 0 or team.guaranteed_cpus > 0:
@@ -56,9 +57,9 @@
 
 
 def tasks_within_quota(cluster_state: ClusterState, spec: JobSpec, gang_claim: TeamUsage) -> int:
-    """How many more tasks the team's limit allows; whatever may still be somewhere counts.
+    """How many more tasks the team's limit allows, counting all that may still run; 0 for an unknown team.
 
-    `gang_claim`: what earlier gangs of the team wait for. 0 for an unknown team.
+    `gang_claim`: CPUs and GPUs that are set aside for earlier gangs of the team.
     """
     team = cluster_state.teams.get(spec.team)
     if team is None:
@@ -75,5 +76,5 @@
 
 
 def limit_source(spec: JobSpec) -> str:
-    """The source that startup limits count bans against: a team's jobs with the same image."""
+    """The source that startup limits ban: a team's jobs with the same image."""
     return f"{spec.team}:{spec.image}"
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -1,4 +1,4 @@
-"""Room that a job must leave to others: CPUs beside GPUs, headroom for urgent work, machines kept for one job."""
+"""Capacity that a job must leave to others: CPUs for GPUs, headroom for urgent jobs, machines reserved for one job."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -13,41 +13,48 @@
 
 @dataclass(slots=True)
 class CapacityReservations:
-    """What a job has to leave free on machines: CPUs for each GPU, and the headroom. Set anew for each job."""
+    """What the current job must leave free on machines: CPUs for each GPU, and the headroom.
+
+    The flags are set again for each job of a pass.
+    """
 
     cpus_per_gpu: dict[str, float]
     headroom_by_machine: dict[str, ReservedRoom] | None = None  # None: not reserved yet in this pass
-    must_leave_headroom: bool = False  # the job at hand leaves the headroom alone
-    waives_gpu_reserve: bool = False  # an urgent job that has waited, of higher priority than all GPU work
+    must_leave_headroom: bool = False  # the current job must not use the headroom
+    waives_gpu_reserve: bool = False  # an urgent job that has waited, of higher priority than all GPU jobs
 
     @property
     def access_level(self) -> int:
-        """Which reserved room the job may use: what is full for jobs of one level may have room for another."""
+        """Which reserved capacity the job may use: 0 the headroom, 1 none, 2 the headroom and the CPUs kept for GPUs.
+
+        A machine that is full for jobs of one level may have room for jobs of another.
+        """
         return 2 if self.waives_gpu_reserve else int(self.must_leave_headroom)
 
     def task_capacity(self, machine: Machine, spec: JobSpec) -> int:
         """How many tasks of the job fit on the machine now, beside what it must leave free."""
-        reserve = 0.0 if self.waives_gpu_reserve else self.cpus_per_gpu.get(machine.name, 0.0)
+        cpus_per_gpu = 0.0 if self.waives_gpu_reserve else self.cpus_per_gpu.get(machine.name, 0.0)
         headroom = (
             self.headroom_by_machine.get(machine.name)
             if self.must_leave_headroom and self.headroom_by_machine is not None
             else None
         )
         return (
-            machine.count_fitting_tasks(spec, reserve)
+            machine.count_fitting_tasks(spec, cpus_per_gpu)
             if headroom is None
-            else machine.count_fitting_tasks(spec, reserve, headroom)
+            else machine.count_fitting_tasks(spec, cpus_per_gpu, headroom)
         )
 
 
 def reserved_cpus_per_gpu(cluster_state: ClusterState, machines: list[Machine], now: datetime) -> dict[str, float]:
-    """CPUs for each GPU that CPU-only work has to leave free, by machine.
-
-    While CPU-only work may overflow onto GPU machines, only enough free GPUs for the next GPU jobs to start at once are
-    kept clear; on the other machines, jobs within a guarantee take the room back when they come. Waiting GPU jobs keep
-    the CPUs of as many GPUs clear as they wait for, free or not: CPU-only work that takes a GPU's CPUs leaves the GPU
-    idle, and the GPU's next task waits for it too. At most 48 of 160 GPUs were in use while GPU jobs waited for CPUs
-    that replicas without GPUs held (simulated cluster of model services, `--crowded`).
+    """CPUs for each GPU that CPU-only tasks must leave free, by machine name.
+
+    While CPU-only tasks may overflow onto GPU machines, CPUs are reserved only for enough free GPUs that the next GPU
+    jobs can start at once; on the other machines, jobs within a guarantee regain the room by preemption. If a placement
+    policy is active, CPUs are also reserved for as many GPUs as GPU jobs wait for, whether these GPUs are free or not:
+    a CPU-only task on a GPU's CPUs leaves the GPU idle, and the GPU's next task waits for it to end. Without that, at
+    most 48 of 160 GPUs were in use while GPU jobs waited for CPUs that replicas without GPUs held (simulated cluster of
+    model services, `--crowded`).
     """
     gpu_machines = [m for m in machines if m.machine_type.gpus > 0]
     if now >= cluster_state.overflow_until:
@@ -72,7 +79,7 @@
 
 
 def _pending_gpus(cluster_state: ClusterState) -> float:
-    """GPUs of tasks that wait for room, and not for their team's limit."""
+    """GPUs of pending tasks that wait for room rather than for their team's limit."""
     pending_gpus = 0.0
     for run in cluster_state.jobs.values():
         spec = run.spec
@@ -82,19 +89,19 @@
 
 
 def is_reserved_for_other_job(cluster_state: ClusterState, machine: Machine, spec: JobSpec, now: datetime) -> bool:
-    """Whether the machine is kept for other jobs: room made for one must not go to another as parts of it come free.
+    """Whether the machine is reserved for other jobs: room made for one must not go to another as parts become free.
 
-    It did: a gang's two victims left one after the other, the first one's place was filled again, and
-    the new task became the next victim.
+    Otherwise, when a gang's two victims end one after the other, a new task takes the room of the first and becomes
+    the next victim.
     """
     reserved_job_ids = cluster_state.reserved_machines.get(machine.name)
     if reserved_job_ids is not None and spec.id not in reserved_job_ids:
         return True
-    return reserved_for_job(cluster_state, machine, now) not in ("", spec.id)
+    return reserving_job_id(cluster_state, machine, now) not in ("", spec.id)
 
 
-def reserved_for_job(cluster_state: ClusterState, machine: Machine, now: datetime) -> str:
-    """Id of the job that room is being made for on the machine; "" if none waits or the reservation has expired."""
+def reserving_job_id(cluster_state: ClusterState, machine: Machine, now: datetime) -> str:
+    """Id of the job that room is being made for on the machine; "" if it no longer waits or its reservation expired."""
     run = cluster_state.jobs.get(machine.reserved_for_job)
     if run is None or run.pending_count <= 0 or now >= machine.reserved_until:
         machine.reserved_for_job = ""
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -1,8 +1,9 @@
 """One scheduling pass: which waiting tasks start on which machines now, and which found no room.
 
-Jobs are considered in the order of `queue_order.py`. For each: its team's quota (`quota.py`), the startup limits, what
-it must leave to others (`reservations.py`), its placement (`task_placement.py`, `gang_placement.py`), and, where room
-is missing, reservations and preemption (`preemption.py`). No I/O; a pass changes the cluster state and nothing else.
+Jobs are considered in the order of `queue_order.py`. Each job goes through its team's limit (`quota.py`), the startup
+limits, the capacity that it must leave to others (`reservations.py`), placement (`task_placement.py`,
+`gang_placement.py`) and, if room is missing, reservations and preemption (`preemption.py`). No I/O; a pass changes the
+cluster state and nothing else.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +17,7 @@
 from roseweir.scheduler.gang_placement import place_gang
 from roseweir.scheduler.machine_eligibility import schedulable_machines
 from roseweir.scheduler.model import JobRun, Machine
-from roseweir.scheduler.preemption import forget_old_failures, preempt_for_urgent_job, reserve_or_preempt
+from roseweir.scheduler.preemption import expire_failed_preemptions, preempt_for_urgent_job, reserve_or_preempt
 from roseweir.scheduler.queue_order import build_queue
 from roseweir.scheduler.quota import limit_source, mark_within_quota, tasks_within_quota
 from roseweir.scheduler.reservations import CapacityReservations, reserved_cpus_per_gpu
@@ -31,37 +32,38 @@
 
 @dataclass(slots=True)
 class SchedulingPassResult:
-    """What a pass did, and what it leaves to scaling out: tasks that found no room, in the order of the queue."""
+    """How many tasks a pass placed, and which found no room and are left to scale-out, in queue order."""
 
     placed_count: int = 0
     unplaced: list[UnplacedTasks] = field(default_factory=list)
 
 
-# What decides whether a task finds room: CPUs, GPUs, GB, zone, spot, machine types and access level. Where one job
-# finds no machine, no other of the same shape does. A bare tuple, since one is made for each job of each pass.
+# What decides whether a task finds room: CPUs, GPUs, GB of memory, zone, spot, machine types and access level. If no
+# machine has room for one job, none has for another of the same shape. A bare tuple, since one is made for each job of
+# each pass.
 _DemandShape = tuple[float, float, float, str | None, bool, tuple[str, ...], int]
 
 
 @dataclass(slots=True)
 class _SchedulingPass:
-    """The state of one pass, and its steps for one job after the other."""
+    """The state of one pass, and the steps that it takes for each job in turn."""
 
     cluster_state: ClusterState
     now: datetime
     schedulable: list[Machine]
     snapshot: CapacitySnapshot
     reservations: CapacityReservations
-    # With room for the smallest waiting task: for CPU-only tasks (False), and for those with GPUs (True).
+    # Machines with room for the smallest waiting task, indexed by whether the task needs GPUs.
     machines_with_room: tuple[list[Machine], list[Machine]]
-    # From when on a machine is kept for a job that waits, by the machine's name.
+    # From when on a machine is reserved for a waiting job, by machine name.
     reserved_from: dict[str, datetime] = field(default_factory=dict)
-    # What gangs that have not begun claim of their team's limit.
+    # CPUs and GPUs of the team's limit that are set aside for gangs that have not started, by team.
     gang_claims: dict[str, TeamUsage] = field(default_factory=dict)
-    full_shapes: set[_DemandShape] = field(default_factory=set)
+    shapes_without_room: set[_DemandShape] = field(default_factory=set)
     result: SchedulingPassResult = field(default_factory=SchedulingPassResult)
 
     def schedule_job(self, run: JobRun) -> None:
-        """Start what may start of the job, and reserve or preempt for the rest."""
+        """Place as many of the job's pending tasks as possible, and reserve or preempt for the rest."""
         cluster_state, now, spec = self.cluster_state, self.now, run.spec
         is_gang = spec.job_type == GANG
         pending_tasks = run.pending_count
@@ -78,7 +80,7 @@
             return
         self._prepare_reservations(run)
         demand_shape = self._demand_shape(spec)
-        if demand_shape in self.full_shapes and not run.failed_machines:
+        if demand_shape in self.shapes_without_room and not run.failed_machines:
             self.result.unplaced.append((run, tasks_in_quota))
             return
         candidates = self._candidates(run, avoided_limits)
@@ -89,36 +91,36 @@
         self.result.placed_count += placed_count
         if placed_count:
             self._record_placed(run, placed_count, claims_quota)
-        # For a crash-looping job no room is made or kept, and no machine is rented.
+        # A crash-looping job gets no reservation, no preemption and no new machine.
         if placed_count < tasks_in_quota and not run.is_crash_looping:
             self.result.unplaced.append((run, tasks_in_quota - placed_count))
             if not candidates and not avoided_limits:
-                self.full_shapes.add(demand_shape)
+                self.shapes_without_room.add(demand_shape)
             if placed_count < startable_tasks:
                 self._make_room(run, startable_tasks - placed_count)
 
     def finish(self) -> None:
-        """Reserve the headroom if no job had to leave it: workers' heartbeats are answered by it after the pass."""
+        """Reserve the headroom if no job of the pass caused that: the answers to heartbeats depend on it."""
         if self.reservations.headroom_by_machine is None:
             self.cluster_state.headroom.reserve(self.schedulable, self.cluster_state.low_latency_images)
 
     def _claim_quota(self, spec: JobSpec, pending_tasks: int, claims_quota: bool) -> int:
-        """How many of the pending tasks the team's limit allows; sets a gang's part of the limit aside for it."""
+        """Return how many pending tasks the team's limit allows; with `claims_quota`, set all their demand aside."""
         gang_claim = self.gang_claims.setdefault(spec.team, TeamUsage())
         tasks_in_quota = min(pending_tasks, tasks_within_quota(self.cluster_state, spec, gang_claim))
         if claims_quota:
-            # A gang takes its part of the team's limit whole. Later jobs of the team leave it that part:
-            # arrays took what came free one task at a time, and a gang within the guarantee never began.
+            # A gang needs its share of the team's limit at once, so later jobs of the team must not use it. Otherwise
+            # arrays take freed capacity one task at a time, and a gang within the guarantee never starts.
             gang_claim.cpus += spec.cpus * pending_tasks
             gang_claim.gpus += spec.gpus * pending_tasks
         return tasks_in_quota
 
     def _prepare_reservations(self, run: JobRun) -> None:
-        """Set what the job has to leave free."""
+        """Set which reserved capacity the job must leave free."""
         cluster_state, reservations = self.cluster_state, self.reservations
         must_leave_headroom = cluster_state.headroom.must_leave_headroom(run)
         if must_leave_headroom and reservations.headroom_by_machine is None:
-            # Jobs that come before have what they could have; of what is free now, the headroom is kept.
+            # Earlier jobs in the queue have been placed; the headroom is taken from what is still free.
             reservations.headroom_by_machine = cluster_state.headroom.reserve(
                 self.schedulable, cluster_state.low_latency_images
             )
@@ -145,12 +147,12 @@
         return candidate_machines(self.snapshot, run, machines, self.reserved_from, avoided_limits, self.reservations)
 
     def _record_placed(self, run: JobRun, placed_count: int, claims_quota: bool) -> None:
-        """The job no longer waits; what was claimed for it is in use, and a starving job is protected for a while."""
+        """Reset the job's wait, release its claim on the team's limit, and protect a starving job from preemption."""
         run.first_waited_at = NEVER
         if run.starvation_level > NOT_STARVING:
             run.preemption_exempt_until = self.now + PREEMPTION_PROTECTION_DURATION
         if claims_quota:
-            # Replacements claim nothing: giving back for them let an array go over the team's limit.
+            # Replacements in a gang claim nothing: releasing a claim for them would let arrays exceed the team's limit.
             gang_claim = self.gang_claims[run.spec.team]
             gang_claim.cpus -= run.spec.cpus * placed_count
             gang_claim.gpus -= run.spec.gpus * placed_count
@@ -163,10 +165,10 @@
 
 
 def run_scheduling_pass(cluster_state: ClusterState, now: datetime) -> SchedulingPassResult:
-    """Plan starts for waiting tasks, and stops of others where room is missing, in `cluster_state`.
+    """Plan starts of waiting tasks in `cluster_state`, and stops of other tasks if room is missing.
 
     Args:
-        cluster_state: what the leader knows of machines, jobs and tasks; changed in place.
+        cluster_state: the leader's state of machines, jobs and tasks; changed in place.
         now: the current instant of the leader's monotonic clock.
 
     Returns:
@@ -184,7 +186,7 @@
     cluster_state.min_waiting_cpus = min((run.spec.cpus for run in queued_runs if run.spec.gpus <= 0), default=inf)
     cluster_state.min_waiting_gpus = min((run.spec.gpus for run in queued_runs if run.spec.gpus > 0), default=inf)
     machines_with_room = _machines_with_minimum_room(cluster_state, schedulable)
-    forget_old_failures(cluster_state, now)
+    expire_failed_preemptions(cluster_state, now)
     scheduling_pass = _SchedulingPass(cluster_state, now, schedulable, snapshot, reservations, machines_with_room)
     for run in queued_runs:
         scheduling_pass.schedule_job(run)
@@ -195,9 +197,9 @@
 def _machines_with_minimum_room(
     cluster_state: ClusterState, machines: list[Machine]
 ) -> tuple[list[Machine], list[Machine]]:
-    """Machines with room for the least that any waiting task takes: for CPU-only tasks, and for those with GPUs.
+    """Return the machines with room for the smallest waiting CPU-only task, and for the smallest with GPUs.
 
-    Most of a busy fleet is full, and hundreds of small jobs would each look at all of it again.
+    Most machines of a busy fleet are full; without this filter each of hundreds of small jobs would scan all of them.
     """
     min_cpus = cluster_state.min_waiting_cpus - CAPACITY_TOLERANCE
     min_gpus = cluster_state.min_waiting_gpus - CAPACITY_TOLERANCE
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -1,4 +1,4 @@
-"""Where single tasks go: the machines with room for a job, ranked, and the starts on them."""
+"""Placement of single tasks: ranks the machines with room for a job, and plans starts on them."""
 
 from datetime import datetime
 
@@ -24,11 +24,11 @@
     """Machines with room for a task of the job, the best first.
 
     Args:
-        snapshot: free capacity in this pass; told if no machine has room.
+        snapshot: free capacity in this pass; records it if no machine has room.
         run: the job.
-        machines: those to consider.
-        reserved_from: from when on a machine is kept for an earlier job, by the machine's name.
-        avoided_limits: startup limits that are exhausted: machines that they match are left out.
+        machines: the machines to consider.
+        reserved_from: from when on a machine is reserved for an earlier job, by machine name.
+        avoided_limits: exhausted startup limits; machines that they match are left out.
         reservations: what the job must leave free.
     """
     cluster_state, now, spec = snapshot.cluster_state, snapshot.now, run.spec
@@ -36,7 +36,7 @@
     min_gpus = spec.gpus - CAPACITY_TOLERANCE
     min_memory_gb = spec.memory_gb - CAPACITY_TOLERANCE
     scored_machines: list[tuple[float, float, float, float, float, int, Machine]] = []
-    # Work that should end before a machine is needed for an earlier job may use it until then.
+    # A task that is expected to end before an earlier job needs the machine may run on it until then.
     expected_end = (
         now + cluster_state.estimate_runtime(spec)
         if spec.job_type == ARRAY and spec.estimated_duration_s > 0
@@ -65,7 +65,11 @@
 def _placement_score(
     snapshot: CapacitySnapshot, spec: JobSpec, machine: Machine
 ) -> tuple[float, float, float, float, float]:
-    """Lower is better: no GPUs wasted, nor room that others need more; the image at hand; the tightest fit."""
+    """The sort key of a machine; lower is better.
+
+    Prefers machines whose GPUs are not wasted, that hold nothing other jobs depend on, that have the image, and that
+    have the least room left.
+    """
     if spec.image in machine.image_cache or not spec.image:
         image_cost = 0.0
     elif machine.has_image(spec.image):
@@ -73,16 +77,17 @@
     else:
         image_cost = 1.0
     wastes_gpus = float(spec.gpus <= 0 < machine.machine_type.gpus)
-    # Work that may run on spot GPUs leaves the others to work that may not, and costs less there.
+    # Jobs that allow spot GPUs use them first: they cost less, and the others stay free for jobs that need them.
     uses_non_spot = float(spec.gpus > 0 and spec.allows_spot and not machine.is_spot)
-    # A class that must start soon has no time to fetch: machines that hold its images are taken last.
+    # Low-latency classes have no time for an image fetch: other jobs use the machines that hold their images last.
     urgent_image_penalty = (
         0.0 if spec.image in snapshot.cluster_state.low_latency_images else snapshot.urgent_image_penalty(machine)
     )
     capacity_left = machine.free_gpus if spec.gpus > 0 else machine.free_cpus / machine.machine_type.cpus
     policy = snapshot.cluster_state.active_chooser
     if policy is not None and spec.gpus > 0:
-        # Fragmented GPUs stay so for longer than an image fetch takes. Among equals, long tasks go beside long ones.
+        # Fragmentation ranks before the image: GPUs stay fragmented for longer than a fetch takes. Among machines that
+        # are equal otherwise, long tasks are placed beside long ones.
         fragmentation_cost = policy.fragmentation_cost(machine, spec)
         return (
             uses_non_spot,
@@ -92,7 +97,7 @@
             capacity_left + policy.lifetime_mismatch(machine, spec) * 0.5,
         )
     if snapshot.cluster_state.headroom.is_urgent(spec):
-        # An image fetch takes longer than the job may wait to start.
+        # The image ranks first: a fetch takes longer than the job may wait to start.
         return (image_cost, wastes_gpus, uses_non_spot, urgent_image_penalty, capacity_left)
     return (wastes_gpus, uses_non_spot, urgent_image_penalty, image_cost, capacity_left)
 
@@ -130,7 +135,7 @@
         )
         if tasks_here <= 0:
             continue
-        # A blocked start is skipped, not held: another machine, or the next pass, may do.
+        # A blocked start is skipped: another machine, or the next pass, may allow it.
         if not cluster_state.limits.try_start([TaskStart(spec, machine, tasks_here)], limit_source(spec), now):
             if tasks_here == 1 or not cluster_state.limits.try_start(
                 [TaskStart(spec, machine, 1)], limit_source(spec), now
@@ -154,5 +159,5 @@
 
 
 def is_fetch_reserved(cluster_state: ClusterState, run: JobRun, machine: Machine) -> bool:
-    """Whether an image fetch there would take startup tokens that are left to a starving job."""
+    """Whether an image fetch of the job in the machine's zone would use tokens reserved for a starving job."""
     return run.starvation_level == NOT_STARVING and machine.zone in cluster_state.fetch_reserved_zones
