--- a/roseweir/limits/bucket.py
+++ b/roseweir/limits/bucket.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Holds between -burst and capacity tokens; capacity tokens come in each window.
+    """Holds between -burst and capacity tokens; `capacity` tokens are added in each window.
 
     A draw of cost c passes if tokens + burst >= min(c, draw_cap), and that much is debited.
     A draw cap of 0 means none.
@@ -30,16 +30,16 @@
         return cls(capacity, window, burst, draw_cap, capacity, now)
 
     def resize(self, capacity: float, now: datetime) -> None:
-        """Change the capacity, and so the rate; debt or savings stay, within the new bounds."""
+        """Change the capacity, and so the refill rate; the tokens stay, within the new bounds."""
         self.refill(now)
-        # New capacity comes full, like a new bucket's.
+        # Added capacity starts full, as in a new bucket.
         if capacity > self.capacity:
             self.tokens += capacity - self.capacity
         self.capacity = capacity
         self.tokens = self._clamp(self.tokens)
 
     def refill(self, now: datetime) -> None:
-        """Add the tokens that have come in since the last refill."""
+        """Add the tokens that have accrued since the last refill."""
         if now > self.refilled_at:
             self.tokens = self._clamp(self.tokens + self.capacity * ((now - self.refilled_at) / self.window))
             self.refilled_at = now
@@ -55,7 +55,7 @@
         self.tokens = self._clamp(self.tokens - self._capped_draw(cost))
 
     def capacity_in(self, horizon: timedelta, now: datetime) -> float:
-        """What the bucket can pay within the horizon, its debt allowance included."""
+        """The total cost that the bucket can pay within the horizon, including its burst."""
         self.refill(now)
         available = self.tokens + self.capacity * (horizon / self.window)
         return min(max(available, -self.burst), self.capacity) + self.burst
--- a/roseweir/limits/limit.py
+++ b/roseweir/limits/limit.py
@@ -42,8 +42,8 @@
 class StartupLimit:
     """A token bucket with an expiry, and the rule for the jobs and machines that it limits.
 
-    `matches(job, None)` is about the job alone: False means that no machine can match.
-    A rule with `is_job_only` never looks at the machine.
+    `matches(job, None)` checks the job alone: False means that no machine can match.
+    With `is_job_only`, the rule ignores the machine.
     """
 
     tag: str
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -1,4 +1,4 @@
-"""The startup limits of the service itself (image fetches, restarts), and the operators' own class limits."""
+"""The built-in startup limits (image fetches, restarts), and the class limits that operators configure."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -18,7 +18,7 @@
 def renew_fetch_limits(
     limits: StartupLimits, machines: Iterable[tuple[str, MachineType]], limit_settings: LimitSettings, now: datetime
 ) -> None:
-    """Limit uncached image fetches in each zone: cost in GB, rate by what the zone's machines can pull."""
+    """Limit uncached image fetches in each zone: cost in GB, refill rate by what the zone's machines can pull."""
     rates: dict[str, float] = {}
     for zone, machine_type in machines:
         rates[zone] = rates.get(zone, 0.0) + machine_type.fetch_gb_per_s
@@ -61,9 +61,9 @@
 
 
 def renew_restart_limit(limits: StartupLimits, job_id: str, limit_settings: LimitSettings, now: datetime) -> None:
-    """Limit a job that failed repeatedly to one restarted task a window, or one restart of its whole gang.
+    """Limit a job that failed repeatedly to one restarted task per window, or one restart of its whole gang.
 
-    Each task of a gang costs its part of one token, so the restart of all of them costs one.
+    A task of a gang costs one token divided by the number of tasks, so a restart of the whole gang costs one.
     """
     limits.install_or_renew(
         StartupLimit(
@@ -80,7 +80,7 @@
 
 
 def renew_class_limits(limits: StartupLimits, limit_settings: LimitSettings, now: datetime) -> None:
-    """Install the operators' own limits, or renew them."""
+    """Install the class limits that operators configured, or renew them."""
     for class_limit in limit_settings.class_limits:
         limits.install_or_renew(
             StartupLimit(
--- a/roseweir/limits/settings.py
+++ b/roseweir/limits/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(startup-limits ...)`."""
+"""Settings of startup limits, read from the operators' form `(startup-limits ...)`."""
 
 from datetime import timedelta
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class ClassLimit(msgspec.Struct):
-    """An operator's own startup limit: which jobs on which machines, and `count` starts each `window`."""
+    """A startup limit that an operator configured: which jobs on which machines, and `count` starts per `window`."""
 
     name: str
     count: float
@@ -32,7 +32,7 @@
     fetch_window: timedelta = timedelta(seconds=30)
     fetch_burst_gb: float = 40.0
     fetch_draw_cap_gb: float = 20.0
-    # Restarts of a job that failed `failure_count` times: one each window.
+    # Restarts of a job that failed `failure_count` times: one per window.
     failure_count: int = 6
     restart_window: timedelta = timedelta(seconds=30)
     lease: timedelta = timedelta(minutes=2)
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -1,6 +1,6 @@
 """The startup limits in force, what they block, and by how much the requests of a blocked source shrink.
 
-Pure: the current time is always an argument, nothing here waits or sends.
+No I/O; the current time is always an argument.
 """
 
 import logging
@@ -45,7 +45,7 @@
         return existing
 
     def remove_expired(self, now: datetime) -> None:
-        """Drop the limits that nobody renewed: starts are then unlimited again."""
+        """Remove limits that were not renewed in time; the starts that they limited are unlimited again."""
         for tag in [tag for tag, limit in self.by_tag.items() if limit.expires_at <= now]:
             log.info("limit expired: tag=%s", tag)
             del self.by_tag[tag]
@@ -54,7 +54,7 @@
     def try_start(self, starts: list[TaskStart], source: str, now: datetime) -> bool:
         """Whether all these starts may go ahead; if so, each matching limit is debited by the sum of their costs.
 
-        All limits are checked before any is debited. `source` names who is blocked if one cannot pay.
+        All limits are checked before any is debited. If one cannot pay, `source` is recorded as blocked by it.
         """
         draws: list[tuple[StartupLimit, float]] = []
         is_blocked = False
