--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -31,7 +31,7 @@
 from roseweir.scheduler.lifecycle_events import DowntimeCause
 from roseweir.scheduler.machine_eligibility import schedulable_machines
 from roseweir.scheduler.model import JobRun, Machine, Placement
-from roseweir.scheduler.quota import tasks_within_quota
+from roseweir.scheduler.quota import tasks_within_team_limit
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult
 from roseweir.scheduler.starvation import waiting_time
 from roseweir.submissions.jobs import JobSpec
@@ -160,7 +160,7 @@
         waiting = [
             run
             for run in waiting
-            if tasks_within_quota(cluster_state, run.spec, TeamUsage())
+            if tasks_within_team_limit(cluster_state, run.spec, TeamUsage())
             >= (run.pending_count if run.spec.is_admitted_as_unit else 1)
         ]
         waiting.sort(
--- a/roseweir/scheduler/job_explanation.py
+++ b/roseweir/scheduler/job_explanation.py
@@ -8,7 +8,7 @@
 from roseweir.scheduler.capacity_snapshot import CAPACITY_TOLERANCE, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.model import JobRun, PlacementPhase
-from roseweir.scheduler.quota import limit_source, tasks_within_quota
+from roseweir.scheduler.quota import limit_source, tasks_within_team_limit
 
 
 def explain_job(cluster_state: ClusterState, job_id: str, now: datetime) -> dict[str, Any] | None:
@@ -43,7 +43,9 @@
         return None
     if spec.team not in cluster_state.teams:
         return f"its team, {spec.team}, to be in the settings again"
-    if tasks_within_quota(cluster_state, spec, TeamUsage()) < (run.pending_count if spec.is_admitted_as_unit else 1):
+    if tasks_within_team_limit(cluster_state, spec, TeamUsage()) < (
+        run.pending_count if spec.is_admitted_as_unit else 1
+    ):
         return "its team's limit"
     startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
         spec, limit_source(spec), run.pending_count, now
--- a/roseweir/scheduler/quota.py
+++ b/roseweir/scheduler/quota.py
@@ -56,7 +56,7 @@
     return int((limit + CAPACITY_TOLERANCE) / demand) if limit > 0 and demand > 0 else UNLIMITED_TASKS
 
 
-def tasks_within_quota(cluster_state: ClusterState, spec: JobSpec, gang_claim: TeamUsage) -> int:
+def tasks_within_team_limit(cluster_state: ClusterState, spec: JobSpec, gang_claim: TeamUsage) -> int:
     """How many more tasks the team's limit allows, counting all that may still run; 0 for an unknown team.
 
     `gang_claim`: CPUs and GPUs that are set aside for earlier gangs of the team.
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -7,7 +7,7 @@
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.headroom import ReservedRoom
 from roseweir.scheduler.model import Machine
-from roseweir.scheduler.quota import tasks_within_quota
+from roseweir.scheduler.quota import tasks_within_team_limit
 from roseweir.submissions.jobs import JobSpec
 
 
@@ -84,7 +84,9 @@
     for run in cluster_state.jobs.values():
         spec = run.spec
         if spec.gpus > 0 and not run.final_state and not run.is_crash_looping and run.pending_count > 0:
-            pending_gpus += spec.gpus * min(run.pending_count, tasks_within_quota(cluster_state, spec, TeamUsage()))
+            pending_gpus += spec.gpus * min(
+                run.pending_count, tasks_within_team_limit(cluster_state, spec, TeamUsage())
+            )
     return pending_gpus
 
 
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -19,7 +19,7 @@
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.scheduler.preemption import expire_failed_preemptions, preempt_for_urgent_job, reserve_or_preempt
 from roseweir.scheduler.queue_order import build_queue
-from roseweir.scheduler.quota import limit_source, mark_within_quota, tasks_within_quota
+from roseweir.scheduler.quota import limit_source, mark_within_quota, tasks_within_team_limit
 from roseweir.scheduler.reservations import CapacityReservations, reserved_cpus_per_gpu
 from roseweir.scheduler.starvation import NOT_STARVING, PREEMPTION_PROTECTION_DURATION
 from roseweir.scheduler.task_placement import candidate_machines, place_tasks
@@ -69,19 +69,19 @@
         pending_tasks = run.pending_count
         if run.first_waited_at == NEVER:
             run.first_waited_at = now
-        claims_quota = is_gang and not run.placements and not run.is_crash_looping
-        tasks_in_quota = self._claim_quota(spec, pending_tasks, claims_quota)
-        if is_gang and tasks_in_quota < pending_tasks:
+        claims_team_limit = is_gang and not run.placements and not run.is_crash_looping
+        tasks_within_limit = self._claim_team_limit(spec, pending_tasks, claims_team_limit)
+        if is_gang and tasks_within_limit < pending_tasks:
             return
         startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
-            spec, limit_source(spec), tasks_in_quota, now
+            spec, limit_source(spec), tasks_within_limit, now
         )
         if startable_tasks <= 0 or (is_gang and startable_tasks < pending_tasks and not run.placements):
             return
         self._prepare_reservations(run)
         demand_shape = self._demand_shape(spec)
         if demand_shape in self.shapes_without_room and not run.failed_machines:
-            self.result.unplaced.append((run, tasks_in_quota))
+            self.result.unplaced.append((run, tasks_within_limit))
             return
         candidates = self._candidates(run, avoided_limits)
         if is_gang:
@@ -90,10 +90,10 @@
             placed_count = place_tasks(cluster_state, run, startable_tasks, candidates, self.reservations, now)
         self.result.placed_count += placed_count
         if placed_count:
-            self._record_placed(run, placed_count, claims_quota)
+            self._record_placed(run, placed_count, claims_team_limit)
         # A crash-looping job gets no reservation, no preemption and no new machine.
-        if placed_count < tasks_in_quota and not run.is_crash_looping:
-            self.result.unplaced.append((run, tasks_in_quota - placed_count))
+        if placed_count < tasks_within_limit and not run.is_crash_looping:
+            self.result.unplaced.append((run, tasks_within_limit - placed_count))
             if not candidates and not avoided_limits:
                 self.shapes_without_room.add(demand_shape)
             if placed_count < startable_tasks:
@@ -104,16 +104,16 @@
         if self.reservations.headroom_by_machine is None:
             self.cluster_state.headroom.reserve(self.schedulable, self.cluster_state.low_latency_images)
 
-    def _claim_quota(self, spec: JobSpec, pending_tasks: int, claims_quota: bool) -> int:
-        """Return how many pending tasks the team's limit allows; with `claims_quota`, set all their demand aside."""
+    def _claim_team_limit(self, spec: JobSpec, pending_tasks: int, claims_team_limit: bool) -> int:
+        """Return how many pending tasks the team's limit allows. `claims_team_limit`: set all their demand aside."""
         gang_claim = self.gang_claims.setdefault(spec.team, TeamUsage())
-        tasks_in_quota = min(pending_tasks, tasks_within_quota(self.cluster_state, spec, gang_claim))
-        if claims_quota:
+        tasks_within_limit = min(pending_tasks, tasks_within_team_limit(self.cluster_state, spec, gang_claim))
+        if claims_team_limit:
             # A gang needs its share of the team's limit at once, so later jobs of the team must not use it. Otherwise
             # arrays take freed capacity one task at a time, and a gang within the guarantee never starts.
             gang_claim.cpus += spec.cpus * pending_tasks
             gang_claim.gpus += spec.gpus * pending_tasks
-        return tasks_in_quota
+        return tasks_within_limit
 
     def _prepare_reservations(self, run: JobRun) -> None:
         """Set which reserved capacity the job must leave free."""
@@ -146,12 +146,12 @@
         machines = self.machines_with_room[run.spec.gpus > 0]
         return candidate_machines(self.snapshot, run, machines, self.reserved_from, avoided_limits, self.reservations)
 
-    def _record_placed(self, run: JobRun, placed_count: int, claims_quota: bool) -> None:
+    def _record_placed(self, run: JobRun, placed_count: int, claims_team_limit: bool) -> None:
         """Reset the job's wait, release its claim on the team's limit, and protect a starving job from preemption."""
         run.first_waited_at = NEVER
         if run.starvation_level > NOT_STARVING:
             run.preemption_exempt_until = self.now + PREEMPTION_PROTECTION_DURATION
-        if claims_quota:
+        if claims_team_limit:
             # Replacements in a gang claim nothing: releasing a claim for them would let arrays exceed the team's limit.
             gang_claim = self.gang_claims[run.spec.team]
             gang_claim.cpus -= run.spec.cpus * placed_count
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -85,7 +85,7 @@
     from roseweir.scheduler import reservations, scheduling_pass
 
     for caller in (scheduling_pass, reservations):
-        patch.setattr(caller, "tasks_within_quota", lambda board, spec, claim: 1 << 30)
+        patch.setattr(caller, "tasks_within_team_limit", lambda board, spec, claim: 1 << 30)
 
 
 def no_zones(patch: pytest.MonkeyPatch) -> None:
