--- a/roseweir/scheduler/gang_placement.py
+++ b/roseweir/scheduler/gang_placement.py
@@ -6,7 +6,7 @@
 from roseweir.limits import TaskStart
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine
-from roseweir.scheduler.quota import limit_source
+from roseweir.scheduler.quota import startup_limit_source
 from roseweir.scheduler.reservations import CapacityReservations
 from roseweir.scheduler.starvation import NOT_STARVING
 from roseweir.scheduler.task_placement import is_fetch_reserved
@@ -80,7 +80,7 @@
     fetching_machines = [machine for machine, _ in assignments if not machine.has_image(spec.image)]
     if any(is_fetch_reserved(cluster_state, run, machine) for machine in fetching_machines):
         return False
-    if not cluster_state.limits.try_start(starts, limit_source(spec), now):
+    if not cluster_state.limits.try_start(starts, startup_limit_source(spec), now):
         if run.starvation_level > NOT_STARVING:
             cluster_state.fetch_reserved_zones.update(machine.zone for machine in fetching_machines)
         return False
--- a/roseweir/scheduler/job_explanation.py
+++ b/roseweir/scheduler/job_explanation.py
@@ -8,7 +8,7 @@
 from roseweir.scheduler.capacity_snapshot import CAPACITY_TOLERANCE, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState, TeamUsage
 from roseweir.scheduler.model import JobRun, PlacementPhase
-from roseweir.scheduler.quota import limit_source, tasks_within_team_limit
+from roseweir.scheduler.quota import startup_limit_source, tasks_within_team_limit
 
 
 def explain_job(cluster_state: ClusterState, job_id: str, now: datetime) -> dict[str, Any] | None:
@@ -48,7 +48,7 @@
     ):
         return "its team's limit"
     startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
-        spec, limit_source(spec), run.pending_count, now
+        spec, startup_limit_source(spec), run.pending_count, now
     )
     if startable_tasks < (run.pending_count if spec.is_admitted_as_unit else 1):
         return "a startup limit on its starts"
--- a/roseweir/scheduler/quota.py
+++ b/roseweir/scheduler/quota.py
@@ -75,6 +75,6 @@
     return max_tasks
 
 
-def limit_source(spec: JobSpec) -> str:
+def startup_limit_source(spec: JobSpec) -> str:
     """The source that startup limits ban: a team's jobs with the same image."""
     return f"{spec.team}:{spec.image}"
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -19,7 +19,7 @@
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.scheduler.preemption import expire_failed_preemptions, preempt_for_urgent_job, reserve_or_preempt
 from roseweir.scheduler.queue_order import build_queue
-from roseweir.scheduler.quota import limit_source, mark_within_quota, tasks_within_team_limit
+from roseweir.scheduler.quota import mark_within_quota, startup_limit_source, tasks_within_team_limit
 from roseweir.scheduler.reservations import CapacityReservations, reserved_cpus_per_gpu
 from roseweir.scheduler.starvation import NOT_STARVING, PREEMPTION_PROTECTION_DURATION
 from roseweir.scheduler.task_placement import candidate_machines, place_tasks
@@ -74,7 +74,7 @@
         if is_gang and tasks_within_limit < pending_tasks:
             return
         startable_tasks, avoided_limits = cluster_state.limits.adjust_request(
-            spec, limit_source(spec), tasks_within_limit, now
+            spec, startup_limit_source(spec), tasks_within_limit, now
         )
         if startable_tasks <= 0 or (is_gang and startable_tasks < pending_tasks and not run.placements):
             return
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -7,7 +7,7 @@
 from roseweir.scheduler.capacity_snapshot import CAPACITY_TOLERANCE, CapacitySnapshot, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine
-from roseweir.scheduler.quota import UNLIMITED_TASKS, limit_source
+from roseweir.scheduler.quota import UNLIMITED_TASKS, startup_limit_source
 from roseweir.scheduler.reservations import CapacityReservations, is_reserved_for_other_job
 from roseweir.scheduler.starvation import NOT_STARVING
 from roseweir.submissions.jobs import ARRAY, JobSpec
@@ -136,9 +136,9 @@
         if tasks_here <= 0:
             continue
         # A blocked start is skipped: another machine, or the next pass, may allow it.
-        if not cluster_state.limits.try_start([TaskStart(spec, machine, tasks_here)], limit_source(spec), now):
+        if not cluster_state.limits.try_start([TaskStart(spec, machine, tasks_here)], startup_limit_source(spec), now):
             if tasks_here == 1 or not cluster_state.limits.try_start(
-                [TaskStart(spec, machine, 1)], limit_source(spec), now
+                [TaskStart(spec, machine, 1)], startup_limit_source(spec), now
             ):
                 if not is_image_cached:
                     blocked_zones.add(machine.zone)
