--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -295,6 +295,6 @@
             limit = self.cluster_state.limits.by_tag.get(fetch_tag(zone))
             if limit is not None:
                 fetches_by_zone[zone] = max(
-                    1, int(limit.bucket.capacity_in(limit.bucket.window, now) / typical_size_gb)
+                    1, int(limit.bucket.payable_within(limit.bucket.window, now) / typical_size_gb)
                 )
         return fetches_by_zone
--- a/roseweir/limits/bucket.py
+++ b/roseweir/limits/bucket.py
@@ -54,7 +54,7 @@
         self.refill(now)
         self.tokens = self._clamp(self.tokens - self._capped_draw(cost))
 
-    def capacity_in(self, horizon: timedelta, now: datetime) -> float:
+    def payable_within(self, horizon: timedelta, now: datetime) -> float:
         """The total cost that the bucket can pay within the horizon, including its burst."""
         self.refill(now)
         available = self.tokens + self.capacity * (horizon / self.window)
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -85,7 +85,7 @@
         limits.install_or_renew(
             StartupLimit(
                 tag=f"class:{class_limit.name}",
-                matches=_class_rule(class_limit),
+                matches=_class_limit_rule(class_limit),
                 cost=_cost_per_task,
                 bucket=TokenBucket.full(
                     now, class_limit.count, class_limit.window, class_limit.burst, class_limit.draw_cap
@@ -100,7 +100,7 @@
     return float(start.task_count)
 
 
-def _class_rule(class_limit: ClassLimit) -> LimitRule:
+def _class_limit_rule(class_limit: ClassLimit) -> LimitRule:
     def matches(job: JobSpec, machine: MachineView | None) -> bool:
         if class_limit.job_class is not None and job.job_class != class_limit.job_class:
             return False
--- a/roseweir/limits/settings.py
+++ b/roseweir/limits/settings.py
@@ -56,7 +56,7 @@
     for entry in entries:
         name, args = read_form(entry)
         if name == "limit":
-            limit_settings.class_limits.append(_class_limit(args))
+            limit_settings.class_limits.append(_parse_class_limit(args))
         elif name in _DURATION_NAMES:
             setattr(limit_settings, name.replace("-", "_"), seconds(read_number(name, args, must_be_positive=True)))
         elif name in _NUMBER_NAMES:
@@ -72,7 +72,7 @@
             raise SettingsError(f"unknown name `{name}` in `startup-limits`")
 
 
-def _class_limit(entries: list[Any]) -> ClassLimit:
+def _parse_class_limit(entries: list[Any]) -> ClassLimit:
     fields: dict[str, Any] = {}
     for entry in entries:
         name, args = read_form(entry)
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -56,7 +56,7 @@
 
         All limits are checked before any is debited. If one cannot pay, `source` is recorded as blocked by it.
         """
-        draws: list[tuple[StartupLimit, float]] = []
+        debits: list[tuple[StartupLimit, float]] = []
         is_blocked = False
         for limit in self.by_tag.values():
             if limit.expires_at <= now:
@@ -66,13 +66,13 @@
                 continue
             cost = sum(max(0.0, limit.cost(s)) for s in matching)
             if limit.bucket.can_pay(cost, now):
-                draws.append((limit, cost))
+                debits.append((limit, cost))
             else:
                 is_blocked = True
                 self._record_blocked(limit, source, now)
         if is_blocked:
             return False
-        for limit, cost in draws:
+        for limit, cost in debits:
             limit.bucket.debit(cost, now)
         return True
 
@@ -104,8 +104,8 @@
             if limit.is_job_only:
                 cost_per_task = limit.cost(TaskStart(job, None, 1))
                 if cost_per_task > 0:
-                    payable = limit.bucket.capacity_in(self.lookahead, now)
-                    count = min(count, max(0, floor(payable / cost_per_task + TOKEN_TOLERANCE)))
+                    payable_cost = limit.bucket.payable_within(self.lookahead, now)
+                    count = min(count, max(0, floor(payable_cost / cost_per_task + TOKEN_TOLERANCE)))
             else:
                 excluded.append(limit)
         return count, excluded
