--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -19,10 +19,10 @@
     limits: StartupLimits, machines: Iterable[tuple[str, MachineType]], limit_settings: LimitSettings, now: datetime
 ) -> None:
     """Limit uncached image fetches in each zone: cost in GB, refill rate by what the zone's machines can pull."""
-    rates: dict[str, float] = {}
+    rate_by_zone: dict[str, float] = {}
     for zone, machine_type in machines:
-        rates[zone] = rates.get(zone, 0.0) + machine_type.fetch_gb_per_s
-    for zone, rate in rates.items():
+        rate_by_zone[zone] = rate_by_zone.get(zone, 0.0) + machine_type.fetch_gb_per_s
+    for zone, rate in rate_by_zone.items():
         capacity = rate * limit_settings.fetch_share * limit_settings.fetch_window.total_seconds()
         limit = limits.install_or_renew(
             StartupLimit(
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -96,7 +96,7 @@
 
         Returns how many tasks may be placed, and the limits whose machines are to be left out.
         """
-        excluded: list[StartupLimit] = []
+        excluded_limits: list[StartupLimit] = []
         for limit in self.limits_blocking(source, now):
             # Checked against the job alone: if that does not match, no machine can.
             if not limit.matches(job, None):
@@ -107,8 +107,8 @@
                     payable_cost = limit.bucket.payable_within(self.lookahead, now)
                     count = min(count, max(0, floor(payable_cost / cost_per_task + TOKEN_TOLERANCE)))
             else:
-                excluded.append(limit)
-        return count, excluded
+                excluded_limits.append(limit)
+        return count, excluded_limits
 
     def log_blocked(self, now: datetime) -> None:
         """Log how many decisions were blocked since the last call, and forget sources whose ban is over."""
--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -121,13 +121,13 @@
         for machine in machines:
             machines_by_zone.setdefault(machine.zone, []).append(machine)
         for urgent_class in self.urgent_classes.values():
-            for zone in machines_by_zone.values():
-                self._reserve_in_zone(urgent_class, zone, urgent_images)
+            for zone_machines in machines_by_zone.values():
+                self._reserve_in_zone(urgent_class, zone_machines, urgent_images)
         return self.reserved_by_machine
 
     def _reserve_in_zone(self, urgent_class: UrgentClass, machines: list[Machine], urgent_images: set[str]) -> None:
         spec = urgent_class.latest_spec
-        fitting = [
+        fitting_machines = [
             m
             for m in machines
             if m.machine_type.gpus <= 0
@@ -138,20 +138,20 @@
         missing_tasks = min(
             urgent_class.max_tasks_per_zone * HEADROOM_JOBS_PER_ZONE, int(max_cpus / spec.cpus) if spec.cpus > 0 else 0
         )
-        ranked = [
+        ranked_machines = [
             (-sum(image in urgent_images for image in m.image_cache), n, m)
-            for n, m in enumerate(fitting)
+            for n, m in enumerate(fitting_machines)
             if m.free_cpus > 0
         ]
-        ranked.sort(key=lambda entry: entry[:2])
-        for _, _, machine in ranked:
+        ranked_machines.sort(key=lambda entry: entry[:2])
+        for _, _, machine in ranked_machines:
             if missing_tasks <= 0:
                 return
             cpus, memory_gb = self.reserved_by_machine.get(machine.name, NO_RESERVED_ROOM)
-            slots = max_fitting_tasks(spec, machine.free_cpus - cpus, 0.0, machine.free_memory - memory_gb)
-            slots = min(slots, missing_tasks)
-            if slots > 0:
+            reservable_tasks = max_fitting_tasks(spec, machine.free_cpus - cpus, 0.0, machine.free_memory - memory_gb)
+            reservable_tasks = min(reservable_tasks, missing_tasks)
+            if reservable_tasks > 0:
                 self.reserved_by_machine[machine.name] = ReservedRoom(
-                    cpus + spec.cpus * slots, memory_gb + spec.memory_gb * slots
+                    cpus + spec.cpus * reservable_tasks, memory_gb + spec.memory_gb * reservable_tasks
                 )
-                missing_tasks -= slots
+                missing_tasks -= reservable_tasks
--- a/roseweir/scheduler/placement_policy.py
+++ b/roseweir/scheduler/placement_policy.py
@@ -15,7 +15,7 @@
         """Prepare for a pass over these jobs, with these machines to start tasks on."""
 
     def fragmentation_cost(self, machine: Machine, spec: JobSpec) -> float:
-        """How much unfragmented capacity that other jobs need a task of the job would fragment on the machine."""
+        """The capacity, needed in one piece by other jobs, that a task of the job would fragment on the machine."""
 
     def lifetime_mismatch(self, machine: Machine, spec: JobSpec) -> float:
         """1.0 if a task that ends by itself would run beside tasks that do not, or vice versa; else 0.0."""
--- a/roseweir/scheduler/preemption.py
+++ b/roseweir/scheduler/preemption.py
@@ -85,8 +85,8 @@
     # After a search without victims, jobs with the same key do not search again within the interval, nor does a job
     # that tasks are being stopped for: on a busy fleet, these repeated searches took half of a pass's time.
     required_slots = run.pending_count if spec.job_type == GANG else 1
-    key = _preemption_key(run)
-    min_failed_slots, last_attempt_at = cluster_state.failed_preemptions.get(key, (0, NEVER))
+    preemption_key = _preemption_key(run)
+    min_failed_slots, last_attempt_at = cluster_state.failed_preemptions.get(preemption_key, (0, NEVER))
     if (
         required_slots >= min_failed_slots and now - last_attempt_at < PREEMPTION_RETRY_INTERVAL
     ) or now - run.last_preemption_search_at < PREEMPTION_RETRY_INTERVAL:
@@ -99,7 +99,7 @@
     if _preempt_with_least_lost_work(snapshot, run, machine_groups, required_slots):
         run.last_preemption_search_at = now
     elif not run.failed_machines and not run.placements:
-        cluster_state.failed_preemptions[key] = (required_slots, now)
+        cluster_state.failed_preemptions[preemption_key] = (required_slots, now)
 
 
 def _reserve_earliest_room(
--- a/roseweir/scheduler/queue_order.py
+++ b/roseweir/scheduler/queue_order.py
@@ -1,4 +1,4 @@
-"""The order in which a scheduling pass considers waiting jobs: by quota, priority and arrival.
+"""The order in which a scheduling pass considers waiting jobs: by guarantee, priority and arrival.
 
 Exceptions: starving jobs (`starvation.py`), and jobs with little slack before a deadline (`dependencies/slack.py`).
 """
@@ -61,5 +61,5 @@
 
 
 def arrival_order(run: JobRun) -> tuple[int, str]:
-    """The sort key by arrival: when the job became eligible (ms, time of day), then its id."""
+    """The sort key by arrival: when the job became eligible (Unix time in ms), then its id."""
     return (run.eligible_from_ms, run.spec.id)
--- a/roseweir/scheduler/quota.py
+++ b/roseweir/scheduler/quota.py
@@ -5,7 +5,7 @@
 from roseweir.scheduler.queue_order import arrival_order
 from roseweir.submissions.jobs import JobSpec
 
-# Guaranteed CPUs and GPUs are sums of floats: a difference below this is none.
+# Usage and guarantees are sums of floats: differences below this are rounding errors.
 QUOTA_TOLERANCE = 1e-9
 # The number of tasks that is returned if there is no limit.
 UNLIMITED_TASKS = 1 << 30
@@ -57,7 +57,7 @@
 
 
 def tasks_within_team_limit(cluster_state: ClusterState, spec: JobSpec, gang_claim: TeamUsage) -> int:
-    """How many more tasks the team's limit allows, counting all that may still run; 0 for an unknown team.
+    """How many more tasks the team's limit allows, counting every task that may still run; 0 for an unknown team.
 
     `gang_claim`: CPUs and GPUs that are set aside for earlier gangs of the team.
     """
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -25,14 +25,14 @@
 
     @property
     def access_level(self) -> int:
-        """Which reserved capacity the job may use: 0 the headroom, 1 none, 2 the headroom and the CPUs kept for GPUs.
+        """Which reserved capacity the job may use. 0: the headroom; 1: none; 2: the headroom and the CPUs for GPUs.
 
         A machine that is full for jobs of one level may have room for jobs of another.
         """
         return 2 if self.waives_gpu_reserve else int(self.must_leave_headroom)
 
     def task_capacity(self, machine: Machine, spec: JobSpec) -> int:
-        """How many tasks of the job fit on the machine now, beside what it must leave free."""
+        """How many tasks of the job fit on the machine now without what it must leave free."""
         cpus_per_gpu = 0.0 if self.waives_gpu_reserve else self.cpus_per_gpu.get(machine.name, 0.0)
         headroom = (
             self.headroom_by_machine.get(machine.name)
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -100,7 +100,7 @@
                 self._make_room(run, startable_tasks - placed_count)
 
     def finish(self) -> None:
-        """Reserve the headroom if no job of the pass caused that: the answers to heartbeats depend on it."""
+        """Reserve the headroom if that was not done for a job: the answers to heartbeats depend on it."""
         if self.reservations.headroom_by_machine is None:
             self.cluster_state.headroom.reserve(self.schedulable, self.cluster_state.low_latency_images)
 
--- a/roseweir/scheduler/starvation.py
+++ b/roseweir/scheduler/starvation.py
@@ -35,7 +35,7 @@
 STARVATION_THRESHOLD = timedelta(seconds=120)
 # The fraction of a class's jobs that count as its largest, by the demand of all their tasks.
 LARGEST_JOBS_FRACTION = 0.1
-# How many distinct sizes are counted in one class; bounds the memory used.
+# How many distinct sizes are counted in one class.
 MAX_SIZES_PER_CLASS = 64
 # How long a job that was starving is not preempted after its start, so that it keeps the room it waited for.
 PREEMPTION_PROTECTION_DURATION = timedelta(seconds=90)
@@ -115,7 +115,7 @@
         wall_clock_epoch: the instant of the monotonic clock at Unix time 0; None if not known yet.
         now: the current instant of the monotonic clock.
     """
-    starving: list[_StarvingJob] = []
+    starving_jobs: list[_StarvingJob] = []
     for run in waiting_runs:
         run.starvation_level = NOT_STARVING
         if (
@@ -127,15 +127,15 @@
             if waited >= LARGE_JOB_STARVATION_THRESHOLD:
                 is_among_largest = size_histogram.is_among_largest(run.spec)
                 if is_among_largest or waited >= STARVATION_THRESHOLD:
-                    starving.append(_StarvingJob(waited, is_among_largest, run))
-    starving.sort(key=lambda job: (-job.waited, job.run.spec.id))
+                    starving_jobs.append(_StarvingJob(waited, is_among_largest, run))
+    starving_jobs.sort(key=lambda job: (-job.waited, job.run.spec.id))
     # Indexed by whether the job needs GPUs.
     remaining_capacity = {
         True: pool_capacity.gpus * MAX_STARVING_POOL_FRACTION,
         False: pool_capacity.cpus * MAX_STARVING_POOL_FRACTION,
     }
     pool_has_starving_job = {True: False, False: False}
-    for waited, is_among_largest, run in starving:
+    for waited, is_among_largest, run in starving_jobs:
         needs_gpus = run.spec.gpus > 0
         demand = (run.spec.gpus if needs_gpus else run.spec.cpus) * (
             run.spec.task_count if run.spec.is_admitted_as_unit else 1
