--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -1,4 +1,4 @@
-"""The startup limits of the service itself (image fetches, restarts), and the operators' own class limits."""
+"""The built-in startup limits (image fetches, restarts), and the class limits that operators configure."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -18,11 +18,11 @@
 def renew_fetch_limits(
     limits: StartupLimits, machines: Iterable[tuple[str, MachineType]], limit_settings: LimitSettings, now: datetime
 ) -> None:
-    """Limit uncached image fetches in each zone: cost in GB, rate by what the zone's machines can pull."""
-    rates: dict[str, float] = {}
+    """Limit uncached image fetches in each zone: cost in GB, refill rate by what the zone's machines can pull."""
+    rate_by_zone: dict[str, float] = {}
     for zone, machine_type in machines:
-        rates[zone] = rates.get(zone, 0.0) + machine_type.fetch_gb_per_s
-    for zone, rate in rates.items():
+        rate_by_zone[zone] = rate_by_zone.get(zone, 0.0) + machine_type.fetch_gb_per_s
+    for zone, rate in rate_by_zone.items():
         capacity = rate * limit_settings.fetch_share * limit_settings.fetch_window.total_seconds()
         limit = limits.install_or_renew(
             StartupLimit(
@@ -61,9 +61,9 @@
 
 
 def renew_restart_limit(limits: StartupLimits, job_id: str, limit_settings: LimitSettings, now: datetime) -> None:
-    """Limit a job that failed repeatedly to one restarted task a window, or one restart of its whole gang.
+    """Limit a job that failed repeatedly to one restarted task per window, or one restart of its whole gang.
 
-    Each task of a gang costs its part of one token, so the restart of all of them costs one.
+    A task of a gang costs one token divided by the number of tasks, so a restart of the whole gang costs one.
     """
     limits.install_or_renew(
         StartupLimit(
@@ -80,12 +80,12 @@
 
 
 def renew_class_limits(limits: StartupLimits, limit_settings: LimitSettings, now: datetime) -> None:
-    """Install the operators' own limits, or renew them."""
+    """Install the class limits that operators configured, or renew them."""
     for class_limit in limit_settings.class_limits:
         limits.install_or_renew(
             StartupLimit(
                 tag=f"class:{class_limit.name}",
-                matches=_class_rule(class_limit),
+                matches=_class_limit_rule(class_limit),
                 cost=_cost_per_task,
                 bucket=TokenBucket.full(
                     now, class_limit.count, class_limit.window, class_limit.burst, class_limit.draw_cap
@@ -100,7 +100,7 @@
     return float(start.task_count)
 
 
-def _class_rule(class_limit: ClassLimit) -> LimitRule:
+def _class_limit_rule(class_limit: ClassLimit) -> LimitRule:
     def matches(job: JobSpec, machine: MachineView | None) -> bool:
         if class_limit.job_class is not None and job.job_class != class_limit.job_class:
             return False
--- a/roseweir/limits/settings.py
+++ b/roseweir/limits/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(startup-limits ...)`."""
+"""Settings of startup limits, read from the operators' form `(startup-limits ...)`."""
 
 from datetime import timedelta
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class ClassLimit(msgspec.Struct):
-    """An operator's own startup limit: which jobs on which machines, and `count` starts each `window`."""
+    """A startup limit that an operator configured: which jobs on which machines, and `count` starts per `window`."""
 
     name: str
     count: float
@@ -32,7 +32,7 @@
     fetch_window: timedelta = timedelta(seconds=30)
     fetch_burst_gb: float = 40.0
     fetch_draw_cap_gb: float = 20.0
-    # Restarts of a job that failed `failure_count` times: one each window.
+    # Restarts of a job that failed `failure_count` times: one per window.
     failure_count: int = 6
     restart_window: timedelta = timedelta(seconds=30)
     lease: timedelta = timedelta(minutes=2)
@@ -56,7 +56,7 @@
     for entry in entries:
         name, args = read_form(entry)
         if name == "limit":
-            limit_settings.class_limits.append(_class_limit(args))
+            limit_settings.class_limits.append(_parse_class_limit(args))
         elif name in _DURATION_NAMES:
             setattr(limit_settings, name.replace("-", "_"), seconds(read_number(name, args, must_be_positive=True)))
         elif name in _NUMBER_NAMES:
@@ -72,7 +72,7 @@
             raise SettingsError(f"unknown name `{name}` in `startup-limits`")
 
 
-def _class_limit(entries: list[Any]) -> ClassLimit:
+def _parse_class_limit(entries: list[Any]) -> ClassLimit:
     fields: dict[str, Any] = {}
     for entry in entries:
         name, args = read_form(entry)
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -1,6 +1,6 @@
 """The startup limits in force, what they block, and by how much the requests of a blocked source shrink.
 
-Pure: the current time is always an argument, nothing here waits or sends.
+No I/O; the current time is always an argument.
 """
 
 import logging
@@ -45,7 +45,7 @@
         return existing
 
     def remove_expired(self, now: datetime) -> None:
-        """Drop the limits that nobody renewed: starts are then unlimited again."""
+        """Remove limits that were not renewed in time; the starts that they limited are unlimited again."""
         for tag in [tag for tag, limit in self.by_tag.items() if limit.expires_at <= now]:
             log.info("limit expired: tag=%s", tag)
             del self.by_tag[tag]
@@ -54,9 +54,9 @@
     def try_start(self, starts: list[TaskStart], source: str, now: datetime) -> bool:
         """Whether all these starts may go ahead; if so, each matching limit is debited by the sum of their costs.
 
-        All limits are checked before any is debited. `source` names who is blocked if one cannot pay.
+        All limits are checked before any is debited. If one cannot pay, `source` is recorded as blocked by it.
         """
-        draws: list[tuple[StartupLimit, float]] = []
+        debits: list[tuple[StartupLimit, float]] = []
         is_blocked = False
         for limit in self.by_tag.values():
             if limit.expires_at <= now:
@@ -66,13 +66,13 @@
                 continue
             cost = sum(max(0.0, limit.cost(s)) for s in matching)
             if limit.bucket.can_pay(cost, now):
-                draws.append((limit, cost))
+                debits.append((limit, cost))
             else:
                 is_blocked = True
                 self._record_blocked(limit, source, now)
         if is_blocked:
             return False
-        for limit, cost in draws:
+        for limit, cost in debits:
             limit.bucket.debit(cost, now)
         return True
 
@@ -96,7 +96,7 @@
 
         Returns how many tasks may be placed, and the limits whose machines are to be left out.
         """
-        excluded: list[StartupLimit] = []
+        excluded_limits: list[StartupLimit] = []
         for limit in self.limits_blocking(source, now):
             # Checked against the job alone: if that does not match, no machine can.
             if not limit.matches(job, None):
@@ -104,11 +104,11 @@
             if limit.is_job_only:
                 cost_per_task = limit.cost(TaskStart(job, None, 1))
                 if cost_per_task > 0:
-                    payable = limit.bucket.capacity_in(self.lookahead, now)
-                    count = min(count, max(0, floor(payable / cost_per_task + TOKEN_TOLERANCE)))
+                    payable_cost = limit.bucket.payable_within(self.lookahead, now)
+                    count = min(count, max(0, floor(payable_cost / cost_per_task + TOKEN_TOLERANCE)))
             else:
-                excluded.append(limit)
-        return count, excluded
+                excluded_limits.append(limit)
+        return count, excluded_limits
 
     def log_blocked(self, now: datetime) -> None:
         """Log how many decisions were blocked since the last call, and forget sources whose ban is over."""
