--- a/roseweir/leader_election/election.py
+++ b/roseweir/leader_election/election.py
@@ -1,25 +1,25 @@
 """Election of the leader: standing for election, following the leader that is elected, and holding its lease.
 
-The term rises with each election, in the same transaction that takes the leader's key.
-
-The leader should be a node that workers reach. A leader that misses the heartbeats of most workers asks the others
-(`worker_reachability.py`), and resigns if one of them reaches these workers. Only such an answer makes it resign: in a
-partitioned zone, or when the workers are gone, nobody can give it. Nodes out of the workers' reach let the others stand
-first.
-
-A process that crashed may be back within a fraction of a second, and find the lease of the process before it. That
-lease gives it no rights: the term is another's, and nothing is done under it. Nor does it wait for its expiry: only a
-process that holds this node's address looks for it, so the earlier process is gone, and the lease is revoked at once.
-Even if that process were alive, nothing rests on its lease alone: its writes are guarded by the key that is deleted
-with the lease, workers that have seen the next term drop its answers, and what it had recorded counts for its successor
-until they have. The others stand first: a node that crashes again and again leads only where nobody else can, and
-elections are RESTART_CANDIDACY_DELAY apart at least.
-
-During an upgrade every process of the old version is about to end, so that the election of one of them is soon followed
-by another. Versions store their feature level with the leader's key. A process that finds an earlier process of its
-node with a lower level was just upgraded: it does not let the others stand first, which happens once per process and
-level. And a node that sees the leader's key deleted stands at once, without reading it again: the election's own guards
-decide.
+Each election increments the term, in the same transaction that creates the leader's key.
+
+The leader should be a node that the workers can reach. A leader that misses the heartbeats of most workers queries the
+other controllers (`worker_reachability.py`), and resigns only if one of them answers that it can reach these workers.
+If a zone is partitioned or the workers are down, no controller can, and the leader stays. A node that the workers can't
+reach delays its candidacy.
+
+A process that restarts within a fraction of a second after a crash finds the lease of the previous process. That lease
+belongs to the previous process's term, so the new process does not act as leader under it. It revokes the lease at once
+instead of waiting for its expiry: the lease names this node's address, which only one process can hold, so the previous
+process has ended. Even if it were alive, its lease alone would permit nothing: its writes are guarded by the key that
+is deleted with the lease, workers that have received the next term discard its responses, and the next leader honors
+what it recorded until they have received that term. The restarted process delays its candidacy, so that a node that
+crashes repeatedly leads only if no other node can, and elections are at least RESTART_CANDIDACY_DELAY apart.
+
+During an upgrade every process of the old version ends soon, so the election of one of them would soon be followed by
+another. The leader's record contains the feature level of its version. A process that finds a record of its own node
+with a lower level has just been upgraded, and does not delay its candidacy; this happens once per process and level.
+A node whose watch reports the deletion of the leader's key becomes a candidate at once, without reading the key again:
+the guards of the election's transaction decide.
 """
 
 import asyncio
@@ -53,20 +53,20 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT = seconds(10)
-# After a request to the store that failed.
+# Delay after a request to the store that failed.
 RETRY_INTERVAL = seconds(0.3)
-# After an election that another node won.
+# Delay after an election that another node won.
 LOST_ELECTION_RETRY_INTERVAL = seconds(0.1)
-# After a leader's record that can't be decoded.
+# Delay after reading a leader's record that can't be decoded.
 UNREADABLE_RECORD_RETRY_INTERVAL = seconds(1)
-# A node that did not reach the workers stands this much later than the others,
+# Delay of the candidacy of a node that the workers can't reach.
 STANDBY_CANDIDACY_DELAY = seconds(1.5)
-# and one whose earlier process led this much.
+# Delay of the candidacy of a node whose previous process was the leader.
 RESTART_CANDIDACY_DELAY = seconds(0.5)
-# The leader queries the others about workers no more often than this.
+# Minimum interval between the leader's queries about missed workers.
 REACHABILITY_QUERY_INTERVAL = seconds(2)
 
-# What a leader does for one term; cancelled as the term ends.
+# Performs the leader's work for one term; cancelled when the term ends.
 RunLeaderTerm = Callable[[LeaderLease], Coroutine[None, None, None]]
 
 
@@ -74,12 +74,13 @@
     """One node's part in the election.
 
     Attributes:
-        leader: The leader as last known to this node; None if none is known.
+        leader: The leader's record as this node last read it; None if there was none.
         leader_lease: This node's lease while it leads, else None.
         failed_terms: Number of terms of this node that ended by an unexpected error.
-        on_leadership_uncertain: Called, with the current instant, while this leader can ask nobody whether it leads.
-        on_leadership_confirmed: Called when it is sure again.
-        on_term_observed: Called with each term that the store is seen to hold.
+        on_leadership_uncertain: Called, with the current instant, while neither the store nor a peer can confirm that
+            this node still leads.
+        on_leadership_confirmed: Called when a lease renewal succeeds again.
+        on_term_observed: Called with the term of each new leader's record, including this node's own.
     """
 
     def __init__(
@@ -90,14 +91,14 @@
         fetch_peer_leader: FetchPeerLeader,
         probe_workers: ProbeWorkers,
     ) -> None:
-        """Prepare to take part, once `run` is called.
+        """Prepare to take part in elections, once `run` is called.
 
         Args:
             settings: This node's settings.
             kv_store: The store's client.
-            run_leader_term: What this node does while it leads.
-            fetch_peer_leader: Asks the other controllers for the leader they know.
-            probe_workers: Finds out which workers reach this node.
+            run_leader_term: Performs this node's work while it leads.
+            fetch_peer_leader: Queries the other controllers for the latest leader that they know.
+            probe_workers: Determines which workers this node can reach, and which send it heartbeats.
         """
         self.settings = settings
         self.kv_store = kv_store
@@ -118,25 +119,29 @@
             group.create_task(self._worker_reachability.answer_queries())
 
     def end_standby(self) -> None:
-        """Stop letting the others stand first: a worker's heartbeat has arrived."""
+        """Stop delaying this node's candidacy, because a worker's heartbeat has arrived."""
         self._worker_reachability.end_standby()
 
     def forget_leader(self) -> None:
-        """Forget who leads after a pause of the process, so that no worker is redirected to a leader of the past."""
+        """Discard the leader's record after a pause of the process, since another node may lead by now.
+
+        Otherwise workers might be redirected to a node that does not lead any more.
+        """
         if self.leader_lease is None:
             self.leader = None
 
     async def resign_if_better_connected_node(
         self, worker_addresses: dict[str, str], list_missed_workers: ListMissedWorkers
     ) -> None:
-        """Resign if another node reaches workers whose heartbeats this leader misses, and this node does not.
+        """Resign if another node can reach workers whose heartbeats this leader misses, and this node can't.
 
-        Right after a partition of all nodes others reach them too, and so does this one. Those that came to another
-        node were redirected here a second ago or more; if they are missed still, their heartbeats do not get through.
+        Right after the end of a partition that affected all nodes, other nodes reach these workers, but so does this
+        one. Workers that sent heartbeats to another node were redirected here a second ago or more; if this leader
+        still misses them, their heartbeats can't reach it.
 
         Args:
-            worker_addresses: The workers to ask about, by name.
-            list_missed_workers: The workers that are missed at the time of the call.
+            worker_addresses: The addresses of the workers to query about, by worker name.
+            list_missed_workers: Returns the workers whose heartbeats are missed at the time of the call.
         """
         leader_lease = self.leader_lease
         if leader_lease is None or not leader_lease.is_valid():
@@ -174,12 +179,13 @@
                 log.debug("election request failed: error=%s", e)
                 await sleep(RETRY_INTERVAL)
             except (msgspec.ValidationError, TypeError, ValueError) as e:
-                # Nobody can lead before it can be read, but users are served: it ended every controller in turn.
+                # No node can lead until the record can be decoded, but users are still served: an exception here would
+                # end the process of every controller in turn.
                 log.error("leader record unreadable: error=%s", e)
                 await sleep(UNREADABLE_RECORD_RETRY_INTERVAL)
 
     async def _read_leader(self) -> int:
-        """Read who leads; return the store's revision as of then."""
+        """Read the leader's record; return the store's revision at the time of the read."""
         entries, revision = await self.kv_store.scan(LEADER_ELECTION_PREFIX)
         self._apply_leader_record(next((e.value for e in entries if e.key == LEADER_KEY), None))
         return revision
@@ -192,11 +198,15 @@
         self.leader = record
 
     def _is_own_stale_lease(self) -> bool:
-        """The key names this node, and it leads no term: an earlier process, or an earlier term of this one."""
+        """Whether the leader's record is from an earlier process of this node, or an earlier term of this process."""
         return self.leader is not None and self.leader.name == self.settings.name and self.leader_lease is None
 
     async def _revoke_stale_lease(self) -> bool:
-        """Revoke the earlier process's lease; return whether that was of a lower level: this one was upgraded."""
+        """Revoke the earlier lease of this node.
+
+        Returns:
+            Whether the earlier process had a lower feature level, that is, whether this node has been upgraded.
+        """
         assert self.leader is not None
         log.info("revoking stale lease: term=%d", self.leader.term)
         await self.kv_store.revoke_lease(self.leader.lease_id)
@@ -205,7 +215,11 @@
         return is_upgraded
 
     async def _follow_leader(self, revision: int) -> bool:
-        """Watch until nobody leads, or the leader has to be read again; return whether its key was seen deleted."""
+        """Watch until there is no leader, or the leader's record has to be read again.
+
+        Returns:
+            Whether the watch reported the deletion of the leader's key.
+        """
         is_leader_key_deleted = False
         while self.leader is not None:
             watch_result = await self.kv_store.watch(LEADER_ELECTION_PREFIX, revision, WATCH_TIMEOUT)
@@ -217,7 +231,7 @@
                     self._apply_leader_record(event.value)
                     is_leader_key_deleted = event.value is None
                     if self._is_own_stale_lease():
-                        # Its election was still in flight as the earlier process ended.
+                        # The earlier process ended before its election request was executed.
                         return False
                 elif event.key == REACHABILITY_QUERY_KEY and event.value is not None:
                     self._worker_reachability.receive_query(event.value)
@@ -226,7 +240,7 @@
     # -- leading ------------------------------------------------------------------------------
 
     async def _try_acquire_leadership(self) -> LeaderLease | None:
-        """Stand for election; None if another node won it, or it can't be told whether this one did."""
+        """Try to create the leader's key; None if another node won, or if it is uncertain whether this node did."""
         sent_at = monotonic_now()
         lease_id, term_entry = await gather_pair(self.kv_store.grant_lease(LEASE_TTL), self.kv_store.get(TERM_KEY))
         term = 1 if term_entry is None else int(term_entry.value) + 1
@@ -235,9 +249,9 @@
         ops = [put(LEADER_KEY, msgspec.to_builtins(record), lease_id), put(TERM_KEY, term)]
 
         async def confirm_election() -> int | None:
-            found = await self.kv_store.get(LEADER_KEY)
-            is_own = found is not None and isinstance(found.value, dict) and found.value.get("lease") == lease_id
-            return found.version if found is not None and is_own else None
+            entry = await self.kv_store.get(LEADER_KEY)
+            is_this_lease = entry is not None and isinstance(entry.value, dict) and entry.value.get("lease") == lease_id
+            return entry.version if entry is not None and is_this_lease else None
 
         try:
             version = await commit_or_confirm(self.kv_store, guards, ops, confirm_election)
@@ -245,11 +259,12 @@
             await sleep(LOST_ELECTION_RETRY_INTERVAL)
             return None
         except Unreachable:
-            # It may have been carried out: the key tells. If it is carried out later, the key expires with its lease.
-            found = await confirm_election()
-            if found is None:
+            # The request may have been executed, which a read of the key shows. If it is executed later, the key is
+            # deleted when its lease expires, because nothing renews that lease.
+            confirmed_version = await confirm_election()
+            if confirmed_version is None:
                 return None
-            version = found
+            version = confirmed_version
         self.leader = record
         self.on_term_observed(term)
         return LeaderLease(term, lease_id, version, sent_at)
@@ -273,15 +288,15 @@
         except* LeadershipEnded:
             pass
         except* Exception:
-            # A fault of ours must not take the users' API down with it: another node may lead.
+            # An unexpected error must not stop the users' API on this node: another node can lead.
             log.exception("leader term failed: term=%d", leader_lease.term)
-            leader_lease.end("a fault, see above")
+            leader_lease.end("unexpected error, see the traceback above")
             self.failed_terms += 1
             await sleep(LEASE_TTL)
         finally:
-            leader_lease.end("ended")
+            leader_lease.end("leader term cancelled")
             self.leader_lease = None
-            # A node that can't reach the store can still redirect workers, until it reads for itself.
+            # A node that can't reach the store can still redirect workers to the leader that a peer reported.
             self.leader = renewer.successor
             log.info("leader stepped down: term=%d reason=%s", leader_lease.term, leader_lease.end_reason)
 
@@ -291,7 +306,7 @@
 
     async def _resign(self, leader_lease: LeaderLease, reason: str) -> None:
         self._worker_reachability.enter_standby()
-        # Nothing is sent under this term any more before others may take the key.
+        # The lease ends locally first, so that nothing is sent under this term once another node can be elected.
         leader_lease.end(reason)
         try:
             await self.kv_store.revoke_lease(leader_lease.lease_id)
--- a/roseweir/leader_election/leader_search.py
+++ b/roseweir/leader_election/leader_search.py
@@ -1,4 +1,4 @@
-"""Redirection of a few workers that search for another leader, while this leader can't tell whether there is one.
+"""Redirection of a few workers to search for another leader, while this leader can't find out whether there is one.
 
 Pure: the current instant is always an argument.
 """
@@ -10,31 +10,31 @@
 
 MAX_SEARCHING_WORKERS = 4
 MAX_SEARCHING_WORKERS_WITH_TASKS = 2
-# How long a worker takes to try all nodes: this, and as much for each node.
+# The time in which a worker tries all nodes is SEARCH_BASE_TIMEOUT plus SEARCH_TIMEOUT_PER_NODE for each node.
 SEARCH_BASE_TIMEOUT = seconds(1)
 SEARCH_TIMEOUT_PER_NODE = seconds(1)
-# Between the starts of two searches.
+# Minimum time between the starts of two searches.
 MIN_SEARCH_INTERVAL = seconds(6)
-# Only idle workers are redirected for this many heartbeat intervals, so that each has sent a heartbeat.
+# Only idle workers are redirected for this many heartbeat intervals, in which every worker sends a heartbeat.
 IDLE_ONLY_HEARTBEAT_INTERVALS = 1.25
 
 
 @dataclass(slots=True)
 class LeaderSearch:
-    """Workers that a leader, which neither the store nor a peer can confirm, redirects to look for another leader.
+    """Workers that this leader redirects to search for another leader, while it can reach neither the store nor a peer.
 
-    It keeps its workers' leases alive for the hold-over, since in an outage of the whole store nobody else does.
-    Whether this is such an outage it can't see. So it stops answering a few workers: in an outage they find nobody and
-    return once they have tried every node; if another node leads, they stay with that one. Then this leader may step
-    down long before the hold-over ends. In an outage a redirected worker loses nothing: its lease is nearly full when
-    it leaves, and is renewed as it returns.
+    The leader goes on renewing its workers' leases for the hold-over, since in an outage of the whole store no other
+    node renews them. It can't distinguish such an outage from its own isolation, so it stops answering a few workers.
+    In an outage these find no leader and return after trying every node; if another node leads, they stay with it, and
+    this leader can step down long before the hold-over ends. A redirected worker loses nothing in an outage: its lease
+    was renewed shortly before it leaves, and is renewed when it returns.
 
     Attributes:
-        started_at: When the search began; NEVER if none is under way.
-        search_timeout: How long a redirected worker takes to try every node.
-        idle_only_until: Until when only workers without tasks are redirected.
-        sent_at_by_worker: When each worker was redirected.
-        has_worker_returned: Whether one has come back: no other leader was found.
+        started_at: When the search began; NEVER if there is none.
+        search_timeout: The time in which a redirected worker tries every node.
+        idle_only_until: The instant until which only workers without tasks are redirected.
+        redirected_at_by_worker: When each worker was redirected, by worker name.
+        has_worker_returned: Whether a redirected worker has returned, which shows that there is no other leader.
     """
 
     started_at: datetime = NEVER
@@ -44,7 +44,7 @@
     has_worker_returned: bool = False
 
     def start(self, node_count: int, heartbeat_interval: timedelta, now: datetime) -> None:
-        """Start a search, unless one goes on or has just shown that there is no other leader.
+        """Start a search, unless one is running or has just shown that there is no other leader.
 
         Args:
             node_count: Number of controllers.
@@ -57,11 +57,11 @@
             self.sent_at_by_worker, self.has_worker_returned = {}, False
 
     def stop(self) -> None:
-        """End the search: the leader is confirmed again."""
+        """End the search because this node's leadership is confirmed again."""
         self.started_at = NEVER
 
     def should_redirect(self, worker: str, has_tasks: bool, now: datetime) -> bool:
-        """Whether this worker's heartbeat is left unanswered, so that it looks elsewhere. Idle workers go first."""
+        """Whether to leave this worker's heartbeat unanswered, so that it tries other nodes. Idle workers go first."""
         if self.started_at == NEVER or self.has_worker_returned:
             return False
         if worker in self.sent_at_by_worker:
@@ -79,7 +79,7 @@
         return True
 
     def has_found_leader(self, now: datetime) -> bool:
-        """Whether another node leads: workers were redirected, and none has come back in time."""
+        """Whether another node leads: workers were redirected, and none has returned within the search timeout."""
         return (
             bool(self.sent_at_by_worker)
             and not self.has_worker_returned
--- a/roseweir/leader_election/lease.py
+++ b/roseweir/leader_election/lease.py
@@ -1,8 +1,8 @@
 """The leader's lease: how long this node may act as leader, and its renewal.
 
-The lease ends at the store no earlier than its time to live after the store got the renewal, which is after the renewal
-was sent. Clocks drift apart by up to 0.05%, so counted from the *sending* the time to live less 0.1% is safe. The
-safety margin covers the time between reading the clock and an answer leaving this node.
+The store counts a lease's time to live from the receipt of the renewal, this node from the earlier *sending* of it.
+Clocks drift apart by up to 0.05%, so the time to live less 0.1%, counted from the sending, ends before the lease does.
+The safety margin covers the time between reading the clock and a response leaving this node.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 log = logging.getLogger(__name__)
 
 LEASE_TTL = timedelta(milliseconds=2500)
-# The share of the time to live that surely passes at the store no later than here.
+# After this share of the time to live by this node's clock, the lease is still valid by the store's clock.
 CLOCK_DRIFT_FACTOR = 0.999
 LEASE_SAFETY_MARGIN = timedelta(milliseconds=100)
-# Between the sendings of two renewals.
+# From the sending of one renewal to the sending of the next.
 RENEWAL_INTERVAL = timedelta(milliseconds=600)
-# After a renewal that failed.
+# Delay after a renewal that failed.
 RENEWAL_RETRY_INTERVAL = timedelta(milliseconds=300)
 RENEWAL_TIMEOUT = LEASE_TTL / 2
 
-# Asks the other controllers for the latest leader that they know; None if none of them knows any.
+# Queries the other controllers for the latest leader that they know; None if none of them knows a leader.
 FetchPeerLeader = Callable[[], Coroutine[None, None, PeerLeader | None]]
 
 
@@ -37,16 +37,16 @@
 
 
 class LeaderLease:
-    """One term of leadership: the right to act as leader for as long as the lease surely lasts.
+    """One term of leadership: this node may act as leader while the lease is certain to be valid.
 
     Attributes:
-        term: The term's number, which rises with each election; the fencing token of what the leader sends.
-        lease_id: The lease in the store.
+        term: The term's number, which each election increments; the fencing token in the leader's messages.
+        lease_id: The id of the lease in the store.
         leader_key_version: Version of the leader's key, which guards the leader's writes.
-        ended: Set once this node does not lead any more, for `end_reason`.
-        valid_until: When the lease may end at the store, at the earliest.
-        confirmed_at: As of when nobody else led: the sending of the last renewal that was answered, or of a query that
-            all other controllers answered. The right to start tasks rests on the lease alone.
+        ended: Set once this node does not lead any more; `end_reason` says why.
+        valid_until: The earliest instant at which the lease can expire at the store.
+        confirmed_at: The latest instant at which no other node is known to have led: when the last successful renewal
+            was sent, or a query that all other controllers answered. Only the lease permits starting tasks.
     """
 
     def __init__(self, term: int, lease_id: int, leader_key_version: int, sent_at: datetime) -> None:
@@ -61,16 +61,16 @@
         self.apply_renewal(sent_at)
 
     def confirm_leadership(self, sent_at: datetime) -> None:
-        """Apply the proof that nobody else led as of an instant."""
+        """Record that no other node led at the instant when the proving request was sent."""
         self.confirmed_at = max(self.confirmed_at, sent_at)
 
     def apply_renewal(self, sent_at: datetime) -> None:
-        """Apply an answered renewal, by the instant at which it was sent."""
+        """Apply a successful renewal; `sent_at` is when it was sent."""
         self.confirm_leadership(sent_at)
         self.valid_until = max(self.valid_until, sent_at + LEASE_TTL * CLOCK_DRIFT_FACTOR - LEASE_SAFETY_MARGIN)
 
     def is_valid(self) -> bool:
-        """Whether this node surely holds the lease now."""
+        """Whether this node is certain to hold the lease now."""
         return not self.ended.is_set() and monotonic_now() < self.valid_until
 
     def end(self, reason: str) -> None:
@@ -81,10 +81,10 @@
 
 
 class LeaseRenewer:
-    """Renews one lease until it expires or another controller is known to lead.
+    """Renews one lease until it expires or a peer reports the leader of a later term.
 
     Attributes:
-        successor: The leader of a later term that a peer knows, without address and lease; None if none is known.
+        successor: The leader of a later term that a peer reported, without address and lease; None if none did.
     """
 
     def __init__(
@@ -100,10 +100,10 @@
 
         Args:
             kv_store: The store's client.
-            leader_lease: The lease.
-            fetch_peer_leader: Asked while the lease may have ended and the store can't be reached.
-            on_uncertain: Called, with the current instant, each time no peer knows a leader then.
-            on_confirmed: Called as renewals succeed again.
+            leader_lease: The lease to renew.
+            fetch_peer_leader: Queries the peers while the lease may have expired and the store can't be reached.
+            on_uncertain: Called, with the current instant, whenever no peer answers such a query with a leader.
+            on_confirmed: Called when renewals succeed again.
         """
         self.successor: LeaderRecord | None = None
         self._kv_store = kv_store
@@ -114,7 +114,7 @@
         self._is_failing = False
 
     async def run(self) -> None:
-        """Renew the lease until it has expired, and end the term then."""
+        """Renew the lease until it has expired, then end the term."""
         while True:
             sent_at = monotonic_now()
             try:
@@ -125,7 +125,7 @@
                 self._leader_lease.end("the lease expired")
                 return
             except (StoreError, Unreachable) as e:
-                # An outage ends with all leases at their full time, so the key may still be ours.
+                # After an outage the store restarts all leases at their full time to live, so this one may still exist.
                 log.log(logging.DEBUG if self._is_failing else logging.INFO, "lease renewal failed: error=%s", e)
                 self._is_failing = True
                 interval = RENEWAL_RETRY_INTERVAL
@@ -141,14 +141,15 @@
         self._is_failing = False
 
     async def _check_peer_leader(self) -> None:
-        """Step down as soon as a peer knows a later term.
+        """Step down as soon as a peer reports a later term.
 
-        A leader that alone lost the store may answer heartbeats for the whole hold-over, and workers stay with it as
-        long as it does: for 18 s nothing started, while a new leader without heartbeats gave their machines back.
+        Without this check, a leader that is isolated from the store answers heartbeats for the whole hold-over, and its
+        workers stay with it: no task starts for 18 s, while the new leader gets no heartbeats from these workers and
+        releases their machines.
         """
         peer_leader = await self._fetch_peer_leader()
         if peer_leader is None:
-            # No peer answers, or none knows any leader: workers may find one that this node does not.
+            # No peer answers, or none knows a leader: redirected workers may find one that this node can't.
             self._on_uncertain(monotonic_now())
         elif peer_leader.term > self._leader_lease.term:
             self.successor = LeaderRecord(name=peer_leader.name, peer_address="", term=peer_leader.term, lease_id=0)
--- a/roseweir/leader_election/messages.py
+++ b/roseweir/leader_election/messages.py
@@ -1,4 +1,4 @@
-"""Keys of the election in the key-value store, and what they hold."""
+"""Keys of the election in the key-value store, and the structure of their values."""
 
 from typing import NamedTuple
 
@@ -10,12 +10,13 @@
 LEADER_ELECTION_PREFIX = "lead/"
 # Holds the term of the latest election.
 TERM_KEY = "lead/term"
-# The leader's query whether others reach the workers whose heartbeats it misses; each node answers under its own name.
+# The leader's query which nodes can reach the workers whose heartbeats it misses, and the prefix of the answers, which
+# each node stores under its own name.
 REACHABILITY_QUERY_KEY = "lead/ask"
 REACHABILITY_ANSWER_PREFIX = "lead/reach/"
 
-# The feature level of this version: raised with each change of what is stored or sent that the version before can't
-# handle. A version that states none has level 0.
+# The feature level of this version, raised with each change of the stored data or messages that the previous version
+# can't handle. A record without a level is from a version of level 0.
 FEATURE_LEVEL = 1
 
 # Incarnation and sequence number of a heartbeat: the message with the larger pair is the newer one.
@@ -23,16 +24,16 @@
 
 
 class PeerLeader(NamedTuple):
-    """A leader as another controller knows it: its name and term."""
+    """Name and term of the leader that another controller reports."""
 
     name: str
     term: int
 
 
 class LeaderRecord(msgspec.Struct, rename={"peer_address": "back", "lease_id": "lease", "feature_level": "level"}):
-    """Who leads, as stored with the leader's key.
+    """The value of the leader's key.
 
-    Versions ignore fields that they do not know, so fields may be added; none may be left out.
+    Every version ignores unknown fields, so fields may be added, but no field may be removed.
     """
 
     name: str
@@ -43,9 +44,9 @@
 
 
 class ReachabilityQuery(msgspec.Struct, rename={"query_number": "number", "worker_addresses": "workers"}):
-    """The leader's query which nodes reach these workers; term and number identify it.
+    """The leader's query which nodes can reach these workers; term and number identify it.
 
-    The addresses are by worker name, and empty where they are not known.
+    The addresses are by worker name; an unknown address is empty.
     """
 
     term: int
@@ -57,9 +58,9 @@
     msgspec.Struct,
     rename={"query_number": "number", "reachable": "reached", "redirected": "came", "heartbeat_ids": "tallies"},
 ):
-    """Which of the queried workers answer this node, and which sent it heartbeats and were redirected in vain.
+    """Which of the queried workers answer this node's probes, and which sent it heartbeats and were redirected.
 
-    `heartbeat_ids` holds the newest heartbeat of each redirected worker: one that was delivered late is older.
+    `heartbeat_ids` holds the newest heartbeat of each redirected worker; a late delivery shows by an older id.
     """
 
     term: int
--- a/roseweir/leader_election/worker_reachability.py
+++ b/roseweir/leader_election/worker_reachability.py
@@ -1,7 +1,8 @@
-"""Which controller reaches the workers: the leader's query to the others, their answers, and standing by.
+"""Which controllers can reach the workers: the leader's query, the other controllers' answers, and delayed candidacy.
 
-The query and its answers go through the key-value store, from which the leader holds its lease anyway: peers may be out
-of its reach as well. A node that finds itself out of the workers' reach lets the others stand for election first.
+The query and its answers are exchanged through the key-value store, because the leader may be unable to reach its peers
+as well, but can reach the store, where it renews its lease. A node that can reach no queried worker delays its
+candidacy.
 """
 
 import asyncio
@@ -30,19 +31,19 @@
 log = logging.getLogger(__name__)
 
 MAX_WORKERS_IN_QUERY = 16
-# Another node must reach more than one in this many of the queried workers.
+# Another node must reach more than 1/REACHABLE_WORKERS_DIVISOR of the queried workers.
 REACHABLE_WORKERS_DIVISOR = 4
-# The id of the newest possible heartbeat, for nodes and workers without one.
+# Greater than the id of any real heartbeat; stands for a missing id.
 NEWEST_HEARTBEAT_ID = (1 << 62, 0)
-# The leader looks for answers this often, and no more times than this.
+# Interval and maximum number of the leader's polls for answers to one query.
 REACHABILITY_POLL_INTERVAL = seconds(0.2)
 MAX_REACHABILITY_POLLS = 6
-# For how long a node that did not reach the workers stands by, unless a heartbeat shows earlier that it does.
+# A node that could not reach the workers delays its candidacies for this long, or until it receives a heartbeat.
 STANDBY_DURATION = seconds(60)
 
 
 class ProbeResult(NamedTuple):
-    """Workers that answer this node, and the newest heartbeat of each that it has redirected some moments ago."""
+    """Workers that answer this node's probes, and the newest heartbeat id of each recently redirected worker."""
 
     reachable: list[str]
     redirected: dict[str, HeartbeatId]
@@ -50,15 +51,16 @@
 
 # Probes workers, given by name and address.
 ProbeWorkers = Callable[[dict[str, str]], Coroutine[None, None, ProbeResult]]
-# The workers whose heartbeats the leader misses, if they are most of all, and the newest heartbeat of each.
+# Returns the newest heartbeat id of each worker whose heartbeats the leader misses, if it misses those of most workers;
+# else nothing.
 ListMissedWorkers = Callable[[], dict[str, HeartbeatId]]
 
 
 class WorkerReachability:
-    """A node's part in queries about workers: asking as the leader, answering, and standing by."""
+    """Sends and answers queries about which workers a node can reach, and delays this node's candidacy accordingly."""
 
     def __init__(self, node_name: str, kv_store: KeyValueStoreClient, probe_workers: ProbeWorkers) -> None:
-        """Begin without a query; the node is known to others under its name."""
+        """Begin without a query; answers are stored under this node's name."""
         self._node_name = node_name
         self._kv_store = kv_store
         self._probe_workers = probe_workers
@@ -67,24 +69,24 @@
         self._queries_sent = 0
         self._standby_until = NEVER
 
-    # -- standing by --------------------------------------------------------------------------
+    # -- delayed candidacy --------------------------------------------------------------------
 
     def is_standing_by(self) -> bool:
-        """Whether this node lets the others stand for election first."""
+        """Whether this node delays its candidacy."""
         return monotonic_now() < self._standby_until
 
     def enter_standby(self) -> None:
-        """Stand by for STANDBY_DURATION."""
+        """Delay this node's candidacies during the next STANDBY_DURATION."""
         self._standby_until = monotonic_now() + STANDBY_DURATION
 
     def end_standby(self) -> None:
-        """Stop standing by: a worker's heartbeat has arrived."""
+        """Stop delaying this node's candidacy, because a worker's heartbeat has arrived."""
         self._standby_until = NEVER
 
     # -- answering ----------------------------------------------------------------------------
 
     def receive_query(self, value: object) -> None:
-        """Take in a stored query, which `answer_queries` answers; msgspec.ValidationError if it can't be read."""
+        """Pass a stored query to `answer_queries`; msgspec.ValidationError if it can't be decoded."""
         self._received_query = msgspec.convert(value, ReachabilityQuery)
         self._query_received.set()
 
@@ -108,16 +110,16 @@
         except (StoreError, Unreachable, CompareFailed, LeaseExpired) as e:
             log.debug("reachability answer failed: error=%s", e)
 
-    # -- asking -------------------------------------------------------------------------------
+    # -- querying -----------------------------------------------------------------------------
 
     async def find_better_connected_node(
         self, leader_lease: LeaderLease, worker_addresses: dict[str, str], list_missed_workers: ListMissedWorkers
     ) -> str | None:
-        """Ask the other nodes which workers they reach, as the leader.
+        """Query the other nodes, as the leader, which workers they can reach.
 
         Returns:
-            The name of a node that reaches workers which this one does not; None if none is found in time, or the store
-            can't be used.
+            The name of a node that can reach workers which this node can't; None if no such answer arrives in time, or
+            a request to the store fails.
         """
         self._queries_sent += 1
         query = ReachabilityQuery(leader_lease.term, self._queries_sent, worker_addresses)
@@ -140,7 +142,7 @@
         return None
 
     async def _read_answers(self, query: ReachabilityQuery) -> dict[str, ReachabilityAnswer]:
-        """The other nodes' answers to this query so far, by node name."""
+        """Return the other nodes' answers to this query so far, by node name."""
         entries, _ = await self._kv_store.scan(REACHABILITY_ANSWER_PREFIX)
         answers = {
             entry.key.removeprefix(REACHABILITY_ANSWER_PREFIX): msgspec.convert(entry.value, ReachabilityAnswer)
@@ -155,7 +157,7 @@
 
 
 def sample_workers(overdue_workers: Mapping[str, str]) -> dict[str, str]:
-    """At most MAX_WORKERS_IN_QUERY of the workers, spread evenly by name, so that a query about them fits one key."""
+    """Return at most MAX_WORKERS_IN_QUERY of the workers, spread evenly by name, so that the query fits in one key."""
     names = sorted(overdue_workers)
     return {name: overdue_workers[name] for name in names[:: max(1, ceil(len(names) / MAX_WORKERS_IN_QUERY))]}
 
@@ -166,14 +168,14 @@
     own_reachable_count: int,
     missed_workers: Mapping[str, HeartbeatId],
 ) -> str | None:
-    """Return a node that reaches enough of the queried workers that the leader misses, or None.
+    """Return a node that can reach enough of the queried workers that the leader misses, or None.
 
     Args:
         answers: The nodes' answers, by node name.
         query: The query.
-        own_reachable_count: How many of the queried workers answer the leader itself.
+        own_reachable_count: How many of the queried workers answer the leader's probes.
         missed_workers: The workers that the leader still misses, with the newest heartbeat that it has of each. A
-            heartbeat that another node got and that is older was delivered late, and proves nothing.
+            older heartbeat received by another node was delivered late, and does not show that the node is reachable.
     """
     for name, answer in answers.items():
         better_reached = {
