--- a/roseweir/kv_store/client.py
+++ b/roseweir/kv_store/client.py
@@ -50,10 +50,10 @@
 
 REQUEST_TIMEOUT = seconds(2)
 MAX_CONNECTIONS = 8
-# Keys in one response, at most.
+# Maximum number of keys in one response.
 MAX_PAGE_KEYS = 1000
-# All controllers share the store's limits, so one of them never plans to use them whole: the shares of the store's
-# requests and changes per second that this node uses.
+# This node's shares of the store's requests and changes per second. All controllers share the store's limits, so no
+# controller uses them entirely.
 REQUEST_RATE_SHARE = 0.6
 WRITE_RATE_SHARE = 0.7
 
@@ -61,16 +61,17 @@
 class KeyValueStoreClient:
     """Client of the key-value store; paths and fields as in the protocol.
 
-    Besides what each method names, all of them raise RateLimited (429), StoreUnavailable (503) and StoreError (any
-    other refusal) for requests that were not carried out, and `roseweir.http.Unreachable` for those that may have been.
+    In addition to the errors that each method documents, all methods raise RateLimited (429), StoreUnavailable (503)
+    and StoreError (any other refusal) for requests that were not executed, and `roseweir.http.Unreachable` for requests
+    that may have been executed.
 
     Attributes:
         is_failing: Whether the last request got no answer, or 503.
-        transaction_limits: The known limits of one transaction, lowered as the store refuses transactions.
+        transaction_limits: The known limits of one transaction, which are lowered when the store refuses a transaction.
     """
 
     def __init__(self, address: str, settings: KeyValueStoreSettings, connect: Connect = connect) -> None:
-        """Connect to the store's address; the limits and rates to start from are in the settings."""
+        """Prepare connections to the store's address; the settings contain the initial limits and rates."""
         self.settings = settings
         self._send = connect(address, MAX_CONNECTIONS)
         self.is_failing = False
@@ -110,7 +111,7 @@
         return Entry(payload["path"], payload["v"], payload["stamp"])
 
     async def get_many(self, keys: Iterable[str]) -> dict[str, Entry | None]:
-        """Read several keys, MAX_CONNECTIONS at a time. A key that can't be read fails the whole call."""
+        """Read several keys, MAX_CONNECTIONS at a time. The call fails if any key can't be read."""
         semaphore = asyncio.Semaphore(MAX_CONNECTIONS)
 
         async def get_one(key: str) -> tuple[str, Entry | None]:
@@ -143,13 +144,14 @@
         return Page(entries, bool(payload.get("truncated")) and bool(entries), int(payload["ledger"]))
 
     async def compare_and_swap(self, guards: Guards, ops: Operations) -> int:
-        """Carry out all operations if every guard holds; return the revision, which is the version of all keys put.
+        """Execute all operations if every guard holds; return the revision, which is the version of all written keys.
 
         Raises:
             CompareFailed: A guard failed; nothing was changed.
-            LeaseExpired: The lease of a key put does not exist any more; nothing was changed.
-            ValueTooLarge: Beyond the store's limits, which `transaction_limits` has learnt from; nothing was changed.
-            Unreachable: It may have been carried out, or may be later.
+            LeaseExpired: The lease of a written key does not exist any more; nothing was changed.
+            ValueTooLarge: The transaction exceeds the store's limits; nothing was changed, and `transaction_limits` was
+                lowered unless the refusal showed nothing new.
+            Unreachable: The transaction may have been executed, or may be executed later.
         """
         if ops:
             await self._write_limiter.acquire(len(ops))
@@ -174,17 +176,21 @@
         raise StoreError(f"state service answered {reply.status}: {reply.body[:200]!r}")
 
     async def wait_for_write_capacity(self, reserved_share: float = 0.0) -> float:
-        """Wait until this share of a second's changes is available; return how many changes are available above it."""
+        """Wait until the reserved share of the changes is available; return how many more are available.
+
+        Args:
+            reserved_share: Share of the changes of one second that is left for other writers of this node.
+        """
         reserved_tokens = self._write_limiter.max_tokens * reserved_share
         return await self._write_limiter.wait_for_tokens(reserved_tokens) - reserved_tokens
 
     async def wait_for_request_capacity(self) -> None:
-        """Wait until this node's requests are within their rate again."""
+        """Wait until the request rate of this node is below its limit again."""
         await self._request_limiter.wait_for_tokens(0.0)
 
     @property
     def writes_per_s(self) -> float:
-        """Changes per second that this node allows itself at present."""
+        """This node's present limit of changes per second."""
         return self._write_limiter.rate
 
     async def grant_lease(self, ttl: timedelta) -> int:
@@ -197,15 +203,15 @@
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         """Extend a lease to its full time to live; LeaseExpired if it does not exist any more.
 
-        Renewals are not delayed by the request rate: a late one costs the leader its lease.
+        The request rate limit does not delay renewals, since the leader would lose its lease by a late renewal.
         """
         reply = await self._call("POST", f"/holds/{lease_id}/extend", timeout=timeout)
         if reply.status == 404:
-            raise LeaseExpired(f"lease {lease_id} is gone")
+            raise LeaseExpired(f"lease {lease_id} does not exist")
         _require_ok(reply)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease at once, and delete the keys attached to it. One that does not exist is no error."""
+        """End a lease at once and delete the keys attached to it. It is no error if the lease does not exist."""
         await self._request_limiter.acquire()
         reply = await self._call("DELETE", f"/holds/{lease_id}")
         if reply.status not in (200, 404):
@@ -217,8 +223,8 @@
         """Wait for changes after a revision, up to `max_wait`.
 
         Returns:
-            The changes and the revision they reach, or None (410) if the revision is too old to watch from, so that the
-            keys must be read again.
+            The changes and the latest revision that they cover, or None (410) if the store does not keep the changes
+            since `after` any more, so that the keys must be read again.
         """
         max_wait_ms = round(max_wait.total_seconds() * 1000)
         path = f"/watch?prefix={quote(prefix, safe='')}&after={after}&block_ms={max_wait_ms}"
--- a/roseweir/kv_store/concurrency.py
+++ b/roseweir/kv_store/concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrent calls whose failure is reported only once all of them are over."""
+"""Concurrent calls whose first failure is raised only after all of them have completed."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -9,7 +9,7 @@
 
 
 async def gather_all(*awaitables: Awaitable[T]) -> list[T]:
-    """Return all results in order, or raise the first failure once every call is over."""
+    """Return all results in order, or raise the first failure in that order after every call has completed."""
     results = await asyncio.gather(*awaitables, return_exceptions=True)
     for result in results:
         if isinstance(result, BaseException):
@@ -18,7 +18,7 @@
 
 
 async def gather_pair(first_awaitable: Awaitable[T], second_awaitable: Awaitable[U]) -> tuple[T, U]:
-    """Return the results of two concurrent calls, or raise the first failure once both are over."""
+    """Return the results of two concurrent calls, or raise the first failure after both have completed."""
     first, second = await asyncio.gather(first_awaitable, second_awaitable, return_exceptions=True)
     if isinstance(first, BaseException):
         raise first
--- a/roseweir/kv_store/errors.py
+++ b/roseweir/kv_store/errors.py
@@ -1,8 +1,8 @@
 """Errors of the key-value store's client.
 
-Every error derives from `KeyValueStoreError`. `StoreError` is only a part of them: a failed comparison and an expired
-lease are answers about the stored state, and `except StoreError`, which means "try again later", must not catch them.
-A request that got no answer at all raises `roseweir.http.Unreachable` instead, and may have been carried out.
+Every error derives from `KeyValueStoreError`. Those that derive from `StoreError` may be retried later. A failed
+comparison and an expired lease describe the stored state, so `except StoreError` must not catch them. A request without
+an answer raises `roseweir.http.Unreachable` instead, and may have been executed.
 """
 
 
@@ -11,22 +11,22 @@
 
 
 class StoreError(KeyValueStoreError):
-    """The store refused the request (any status without an error of its own below) and did not carry it out."""
+    """The store refused the request (with any status that has no subclass below) and did not execute it."""
 
 
 class StoreUnavailable(StoreError):
-    """The store answered 503: the request was not carried out."""
+    """The store answered 503: the request was not executed."""
 
 
 class RateLimited(StoreError):
-    """The store answered 429: the request was not carried out, because it exceeds the store's request rate."""
+    """The store answered 429: the request was not executed, because it exceeds the store's request rate."""
 
 
 class ValueTooLarge(StoreError):
     """The store answered 400: a value or the whole transaction exceeds its limits, and nothing was changed.
 
     Attributes:
-        is_limit_lowered: Whether the known limits were lowered by this refusal, so that smaller parts may pass.
+        is_limit_lowered: Whether this refusal lowered the known limits, so that a smaller transaction may succeed.
     """
 
     def __init__(self, message: str, is_limit_lowered: bool) -> None:
@@ -35,7 +35,7 @@
 
 
 class QueueFull(StoreError):
-    """Too many changes wait in the group committer already; this one was not queued."""
+    """The group committer's queue is full; the change was not queued."""
 
 
 class CompareFailed(KeyValueStoreError):
--- a/roseweir/kv_store/fenced_writes.py
+++ b/roseweir/kv_store/fenced_writes.py
@@ -1,10 +1,10 @@
 """Fenced writes: keys that only the leader writes, guarded by the leader's key and by their own versions.
 
-Only values that differ from the stored ones are written. A write without an answer may have been carried out, or may be
-later: the version of its key is read before the next write, and the guard lets only one of the attempts succeed. A
-version is never used again, except 0. A key that was to be created by an unanswered write, was created by the next one
-and deleted later, was created once more as the first write was carried out late. So this leader does not delete such a
-key. The next leader does: its election makes every write that is still in flight fail.
+Only values that differ from the stored ones are written. An unanswered write may have been executed, or may be executed
+later, so the version of its key is read before the next write, and the guard lets only one of the two succeed. Versions
+are never reused, except version 0 (no such key). If an unanswered write was to create a key, and the next write creates
+it and a later one deletes it, a late execution of the unanswered write would create the key again. So this leader does
+not delete such a key. The next leader can, since its election makes the guards of all writes still in flight fail.
 """
 
 import logging
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 MAX_TXN_BYTES = 48 * 1024
-# What a key adds to a transaction's size beside its name and value, at most.
+# Maximum bytes that a key adds to a transaction besides its name and value.
 KEY_OVERHEAD_BYTES = 64
 
 
@@ -33,11 +33,11 @@
     """Writes the keys of one record (a set of keys with one owner) for one leader.
 
     Attributes:
-        key_versions: The versions of the record's keys, as far as known; a key that is not there does not exist.
+        key_versions: The known versions of the record's keys; keys that are missing here do not exist in the store.
     """
 
     def __init__(self, kv_store: KeyValueStoreClient, leader_key_version: int, record_name: str) -> None:
-        """Begin with an empty record; `record_name` names it in errors and log lines."""
+        """Begin with an empty record; errors and log lines contain `record_name`."""
         self.kv_store = kv_store
         self.leader_key_version = leader_key_version
         self.key_versions: dict[str, int] = {}
@@ -45,17 +45,18 @@
         self._record_name = record_name
         self._stored_values: dict[str, bytes] = {}
         self._uncertain_keys: set[str] = set()
-        self._possibly_created_keys: set[str] = set()  # by a write that found no such key, and is still in flight
+        # Keys that an unanswered write with guard version 0 may still create.
+        self._possibly_created_keys: set[str] = set()
 
     def load(self, entries: list[Entry]) -> None:
-        """Take over the record's entries as stored when this leader was elected."""
+        """Load the record's entries as stored when this leader was elected."""
         self.key_versions = {entry.key: entry.version for entry in entries}
         self._stored_values = {entry.key: orjson.dumps(entry.value) for entry in entries}
 
     def changed_values(self, values: dict[str, Any]) -> dict[str, Any]:
         """Return the values that differ from the stored ones.
 
-        An empty value of a key that does not exist is no change.
+        An empty value does not differ from a key that does not exist.
         """
         changed: dict[str, Any] = {}
         for key, value in values.items():
@@ -70,12 +71,12 @@
         return changed
 
     async def save(self, changes: dict[str, Any]) -> None:
-        """Write keys in their order, in as few transactions as they fit. A value of None deletes its key.
+        """Write keys in their order, in as few transactions as possible. A value of None deletes its key.
 
         Raises:
-            ValueTooLarge: The store refuses a value by itself; all other keys are written.
+            ValueTooLarge: The store refuses a value even in a transaction of its own; all other keys are written.
             LeadershipLost: Another node leads.
-            StoreError, Unreachable: A transaction failed; keys after it are not written.
+            StoreError, Unreachable: A transaction failed; the keys after it are not written.
         """
         refused: list[ValueTooLarge] = []
         batch: dict[str, Any] = {}
@@ -98,7 +99,7 @@
             raise refused[0]
 
     async def _write_or_split(self, batch: dict[str, Any]) -> list[ValueTooLarge]:
-        """Write a batch, in halves where the store refuses it as too large; return the refusals of single keys."""
+        """Write a batch, split in halves if the store refuses it as too large; return the refusals of single keys."""
         try:
             await self.write(batch)
         except ValueTooLarge as e:
@@ -112,7 +113,7 @@
         return []
 
     async def refresh_version(self, key: str) -> None:
-        """Read the version of a key that an unanswered write may have changed; no request for any other key."""
+        """Read the version of a key if an unanswered write may have changed it; otherwise send no request."""
         if key in self._uncertain_keys:
             entry = await self.kv_store.get(key)
             self.key_versions[key] = 0 if entry is None else entry.version
@@ -124,13 +125,13 @@
         guards: Guards | None = None,
         ops: Operations | None = None,
     ) -> None:
-        """Write these keys in one transaction, with further guards and operations beside them.
+        """Write these keys in one transaction, together with additional guards and operations.
 
         Raises:
             LeadershipLost: Another node leads.
-            CompareFailed: Only further guards failed; nothing was changed.
-            ValueTooLarge: Nothing was changed.
-            StoreError, Unreachable: The keys' versions are uncertain, and are read before they are written again.
+            CompareFailed: Only additional guards failed; nothing was changed.
+            ValueTooLarge: The store refuses the transaction as too large; nothing was changed.
+            StoreError, Unreachable: The keys' versions are uncertain, and are read before the next write.
         """
         fencing_guards = [
             (LEADER_KEY, self.leader_key_version),
--- a/roseweir/kv_store/group_commit.py
+++ b/roseweir/kv_store/group_commit.py
@@ -1,8 +1,8 @@
-"""Group commit: small independent changes share a transaction, and each has an outcome of its own.
+"""Group commit: small independent changes share a transaction, and each change has its own outcome.
 
-A transaction without an answer blocks nothing behind it: the next one is sent beside it, reads look for what it has
-written, and its changes are sent once more. So each change must be harmless when it is carried out late or twice: its
-own guards have to fail from the first time on, for as long as its keys are used.
+An unanswered transaction does not block later ones: the next transaction is sent while it is in flight, reads check
+whether it was executed, and its changes are sent a second time. So a change must be harmless if it is executed late or
+twice: once it has been executed, its own guards have to fail for as long as its keys are used.
 """
 
 import asyncio
@@ -26,21 +26,20 @@
 log = logging.getLogger(__name__)
 
 MAX_TXN_BYTES = 56 * 1024
-# Attempts of a change that the store refuses for its request rate, before the caller gets the error.
+# Attempts to send a change that the store refuses with 429, before the caller gets the error.
 MAX_RATE_LIMITED_ATTEMPTS = 4
 RATE_LIMITED_RETRY_INTERVAL = seconds(0.25)
-# Most answers come within 10 ms. While one takes longer than this, the next transaction is sent beside it,
+# The next transaction is sent after this delay if the last one is still unanswered. Most answers take less than 10 ms.
 NEXT_TXN_DELAY = timedelta(milliseconds=25)
-# and no more of them than this.
 MAX_TXNS_IN_FLIGHT = 8
-# After this delay an unanswered transaction is looked up by reads,
+# Delay before the first read that checks whether an unanswered transaction was executed.
 CONFIRM_DELAY = timedelta(milliseconds=50)
-# again after this interval, which doubles each time,
+# Interval from the first to the second of these reads; it doubles each time.
 CONFIRM_INTERVAL = timedelta(milliseconds=100)
-# and its changes that are not confirmed by then are sent once more.
+# Delay after which the unconfirmed changes of an unanswered transaction are sent a second time.
 RESEND_DELAY = timedelta(milliseconds=300)
-# The share of the store's changes per second that may be spent on that: while the store is slow, nothing is confirmed
-# in time.
+# Share of the store's changes per second that may be spent on sending changes a second time. Without this limit all
+# changes would be sent twice while the store is slow, since none is confirmed in time.
 RESEND_WRITE_SHARE = 0.05
 RESEND_BURST_S = 4.0
 
@@ -52,16 +51,19 @@
     size_bytes: int
     result: asyncio.Future[int]
     confirm: ConfirmWrite | None
-    txns_in_flight: int = 0  # transactions that hold it and have no answer
+    txns_in_flight: int = 0  # unanswered transactions that contain this change
     is_resent: bool = False
     last_error: Exception | None = None
 
 
 class GroupCommitter:
-    """Queues changes and commits them in shared transactions; `run` must be running for that."""
+    """Queues changes and commits them in shared transactions, while `run` is running."""
 
     def __init__(self, kv_store: KeyValueStoreClient, max_queued: int) -> None:
-        """Begin with an empty queue, which never holds more than `max_queued` changes of new callers."""
+        """Begin with an empty queue; `commit` raises QueueFull while it holds `max_queued` changes or more.
+
+        Changes that are sent a second time are queued even beyond this limit.
+        """
         self.kv_store = kv_store
         self.max_queued = max_queued
         self._queue: deque[_PendingChange] = deque()
@@ -70,14 +72,15 @@
         self._txns_in_flight: set[asyncio.Task[None]] = set()
 
     async def commit(self, guards: Guards, ops: Operations, confirm: ConfirmWrite | None = None) -> int:
-        """Commit one change; return its revision, or the one by which `confirm` finds that it was carried out.
+        """Commit one change; return its revision, or the revision that `confirm` returns if that comes first.
 
         Raises:
-            QueueFull: Too many changes wait; this one was not queued.
-            CompareFailed: One of its guards failed, perhaps since an earlier attempt succeeded: the caller has to read.
-            ValueTooLarge: The store refuses the change by itself.
-            StoreError: It was not carried out.
-            Unreachable: It may have been carried out: the caller has to read.
+            QueueFull: The queue is full; the change was not queued.
+            CompareFailed: One of its guards failed, possibly because an earlier attempt succeeded; the caller has to
+                read the keys.
+            ValueTooLarge: The store refuses the change even in a transaction of its own.
+            StoreError: The change was not executed.
+            Unreachable: The change may have been executed; the caller has to read the keys.
         """
         if len(self._queue) >= self.max_queued:
             raise QueueFull("too many changes wait")
@@ -115,7 +118,8 @@
                 self._queue.popleft()
                 continue
             keys = {key for key, _ in change.guards}
-            # Two changes of one key must not share a transaction: the second has to see the first.
+            # Two changes of the same key must not share a transaction: the guard of the second has to be checked
+            # against the result of the first.
             if batch and (
                 op_count + len(change.ops) > max_ops
                 or size_bytes + change.size_bytes > MAX_TXN_BYTES
@@ -130,7 +134,7 @@
         return batch
 
     async def _commit_batch(self, batch: list[_PendingChange]) -> None:
-        """Send a batch, until it is answered or each of its changes has its outcome otherwise."""
+        """Send a batch, and return when it is answered or all of its changes have been confirmed by reads."""
         for change in batch:
             change.txns_in_flight += 1
         send_task = asyncio.create_task(self._send_batch(batch))
@@ -145,7 +149,10 @@
             confirm_task.cancel()
 
     async def _confirm_or_resend(self, batch: list[_PendingChange]) -> None:
-        """Look for what an unanswered transaction has written, and send it again, until all changes have an outcome."""
+        """Check by reads which changes of an unanswered transaction were executed, and send the others again.
+
+        Returns when all changes have an outcome.
+        """
         await sleep(CONFIRM_DELAY)
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(self._confirm_change(c, c.confirm)) for c in batch if c.confirm is not None]
@@ -205,7 +212,7 @@
             return
 
     async def _send_halves(self, batch: list[_PendingChange], error: ValueTooLarge) -> None:
-        """Send halves of a refused batch, so that a change that is too large by itself fails alone."""
+        """Send the halves of a refused batch separately, so that only a change that is itself too large fails."""
         if len(batch) > 1:
             half = len(batch) // 2
             await self._send_batch(batch[:half])
@@ -216,9 +223,10 @@
         _fail_change(batch[0], error)
 
     def _record_failed_txn(self, batch: list[_PendingChange], error: Exception) -> None:
-        """Record the failure of one of the transactions that hold these changes.
+        """Record the failure of one of the transactions that contain these changes.
 
-        The last of its transactions fails a change: as one that may have been carried out, if any of them may have.
+        A change fails when the last of its transactions has failed: with Unreachable if any of them may have been
+        executed.
         """
         for change in batch:
             change.txns_in_flight -= 1
@@ -229,7 +237,7 @@
 
 
 def _fail_conflicting(batch: list[_PendingChange], error: CompareFailed) -> list[_PendingChange]:
-    """Fail the changes whose guards failed; return the others. All fail if the error names no guard of theirs."""
+    """Fail the changes whose guards failed; return the others. If the error names no guard of the batch, fail all."""
     failed_keys = set(error.failed_keys)
     remaining: list[_PendingChange] = []
     for change in batch:
--- a/roseweir/kv_store/keys.py
+++ b/roseweir/kv_store/keys.py
@@ -1,4 +1,4 @@
-"""Keys that this package itself knows."""
+"""Keys that the key-value store client itself reads or guards."""
 
-# The leader's key. It is deleted with the leader's lease, and every write of a leader is guarded by its version.
+# The leader's key is deleted when the leader's lease ends, and its version guards every write of the leader.
 LEADER_KEY = "lead/leader"
--- a/roseweir/kv_store/operations.py
+++ b/roseweir/kv_store/operations.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-# A key and the version that it must have for the transaction to be carried out; 0: the key must not exist.
+# A key and the version that it must have for the transaction to be executed; 0: the key must not exist.
 Guard = tuple[str, int]
 Guards = list[Guard]
-# One change of one key, as `put` and `delete` return it.
+# A change of one key, as returned by `put` or `delete`.
 Operation = dict[str, Any]
 Operations = list[Operation]
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Operation:
-    """Return the operation that sets a key to a JSON value; a key with a lease is deleted as the lease expires."""
+    """Return the operation that sets a key to a JSON value; a key with a lease is deleted when the lease expires."""
     return {"put": key, "v": value} if lease_id is None else {"put": key, "v": value, "tenancy": lease_id}
 
 
--- a/roseweir/kv_store/rate_limiter.py
+++ b/roseweir/kv_store/rate_limiter.py
@@ -1,31 +1,32 @@
-"""Client-side rate limits: token buckets that delay callers so that the service need not refuse them."""
+"""Client-side rate limits: token buckets that delay requests which the store would otherwise refuse."""
 
 from datetime import datetime
 
 from roseweir.clock import monotonic_now, seconds, sleep
 
-# What the rate is multiplied by after a refusal, and the share of the configured rate that it never falls below.
+# A refusal multiplies the rate by this factor.
 RATE_DECREASE_FACTOR = 0.8
+# Lower bound of the rate, as a share of the configured rate.
 MIN_RATE_SHARE = 0.1
-# The share of the configured rate that is regained in each second.
+# Share of the configured rate by which the rate increases in each second.
 RATE_RECOVERY_PER_S = 0.01
-# Refusals within this time count as one.
+# Further refusals within this time after a decrease do not decrease the rate again.
 RATE_DECREASE_INTERVAL = seconds(1)
-# Rounding errors of this many tokens don't make a caller wait again.
+# A shortage of at most this many tokens is a rounding error, and does not make a caller wait again.
 TOKEN_TOLERANCE = 1e-6
-# Added to each wait for tokens, so that they are there when it ends.
+# Added to each wait for tokens, so that the tokens are available when it ends.
 EXTRA_WAIT_S = 0.001
 
 
 class RateLimiter:
-    """A token bucket that makes callers wait instead of being refused."""
+    """A token bucket that makes callers wait for tokens."""
 
     def __init__(self, per_second: float, burst_s: float = 1.0) -> None:
         """Start with a full bucket.
 
         Args:
             per_second: Tokens added in each second.
-            burst_s: The bucket's capacity, in seconds of that rate.
+            burst_s: The bucket's capacity, as the time in seconds in which that many tokens are added.
         """
         self.rate = per_second
         self.max_tokens = per_second * burst_s
@@ -39,7 +40,7 @@
         self.refilled_at = now
 
     async def acquire(self, cost: float = 1.0) -> None:
-        """Take tokens, and wait until the bucket would have held them."""
+        """Take tokens at once, even beyond the available ones, and wait until the shortage is made up."""
         self._refill()
         self.tokens -= cost
         if self.tokens < 0:
@@ -54,9 +55,9 @@
         return True
 
     async def wait_for_tokens(self, token_count: float) -> float:
-        """Wait until the bucket holds that many tokens, at most its capacity; return how many it holds then.
+        """Wait until the bucket holds that many tokens, or is full; return how many it holds then.
 
-        None are taken, so that a batch can still grow meanwhile.
+        No tokens are taken yet, so that the caller's batch can grow during the wait.
         """
         while True:
             self._refill()
@@ -66,9 +67,9 @@
 
 
 class AdaptiveRateLimiter(RateLimiter):
-    """A rate limiter that learns the service's rate from refusals.
+    """A rate limiter that adapts its rate to the store's refusals.
 
-    The rate is decreased at once by a refusal, and recovers slowly up to the configured one.
+    A refusal decreases the rate at once; afterwards it recovers slowly, up to the configured rate.
     """
 
     def __init__(self, per_second: float) -> None:
@@ -89,9 +90,9 @@
             self.rate = self.max_tokens = min(self._configured_rate, self.rate + rate_gain)
 
     def decrease_rate(self) -> bool:
-        """Apply a refusal of the service's; return whether it decreased the rate.
+        """Decrease the rate after a refusal; return False if the rate was decreased less than an interval ago.
 
-        Refusals within RATE_DECREASE_INTERVAL count as one.
+        That interval is RATE_DECREASE_INTERVAL.
         """
         self._refill()
         if (
--- a/roseweir/kv_store/records.py
+++ b/roseweir/kv_store/records.py
@@ -1,4 +1,4 @@
-"""What the key-value store returns: entries, pages of entries and changes."""
+"""Results of the key-value store: entries, pages of entries, and changes reported by a watch."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A key, its JSON value, and its version: the store's revision as it was last written."""
+    """A key, its JSON value, and its version, which is the store's revision of the last write of the key."""
 
     key: str
     value: Any
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True)
 class Page:
-    """Entries in the order of their keys, whether more follow, and a revision that they are at least as new as."""
+    """Entries in the order of their keys, whether more entries follow, and the store's revision at the read.
+
+    The entries contain all changes up to that revision, and possibly later ones.
+    """
 
     entries: list[Entry]
     has_more: bool
@@ -24,7 +27,7 @@
 
 @dataclass(slots=True)
 class WatchEvent:
-    """One change seen by a watch. The value is None for a deletion."""
+    """One change reported by a watch. The value is None for a deletion."""
 
     key: str
     value: Any
--- a/roseweir/kv_store/transaction_limits.py
+++ b/roseweir/kv_store/transaction_limits.py
@@ -1,8 +1,8 @@
-"""The store's limits on one transaction, as far as they are known: configured, or learnt from refusals.
+"""The known limits of the store on one transaction: initially the configured ones, lowered after refusals.
 
-The limits may fall without notice. A refusal (400) proves that a value or the number of changes was too large, though
-not which of the two, so one is lowered after the other until transactions pass. They are never raised again: too
-low a limit costs more transactions, too high a one is refused.
+The store's limits may be lowered without notice. A refusal (400) shows that a value or the number of changes was too
+large, but not which of the two, so one known limit after the other is lowered until transactions succeed. Known limits
+are never raised: too low a limit only costs more transactions, while too high a limit makes the store refuse them.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class TransactionLimits:
-    """The largest value, in bytes, and the most operations that one transaction may have."""
+    """The maximum size of a value, in bytes, and the maximum number of operations in one transaction."""
 
     def __init__(self, settings: KeyValueStoreSettings) -> None:
         """Start from the configured limits."""
@@ -23,16 +23,16 @@
         self.max_txn_ops = settings.max_txn_ops
 
     def lower_after_refusal(self, op_count: int, largest_bytes: int, is_value_named: bool) -> bool:
-        """Lower a limit after a refused transaction; return False if the refusal proves nothing new.
+        """Lower a limit after a refused transaction; return False if the refusal shows nothing new.
 
         Args:
-            op_count: Operations in the transaction.
-            largest_bytes: Bytes of its largest value.
-            is_value_named: Whether the answer's text mentions a value. The wording is no part of the protocol: it only
+            op_count: Number of operations in the transaction.
+            largest_bytes: Size of its largest value.
+            is_value_named: Whether the answer's text mentions a value. The text is not part of the protocol, so it only
                 decides which limit is lowered first.
         """
         if op_count > self.max_txn_ops or largest_bytes > self.max_value_bytes:
-            return False  # sent before an earlier refusal was learnt from
+            return False  # sent before an earlier refusal lowered the limits
         if is_value_named:
             is_lowered = self._lower_value_limit(largest_bytes) or self._lower_ops_limit(op_count)
         else:
--- a/roseweir/kv_store/write_confirmation.py
+++ b/roseweir/kv_store/write_confirmation.py
@@ -1,7 +1,7 @@
-"""Confirmation of writes by reads while their answer is awaited, since a lost answer would block what follows.
+"""Confirmation of writes by reads while their answer is pending, since a lost answer would delay all later writes.
 
-A read can prove only one thing: that the transaction was carried out. A key that does not exist, or holds another
-value, proves nothing, since the transaction may be carried out later.
+A read can only prove that the transaction was executed. It can't prove the opposite: if the key does not exist or has
+another value, the transaction may still be executed later.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 from roseweir.kv_store.keys import LEADER_KEY
 from roseweir.kv_store.operations import Guards, Operations
 
-# Most answers come within 10 ms. After this delay the write is looked up by a read,
+# Delay before the first read that checks whether a write was executed. Most answers take less than 10 ms.
 CONFIRM_DELAY = timedelta(milliseconds=60)
-# then after this interval, which doubles each time.
+# Interval from the first to the second of these reads; it doubles each time.
 CONFIRM_INTERVAL = timedelta(milliseconds=120)
-# Of one such read.
+# Timeout of one such read.
 CONFIRM_TIMEOUT = timedelta(milliseconds=500)
-# What is not confirmed by then is sent once more where that is harmless.
+# Delay after which an unconfirmed transaction is sent a second time, if that is harmless.
 RESEND_DELAY = timedelta(milliseconds=400)
 
-# Returns the revision at which a write is proven to have been carried out. None: nothing is known, as it may be later.
+# Returns the revision at which a write was executed, or None if that is uncertain: it may still be executed later.
 ConfirmWrite = Callable[[], Awaitable[int | None]]
 
 
 async def commit_or_confirm(
     kv_store: KeyValueStoreClient, guards: Guards, ops: Operations, confirm: ConfirmWrite
 ) -> int:
-    """Return (or raise) what `compare_and_swap` does, or the revision that `confirm` finds if that comes first."""
+    """Return or raise the outcome of `compare_and_swap`, or return the revision from `confirm` if that comes first."""
     send_task = asyncio.create_task(kv_store.compare_and_swap(guards, ops))
     confirm_task = asyncio.create_task(_poll_until_confirmed(confirm))
     try:
@@ -59,11 +59,11 @@
 
 
 class LeaderTransactions:
-    """One leader's transactions on a set of keys that nobody else writes.
+    """One leader's transactions on a set of keys that only the leader writes.
 
-    Every transaction is guarded by the leader's key. So a version of such a key that is newer than the transaction's
-    guard was written by this leader while the leader's key is unchanged, and by this transaction unless another attempt
-    that may still be carried out puts the same value with the same guard.
+    Every transaction is guarded by the version of the leader's key. So while the leader's key is unchanged, only this
+    leader can have written a version of another key that is newer than the transaction's guard. If its value is that of
+    the transaction, this transaction was executed, unless an unconfirmed one has the same guard and value for the key.
     """
 
     def __init__(
@@ -79,19 +79,20 @@
             kv_store: The store's client.
             leader_key_version: Version of the leader's key since this leader's election.
             write_once_prefixes: Prefixes of keys that need no guards of their own, because at most one answered
-                transaction writes each.
-            may_resend: Whether a transaction may be sent twice: none of the keys is deleted and created again, so that
-                one that was carried out can't be carried out once more.
+                transaction writes each of them.
+            may_resend: Whether a transaction may be sent twice. This requires that none of the keys is deleted and
+                created again, so that an executed transaction can't be executed a second time.
         """
         self._kv_store = kv_store
         self._leader_key_version = leader_key_version
         self._write_once_prefixes = write_once_prefixes
         self._may_resend = may_resend
-        # Guard and value of writes without an answer, by key. Versions of guards that have failed since don't matter.
+        # Guard version and value of each unanswered write, by key. Writes whose guards can't hold any more may be left
+        # out.
         self._unconfirmed_writes: dict[str, set[tuple[int, bytes]]] = {}
 
     async def commit(self, guards: Guards, ops: Operations) -> int:
-        """Commit and return the revision, which all keys put have as their version; errors as of `compare_and_swap`."""
+        """Commit and return the revision, which is the version of all written keys; errors as `compare_and_swap`."""
         writes = self._own_writes(guards, ops)
         unambiguous_writes = [
             (key, *write) for key, write in writes.items() if write not in self._unconfirmed_writes.get(key, ())
@@ -109,14 +110,14 @@
         except (Unreachable, asyncio.CancelledError):
             for key, (version, value) in writes.items():
                 attempts = self._unconfirmed_writes.get(key, set())
-                # A version is never used again, but 0 is.
+                # Attempts with other guard versions can't succeed any more, since no version except 0 is reused.
                 self._unconfirmed_writes[key] = {attempt for attempt in attempts if attempt[0] in (0, version)} | {
                     (version, value)
                 }
             raise
 
     async def _commit_with_resend(self, guards: Guards, ops: Operations, confirm: ConfirmWrite) -> int:
-        """Send it once more if it is not confirmed in time. At most one of the two succeeds, no matter which."""
+        """Send the transaction a second time if it is not confirmed in time. At most one of the two succeeds."""
         attempts = [asyncio.create_task(commit_or_confirm(self._kv_store, guards, ops, confirm))]
         try:
             await asyncio.wait(attempts, timeout=RESEND_DELAY.total_seconds())
@@ -128,13 +129,19 @@
                 attempt.cancel()
 
     async def _first_outcome(self, attempts: list["asyncio.Task[int]"], confirm: ConfirmWrite) -> int:
-        """Return the first revision; raise a failed comparison, else Unreachable if any may have run, else an error."""
+        """Return the first revision, or raise an error if no attempt has one.
+
+        Raises:
+            CompareFailed: A guard failed, and no read confirms that another attempt succeeded.
+            Unreachable: At least one attempt may have been executed.
+            StoreError: No attempt was executed.
+        """
         errors: list[Exception] = []
         for attempt in asyncio.as_completed(attempts):
             try:
                 return await attempt
             except CompareFailed:
-                # The other attempt may have succeeded. If it has not, it can't be carried out any more.
+                # The other attempt may have succeeded. If it has not, its guards fail as well.
                 revision = await self._confirm_or_none(confirm) if len(attempts) > 1 else None
                 if revision is None:
                     raise
@@ -151,7 +158,7 @@
             return None
 
     def _own_writes(self, guards: Guards, ops: Operations) -> dict[str, tuple[int, bytes]]:
-        """The version that each key put was guarded with, and the value put, by key."""
+        """Return the guard version and the value of each written key, by key."""
         versions = dict(guards)
         writes: dict[str, tuple[int, bytes]] = {}
         for op in ops:
@@ -168,11 +175,11 @@
             or canonical_json(entry.value) != value
         ):
             return None
-        # Read after the key itself: until then nobody but this leader has written it.
+        # Read after the key itself: if the leader's key is unchanged, only this leader can have written the key.
         leader = await self._kv_store.get(LEADER_KEY, timeout=CONFIRM_TIMEOUT)
         return entry.version if leader is not None and leader.version == self._leader_key_version else None
 
 
 def canonical_json(value: Any) -> bytes:
-    """Encode a value so that equal values give equal bytes, whatever the order of their fields."""
+    """Encode a value so that equal values have equal encodings, regardless of the order of their fields."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS)
