--- a/roseweir/membership/__init__.py
+++ b/roseweir/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: who is up, who leads and who reaches whom, as a controller concludes from its peers and workers.
+"""Membership: which nodes are up, which one leads, and which can reach each other, as observed by one controller.
 
 Used for health checks, for redirecting workers and for resigning from leadership.
 """
--- a/roseweir/membership/failure_detector.py
+++ b/roseweir/membership/failure_detector.py
@@ -1,7 +1,8 @@
-"""The leader's failure detector for its own way to the workers. Pure: the current instant is always an argument.
+"""The leader's failure detector for the network path from its workers. Pure: the current instant is an argument.
 
-Holding the lease proves only the way to the key-value store, and an answer of a peer only the way to that peer. So each
-conclusion of this package names the way it rests on, and no answer at all never counts for or against anybody.
+A valid lease shows only that the key-value store can be reached, and a peer's answer only that the peer can be reached.
+So each decision of this package is based on the network path that it concerns, and a missing answer of a node counts
+neither for nor against that node.
 """
 
 from collections.abc import Mapping
@@ -14,7 +15,7 @@
 # Other packages import it from here.
 from roseweir.leader_election.leader_search import LeaderSearch as LeaderSearch
 
-# How often the leader checks whether heartbeats have come, and how many checks in a row must miss most of them.
+# Interval of the leader's checks for missed heartbeats, and how many checks in a row must find most of them missing.
 HEARTBEAT_CHECK_INTERVAL = seconds(0.25)
 MIN_CONSECUTIVE_MISSES = 2
 
@@ -23,17 +24,17 @@
     """What one check of the heartbeats shows."""
 
     HEALTHY = 0
-    PROCESS_PAUSED = 1  # this process was paused: what it knows may be out of date
-    HEARTBEATS_MISSED = 2  # by most workers, in checks on time, and more than once
+    PROCESS_PAUSED = 1  # this process was paused, so its state may be out of date
+    HEARTBEATS_MISSED = 2  # those of most workers are overdue, in MIN_CONSECUTIVE_MISSES punctual checks in a row
 
 
 @dataclass(slots=True)
 class HeartbeatMonitor:
-    """A leader's checks whether its workers' heartbeats come.
+    """Evaluates a leader's periodic checks for missed heartbeats.
 
     Attributes:
-        consecutive_misses: Checks on time in a row that missed most heartbeats.
-        pause_duration: For how long this process was paused, as of the last check that found it so.
+        consecutive_misses: Number of punctual checks in a row in which most heartbeats were overdue.
+        pause_duration: Duration of the last pause of this process that a check detected.
     """
 
     consecutive_misses: int = 0
@@ -44,7 +45,7 @@
     ) -> HeartbeatVerdict:
         """Evaluate one check.
 
-        A loaded moment delays the check as well as the heartbeats, so only checks on time count.
+        High load delays the checks as well as the heartbeats, so only punctual checks count.
 
         Args:
             wait_started_at: When the wait of HEARTBEAT_CHECK_INTERVAL before this check began.
--- a/roseweir/membership/messages.py
+++ b/roseweir/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages that controllers exchange about cancellations that their users were told of."""
+"""Messages that controllers exchange about cancellations that they have acknowledged to users."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
 
 
 class AcknowledgedCancellations(msgspec.Struct, rename={"job_ids": "cancelled"}):
-    """The latest term known, and the jobs whose cancellation was acknowledged to users in the time asked about.
+    """The latest known term, and the jobs whose cancellation was acknowledged to users in the queried time.
 
-    `job_ids` is None if the controller has not been up for that long, so that it can't know all of them.
+    `job_ids` is None if the controller started later than that, so that its list may be incomplete.
     """
 
     term: int
--- a/roseweir/membership/monitor.py
+++ b/roseweir/membership/monitor.py
@@ -1,4 +1,4 @@
-"""A controller's view of its surroundings: peers, key-value store and workers, as one object."""
+"""Facade of this package: a controller's observation of its peers, the key-value store and its workers."""
 
 import logging
 from collections.abc import Callable, Coroutine
@@ -26,14 +26,14 @@
 
 # Addresses of workers, by name.
 WorkerAddresses = dict[str, str]
-# Address and newest heartbeat of each worker whose heartbeats are missed, by name.
+# Address and newest heartbeat id of each worker whose heartbeats are missed, by name.
 OverdueWorkers = dict[str, tuple[str, HeartbeatId]]
-# Makes the leader resign if another node reaches these workers.
+# Makes the leader resign if another node can reach these workers.
 ResignIfBetterConnectedNode = Callable[[WorkerAddresses, ListMissedWorkers], Coroutine[Any, Any, None]]
 
 
 class MembershipMonitor:
-    """What a controller asks its peers, and what it monitors of the store and of its workers."""
+    """Queries a controller's peers, and monitors its connections to the store and to its workers."""
 
     def __init__(self, settings: Settings, kv_store: KeyValueStoreClient, connect: Connect) -> None:
         """Prepare connections to the peers in the settings; nothing runs before the `monitor_` methods do."""
@@ -59,20 +59,20 @@
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the store can't be reached by this node alone."""
+        """Whether this node is the only one that can't reach the store."""
         return self._store_reachability.store_unreachable
 
     @property
     def latest_known_term(self) -> int:
-        """The latest of all terms that this process has seen in the store, its own among them."""
+        """The latest term that this process has read from the store or written to it."""
         return self._store_reachability.latest_known_term
 
     def observe_term(self, term: int) -> None:
-        """Take note of a term that the store holds."""
+        """Record a term that the store contains."""
         self._store_reachability.observe_term(term)
 
     async def monitor_store(self) -> None:
-        """Check whether this node alone can't reach the store, until cancelled."""
+        """Check periodically whether this node is the only one that can't reach the store, until cancelled."""
         await self._store_reachability.monitor()
 
     async def can_reach_store(self) -> bool:
@@ -89,13 +89,15 @@
     ) -> None:
         """Check the heartbeats every HEARTBEAT_CHECK_INTERVAL, until cancelled.
 
-        A leader that most workers do not reach any more asks whether another node should lead. After a pause of the
-        process heartbeats wait in its buffers: it handles those first, and reads who leads before it redirects workers.
+        A leader that misses the heartbeats of most workers queries whether another node can reach them and should lead.
+        After a pause of the process, the heartbeats in its buffers are handled first, and the leader's record is read
+        again before workers are redirected.
 
         Args:
-            list_overdue_workers: The workers whose heartbeats the leader misses, if they are most of all; else none.
+            list_overdue_workers: Returns the workers whose heartbeats the leader misses, if it misses those of most
+                workers; else nothing.
             on_process_pause: Called after a pause of this process.
-            resign_if_better_connected_node: Called with a sample of the workers as heartbeats are missed.
+            resign_if_better_connected_node: Called with a sample of the overdue workers when heartbeats are missed.
         """
         heartbeat_monitor = HeartbeatMonitor()
         while True:
@@ -117,7 +119,7 @@
         return await self._worker_prober.probe_workers(worker_addresses)
 
     def record_redirected_worker(self, heartbeat_body: bytes) -> None:
-        """Record a heartbeat sent to this node while it does not lead: its worker searches for the leader.
+        """Record a heartbeat from a worker that searches for the leader, sent to this node while it does not lead.
 
         A body that can't be decoded is ignored.
         """
--- a/roseweir/membership/peers.py
+++ b/roseweir/membership/peers.py
@@ -14,17 +14,17 @@
 from roseweir.settings import Peer
 
 PEER_TIMEOUT = seconds(0.3)
-# A peer asks the store itself before it answers.
+# A peer sends a request to the store before it answers.
 STORE_REACHABILITY_TIMEOUT = PROBE_TIMEOUT * 2
 # Connections kept to each peer.
 CONNECTIONS_PER_PEER = 2
 
 
 class PeerClients:
-    """Connections to all other controllers, and the questions that are asked of them together."""
+    """Connections to all other controllers, and queries that are sent to all of them."""
 
     def __init__(self, peers: Iterable[Peer], connect: Connect) -> None:
-        """Prepare connections to these peers, by `connect`."""
+        """Prepare connections to these peers, which `connect` creates."""
         self._transports = {peer.name: connect(peer.address, CONNECTIONS_PER_PEER) for peer in peers}
 
     def transport(self, name: str) -> Transport | None:
@@ -32,13 +32,13 @@
         return self._transports.get(name)
 
     async def fetch_latest_leader(self) -> PeerLeader | None:
-        """Return the leader of the latest term that any peer knows; None if none knows any, or none answers."""
+        """Return the leader of the latest term that any peer knows; None if no peer answers with a leader."""
         return latest_leader(await asyncio.gather(*(_fetch_leader(peer) for peer in self._transports.values())))
 
     async def fetch_acknowledged_cancellations(self, window: timedelta) -> AcknowledgedCancellations | None:
-        """Return what all peers together have told users of cancellations within the last `window`.
+        """Return the cancellations that any peer has acknowledged to users within the last `window`.
 
-        None if one of them does not answer, or can't know all of them.
+        None if a peer does not answer, or its list may be incomplete.
         """
         body = msgspec.to_builtins(AcknowledgedCancellationsQuery(window.total_seconds()))
         answers = await asyncio.gather(
@@ -51,20 +51,20 @@
         return AcknowledgedCancellations(max((answer.term for answer in complete_answers), default=0), job_ids)
 
     async def fetch_store_reachability(self) -> list[int]:
-        """Ask each peer whether it reaches the store: 200 if so, another status if not, 0 without an answer."""
+        """Query each peer whether it can reach the store: 200 if so, another status if not, 0 without an answer."""
         return await asyncio.gather(
             *(request_status(peer, "/reach", STORE_REACHABILITY_TIMEOUT) for peer in self._transports.values())
         )
 
 
 def latest_leader(known_leaders: Iterable[PeerLeader]) -> PeerLeader | None:
-    """Return the leader of the highest term among those that peers know; None if all have term 0 (unknown)."""
+    """Return the leader with the highest term; None if all have term 0 (unknown)."""
     leader = max(known_leaders, key=lambda known_leader: known_leader.term, default=PeerLeader("", 0))
     return leader if leader.term else None
 
 
 async def _fetch_leader(peer: Transport) -> PeerLeader:
-    """The leader that a peer knows, with term 0 if it knows none or does not answer."""
+    """Return the leader that a peer knows, with term 0 if it knows none or does not answer."""
     try:
         status = (await peer("GET", "/status", timeout=PEER_TIMEOUT)).json()
         return PeerLeader(str(status["leader"]), int(status["term"] or 0))
@@ -73,7 +73,7 @@
 
 
 async def _fetch_acknowledged_cancellations(peer: Transport, body: object) -> AcknowledgedCancellations | None:
-    """One peer's answer; None if there is none that can be read."""
+    """Return one peer's answer; None if there is no answer or it can't be decoded."""
     try:
         reply = await peer("POST", "/told", body, timeout=PEER_TIMEOUT)
         return msgspec.json.decode(reply.body, type=AcknowledgedCancellations) if reply.status == 200 else None
--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -1,4 +1,4 @@
-"""Whether a controller alone is cut off from the key-value store. Pure: the instant is always an argument."""
+"""Detects that only this controller can't reach the key-value store. Pure: the current instant is an argument."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -6,17 +6,17 @@
 
 from roseweir.clock import NEVER, seconds
 
-# For how long most, or some, controllers have to be out of reach of a node that can't reach the store.
+# How long most, or some, controllers must be unreachable before a node that can't reach the store counts as isolated.
 MAJORITY_UNREACHABLE_TIMEOUT = seconds(2)
 MINORITY_UNREACHABLE_TIMEOUT = seconds(6)
-# How often a node removes itself from the load balancer without a peer's answer, within the time that the balancer
-# remembers removals.
+# Maximum number of times that a node removes itself from the load balancer because of missing answers, within the time
+# for which the balancer counts removals.
 MAX_REMOVALS = 2
 REMOVAL_WINDOW = timedelta(minutes=2)
 
 
 class PeerReachability(NamedTuple):
-    """How many peers were asked whether they reach the store, how many answered, and whether one of them reaches it."""
+    """Numbers of peers that were queried and that answered, and whether any of them can reach the store."""
 
     asked: int
     answered: int
@@ -25,27 +25,30 @@
 
 @dataclass(slots=True)
 class StoreIsolationDetector:
-    """Whether this node's users are better served by its peers, since it alone can't reach the store.
+    """Decides whether only this node can't reach the store, so that its users are better served by its peers.
 
-    One peer's answer that it reaches the store is enough. In an outage of the whole store no peer says so, and the node
-    stays in the load balancer: leaving it costs seconds after the outage, and nobody else could serve the users either.
-    A node that has lost its peers as well gets no answers. That was taken for an outage of the whole store once: such a
-    node answered 503 to everybody, and was preferred because its connections were few. So missing answers count too:
+    One peer's answer that it can reach the store is enough. In an outage of the whole store no peer answers so, and the
+    node stays in the load balancer: leaving it would cost seconds after the outage, and no other node could serve the
+    users either. A node that can't reach its peers gets no answers. If that counted as an outage of the whole store, an
+    isolated node would answer 503 to all users, and the load balancer would prefer it because it has few connections.
+    So missing answers are evidence too:
 
-    | evidence | after | because |
+    | evidence | takes effect after | reason |
     | --- | --- | --- |
-    | a worker has seen a later term than any known here | at once | another leader has been elected meanwhile |
-    | most controllers do not answer | MAJORITY_UNREACHABLE_TIMEOUT | in an outage they would, and report it |
-    | some of them does not | MINORITY_UNREACHABLE_TIMEOUT | it may have crashed, and is back by then |
+    | a worker reports a later term than any known here | 0 s | another leader has been elected meanwhile |
+    | most controllers do not answer | MAJORITY_UNREACHABLE_TIMEOUT | in an outage they would answer and report it |
+    | a minority does not answer | MINORITY_UNREACHABLE_TIMEOUT | a crashed controller has restarted by then |
 
-    Price: an outage of the whole store with peers out of reach removes the node from the balancer, which takes it back
-    two health checks after the outage, no sooner than 3 s after it was removed. That is doubled with each removal
-    within REMOVAL_WINDOW, so this evidence removes a node at most MAX_REMOVALS times in that time.
+    Drawback: in an outage of the whole store with unreachable peers, the node is removed from the load balancer, which
+    adds it again two health checks after the outage, and no sooner than 3 s after the removal. The balancer doubles
+    these 3 s with each removal within REMOVAL_WINDOW, so missing answers remove a node at most MAX_REMOVALS times in
+    that window.
 
     Attributes:
-        store_unreachable: Whether this node alone can't reach the store, as last concluded.
-        failing_since: Since when it can't, without proof that another node can; NEVER if it can.
-        removals: When it concluded so from missing answers.
+        store_unreachable: Whether only this node can't reach the store, as of the last evaluation.
+        failing_since: When requests to the store began to fail; NEVER if they succeed, or if all peers answer that they
+            can't reach the store either.
+        removals: When this node was found to be isolated because of missing answers.
     """
 
     store_unreachable: bool = False
@@ -53,19 +56,19 @@
     removals: list[datetime] = field(default_factory=list)
 
     def record_not_isolated(self) -> None:
-        """Conclude that this node is not cut off alone."""
+        """Record that this node can reach the store, or that its peers can't either."""
         self.store_unreachable, self.failing_since = False, NEVER
 
     def evaluate_failing(self, peers: PeerReachability, *, is_later_term_seen: bool, now: datetime) -> bool:
-        """Return whether this node alone can't reach the store, while its requests to the store fail.
+        """Return whether only this node can't reach the store, while its requests to the store fail.
 
         Args:
-            peers: What the peers have answered.
-            is_later_term_seen: Whether a worker has shown a later term than any known here.
+            peers: The peers' answers.
+            is_later_term_seen: Whether a worker has reported a later term than any known here.
             now: The current instant.
         """
         if peers.answered == peers.asked and not peers.is_store_reached and not is_later_term_seen:
-            # An outage of the whole store: the peers say that they don't reach it either.
+            # An outage of the whole store: all peers answer that they can't reach it either.
             self.record_not_isolated()
             return False
         if self.failing_since == NEVER:
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -1,4 +1,4 @@
-"""Checks whether this node alone can't reach the key-value store."""
+"""Periodic check whether this node is the only one that can't reach the key-value store."""
 
 import logging
 
@@ -16,32 +16,34 @@
 
 
 class StoreReachability:
-    """Concludes from this node's requests, its peers' answers and its workers' terms whether it alone is cut off.
+    """Determines whether only this node can't reach the store.
+
+    The evidence is the outcome of this node's requests, its peers' answers, and the terms that its workers report.
 
     Attributes:
-        latest_known_term: The latest of all terms that this process has seen in the store, its own among them.
+        latest_known_term: The latest term that this process has read from the store or written to it.
     """
 
     def __init__(self, kv_store: KeyValueStoreClient, peers: PeerClients) -> None:
-        """Begin with a store that can be reached."""
+        """Begin with the assumption that the store can be reached."""
         self.latest_known_term = 0
         self._kv_store = kv_store
         self._peers = peers
         self._isolation = StoreIsolationDetector()
-        # The latest term that a worker has shown since the store was last reached.
+        # The latest term that a worker has reported since the store was last reached.
         self._max_worker_term = 0
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the store can't be reached by this node alone, as last concluded."""
+        """Whether only this node can't reach the store, as of the last check."""
         return self._isolation.store_unreachable
 
     def observe_term(self, term: int) -> None:
-        """Take note of a term that the store holds."""
+        """Record a term that the store contains."""
         self.latest_known_term = max(self.latest_known_term, term)
 
     def observe_worker_term(self, term: int) -> None:
-        """Take note of a term that a worker's heartbeat shows."""
+        """Record the term in a worker's heartbeat."""
         self._max_worker_term = max(self._max_worker_term, term)
 
     async def monitor(self) -> None:
--- a/roseweir/membership/worker_probes.py
+++ b/roseweir/membership/worker_probes.py
@@ -1,4 +1,4 @@
-"""Probes of workers: which of them answer this node, and which send it heartbeats."""
+"""Determines which workers answer this node's probes, and which send it heartbeats."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 
 
 class WorkerProber:
-    """Finds out which workers this node and its messages reach."""
+    """Probes workers, and records the heartbeats of workers that this node redirects."""
 
     def __init__(self, connect: Connect) -> None:
-        """Begin without redirected workers; probes are sent by `connect`."""
+        """Begin without redirected workers; `connect` opens the connections for probes."""
         self._connect = connect
         self._redirected_workers = RedirectedWorkers()
 
     async def probe_workers(self, worker_addresses: dict[str, str]) -> ProbeResult:
-        """Probe workers, given by name and address; those with an empty address are not probed."""
+        """Probe workers, given by name and address; workers with an empty address are not probed."""
         known_addresses = {name: address for name, address in worker_addresses.items() if address}
         probes = (
             is_responsive(self._connect(address, 0), "/status", PROBE_TIMEOUT) for address in known_addresses.values()
