--- a/roseweir/kv_store/write_confirmation.py
+++ b/roseweir/kv_store/write_confirmation.py
@@ -93,7 +93,7 @@
 
     async def commit(self, guards: Guards, ops: Operations) -> int:
         """Commit and return the revision, which is the version of all written keys; errors as `compare_and_swap`."""
-        writes = self._own_writes(guards, ops)
+        writes = self._writes_by_key(guards, ops)
         unambiguous_writes = [
             (key, *write) for key, write in writes.items() if write not in self._unconfirmed_writes.get(key, ())
         ]
@@ -157,7 +157,7 @@
         except (StoreError, Unreachable):
             return None
 
-    def _own_writes(self, guards: Guards, ops: Operations) -> dict[str, tuple[int, bytes]]:
+    def _writes_by_key(self, guards: Guards, ops: Operations) -> dict[str, tuple[int, bytes]]:
         """Return the guard version and the value of each written key, by key."""
         versions = dict(guards)
         writes: dict[str, tuple[int, bytes]] = {}
--- a/roseweir/leader_election/election.py
+++ b/roseweir/leader_election/election.py
@@ -162,7 +162,7 @@
             try:
                 if not is_leader_key_deleted:
                     revision = await self._read_leader()
-                if self._is_own_stale_lease() and not await self._revoke_stale_lease():
+                if self._is_stale_lease_of_this_node() and not await self._revoke_stale_lease():
                     await sleep(RESTART_CANDIDACY_DELAY)
                     revision = await self._read_leader()
                 is_leader_key_deleted = False
@@ -197,7 +197,7 @@
             self.on_term_observed(record.term)
         self.leader = record
 
-    def _is_own_stale_lease(self) -> bool:
+    def _is_stale_lease_of_this_node(self) -> bool:
         """Whether the leader's record is from an earlier process of this node, or an earlier term of this process."""
         return self.leader is not None and self.leader.name == self.settings.name and self.leader_lease is None
 
@@ -230,7 +230,7 @@
                 if event.key == LEADER_KEY:
                     self._apply_leader_record(event.value)
                     is_leader_key_deleted = event.value is None
-                    if self._is_own_stale_lease():
+                    if self._is_stale_lease_of_this_node():
                         # The earlier process ended before its election request was executed.
                         return False
                 elif event.key == REACHABILITY_QUERY_KEY and event.value is not None:
--- a/roseweir/leader_election/worker_reachability.py
+++ b/roseweir/leader_election/worker_reachability.py
@@ -165,7 +165,7 @@
 def find_better_connected_node(
     answers: Mapping[str, ReachabilityAnswer],
     query: ReachabilityQuery,
-    own_reachable_count: int,
+    leader_reachable_count: int,
     missed_workers: Mapping[str, HeartbeatId],
 ) -> str | None:
     """Return a node that can reach enough of the queried workers that the leader misses, or None.
@@ -173,18 +173,18 @@
     Args:
         answers: The nodes' answers, by node name.
         query: The query.
-        own_reachable_count: How many of the queried workers answer the leader's probes.
+        leader_reachable_count: How many of the queried workers answer the leader's probes.
         missed_workers: The workers that the leader still misses, with the newest heartbeat that it has of each. A
             older heartbeat received by another node was delivered late, and does not show that the node is reachable.
     """
     for name, answer in answers.items():
-        better_reached = {
+        reached_workers = {
             worker
             for worker in answer.redirected
             if answer.heartbeat_ids.get(worker, NEWEST_HEARTBEAT_ID) > missed_workers.get(worker, NEWEST_HEARTBEAT_ID)
         }
-        if own_reachable_count * REACHABLE_WORKERS_DIVISOR <= len(query.worker_addresses):
-            better_reached |= set(answer.reachable)
-        if len(better_reached & missed_workers.keys()) * REACHABLE_WORKERS_DIVISOR > len(query.worker_addresses):
+        if leader_reachable_count * REACHABLE_WORKERS_DIVISOR <= len(query.worker_addresses):
+            reached_workers |= set(answer.reachable)
+        if len(reached_workers & missed_workers.keys()) * REACHABLE_WORKERS_DIVISOR > len(query.worker_addresses):
             return name
     return None
--- a/roseweir/membership/peers.py
+++ b/roseweir/membership/peers.py
@@ -57,9 +57,9 @@
         )
 
 
-def latest_leader(known_leaders: Iterable[PeerLeader]) -> PeerLeader | None:
+def latest_leader(peer_leaders: Iterable[PeerLeader]) -> PeerLeader | None:
     """Return the leader with the highest term; None if all have term 0 (unknown)."""
-    leader = max(known_leaders, key=lambda known_leader: known_leader.term, default=PeerLeader("", 0))
+    leader = max(peer_leaders, key=lambda peer_leader: peer_leader.term, default=PeerLeader("", 0))
     return leader if leader.term else None
 
 
--- a/roseweir/membership/redirected_workers.py
+++ b/roseweir/membership/redirected_workers.py
@@ -20,22 +20,22 @@
     def __init__(self) -> None:
         self._heartbeats: dict[str, tuple[datetime, HeartbeatId]] = {}
 
-    def record_heartbeat(self, machine: str, heartbeat_id: HeartbeatId, now: datetime) -> None:
+    def record_heartbeat(self, worker_name: str, heartbeat_id: HeartbeatId, now: datetime) -> None:
         """Record a heartbeat, unless it is a late delivery, that is, not newer than the worker's last one."""
-        last_heartbeat = self._heartbeats.get(machine)
+        last_heartbeat = self._heartbeats.get(worker_name)
         if last_heartbeat is not None and heartbeat_id <= last_heartbeat[1]:
             return
-        self._heartbeats.pop(machine, None)
-        self._heartbeats[machine] = (now, heartbeat_id)
+        self._heartbeats.pop(worker_name, None)
+        self._heartbeats[worker_name] = (now, heartbeat_id)
         if len(self._heartbeats) > MAX_REDIRECTED_WORKERS:
             del self._heartbeats[next(iter(self._heartbeats))]
 
-    def find_redirected(self, machines: Iterable[str], now: datetime) -> dict[str, HeartbeatId]:
+    def find_redirected(self, worker_names: Iterable[str], now: datetime) -> dict[str, HeartbeatId]:
         """Return those of the workers that were redirected recently, but long enough ago to have reached the leader.
 
         The values are the ids of the newest heartbeats that this node received from them.
         """
-        heartbeats = {name: self._heartbeats[name] for name in machines if name in self._heartbeats}
+        heartbeats = {name: self._heartbeats[name] for name in worker_names if name in self._heartbeats}
         return {
             name: heartbeat_id
             for name, (received_at, heartbeat_id) in heartbeats.items()
--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -18,9 +18,9 @@
 class PeerReachability(NamedTuple):
     """Numbers of peers that were queried and that answered, and whether any of them can reach the store."""
 
-    asked: int
-    answered: int
-    is_store_reached: bool
+    queried_count: int
+    answered_count: int
+    is_store_reachable: bool
 
 
 @dataclass(slots=True)
@@ -67,16 +67,16 @@
             is_later_term_seen: Whether a worker has reported a later term than any known here.
             now: The current instant.
         """
-        if peers.answered == peers.asked and not peers.is_store_reached and not is_later_term_seen:
+        if peers.answered_count == peers.queried_count and not peers.is_store_reachable and not is_later_term_seen:
             # An outage of the whole store: all peers answer that they can't reach it either.
             self.record_not_isolated()
             return False
         if self.failing_since == NEVER:
             self.failing_since = now
-        if self.store_unreachable or peers.is_store_reached or is_later_term_seen:
+        if self.store_unreachable or peers.is_store_reachable or is_later_term_seen:
             self.store_unreachable = True
             return True
-        is_minority = (1 + peers.answered) * 2 <= 1 + peers.asked
+        is_minority = (1 + peers.answered_count) * 2 <= 1 + peers.queried_count
         timeout = MAJORITY_UNREACHABLE_TIMEOUT if is_minority else MINORITY_UNREACHABLE_TIMEOUT
         self.removals = [removed_at for removed_at in self.removals if now - removed_at < REMOVAL_WINDOW]
         if now - self.failing_since >= timeout and len(self.removals) < MAX_REMOVALS:
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -52,7 +52,7 @@
             await sleep(STORE_CHECK_INTERVAL)
             was_unreachable = self.store_unreachable
             if not self._kv_store.is_failing or await self.can_reach_store():
-                self._record_reached()
+                self._record_store_reachable()
             else:
                 await self._evaluate_failing()
             if self.store_unreachable != was_unreachable:
@@ -66,16 +66,16 @@
             return False
         return True
 
-    def _record_reached(self) -> None:
+    def _record_store_reachable(self) -> None:
         self._isolation.record_not_isolated()
         self._max_worker_term = 0
 
     async def _evaluate_failing(self) -> None:
         statuses = await self._peers.fetch_store_reachability()
         peers = PeerReachability(
-            asked=len(statuses),
-            answered=sum(1 for status in statuses if status),
-            is_store_reached=200 in statuses,
+            queried_count=len(statuses),
+            answered_count=sum(1 for status in statuses if status),
+            is_store_reachable=200 in statuses,
         )
         is_later_term_seen = self._max_worker_term > self.latest_known_term > 0
         self._isolation.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=monotonic_now())
--- a/roseweir/membership/worker_probes.py
+++ b/roseweir/membership/worker_probes.py
@@ -20,13 +20,13 @@
 
     async def probe_workers(self, worker_addresses: dict[str, str]) -> ProbeResult:
         """Probe workers, given by name and address; workers with an empty address are not probed."""
-        known_addresses = {name: address for name, address in worker_addresses.items() if address}
+        probed_addresses = {name: address for name, address in worker_addresses.items() if address}
         probes = (
-            is_responsive(self._connect(address, 0), "/status", PROBE_TIMEOUT) for address in known_addresses.values()
+            is_responsive(self._connect(address, 0), "/status", PROBE_TIMEOUT) for address in probed_addresses.values()
         )
         probe_results = await asyncio.gather(*probes)
         redirected = self._redirected_workers.find_redirected(worker_addresses, monotonic_now())
-        reachable = [name for name, is_reachable in zip(known_addresses, probe_results, strict=True) if is_reachable]
+        reachable = [name for name, is_reachable in zip(probed_addresses, probe_results, strict=True) if is_reachable]
         return ProbeResult(reachable, redirected)
 
     def record_redirected(self, heartbeat: HeartbeatHeader) -> None:
