--- a/roseweir/leader_election/leader_search.py
+++ b/roseweir/leader_election/leader_search.py
@@ -40,7 +40,7 @@
     started_at: datetime = NEVER
     search_timeout: timedelta = timedelta(0)
     idle_only_until: datetime = NEVER
-    sent_at_by_worker: dict[str, datetime] = field(default_factory=dict)
+    redirected_at_by_worker: dict[str, datetime] = field(default_factory=dict)
     has_worker_returned: bool = False
 
     def start(self, node_count: int, heartbeat_interval: timedelta, now: datetime) -> None:
@@ -54,7 +54,7 @@
         if self.started_at == NEVER or (self.has_worker_returned and now - self.started_at >= MIN_SEARCH_INTERVAL):
             self.started_at, self.search_timeout = now, SEARCH_BASE_TIMEOUT + SEARCH_TIMEOUT_PER_NODE * node_count
             self.idle_only_until = now + heartbeat_interval * IDLE_ONLY_HEARTBEAT_INTERVALS
-            self.sent_at_by_worker, self.has_worker_returned = {}, False
+            self.redirected_at_by_worker, self.has_worker_returned = {}, False
 
     def stop(self) -> None:
         """End the search because this node's leadership is confirmed again."""
@@ -64,24 +64,24 @@
         """Whether to leave this worker's heartbeat unanswered, so that it tries other nodes. Idle workers go first."""
         if self.started_at == NEVER or self.has_worker_returned:
             return False
-        if worker in self.sent_at_by_worker:
+        if worker in self.redirected_at_by_worker:
             self.has_worker_returned = True
             return False
         if has_tasks and (
-            now < self.idle_only_until or len(self.sent_at_by_worker) >= MAX_SEARCHING_WORKERS_WITH_TASKS
+            now < self.idle_only_until or len(self.redirected_at_by_worker) >= MAX_SEARCHING_WORKERS_WITH_TASKS
         ):
             return False
-        if len(self.sent_at_by_worker) >= MAX_SEARCHING_WORKERS or (
-            self.sent_at_by_worker and now > self.idle_only_until + SEARCH_BASE_TIMEOUT
+        if len(self.redirected_at_by_worker) >= MAX_SEARCHING_WORKERS or (
+            self.redirected_at_by_worker and now > self.idle_only_until + SEARCH_BASE_TIMEOUT
         ):
             return False
-        self.sent_at_by_worker[worker] = now
+        self.redirected_at_by_worker[worker] = now
         return True
 
     def has_found_leader(self, now: datetime) -> bool:
         """Whether another node leads: workers were redirected, and none has returned within the search timeout."""
         return (
-            bool(self.sent_at_by_worker)
+            bool(self.redirected_at_by_worker)
             and not self.has_worker_returned
-            and now - max(self.sent_at_by_worker.values()) > self.search_timeout
+            and now - max(self.redirected_at_by_worker.values()) > self.search_timeout
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -141,7 +141,7 @@
     assert not search.has_found_leader(NOW + seconds(4))
     assert search.has_found_leader(NOW + seconds(30)) == found
     search.start(3, seconds(1), NOW + seconds(2))
-    assert search.sent_at_by_worker == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
+    assert search.redirected_at_by_worker == {"i-1": NOW, "i-2": NOW + seconds(1.3)}, "they are on their way"
 
 
 def test_redirected_workers_count_for_a_while_and_are_bounded() -> None:
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -284,7 +284,7 @@
         reign = cluster.current_leader().service.leader_term  # type: ignore[union-attr]
         scouts.append(
             reign is not None
-            and bool(reign.worker_handlers.worker_reachability.sent_at_by_worker)
+            and bool(reign.worker_handlers.worker_reachability.redirected_at_by_worker)
             and reign.worker_handlers.worker_reachability.has_worker_returned
         )
         cluster.state.end_outage()
