--- a/roseweir/controller/public_api.py
+++ b/roseweir/controller/public_api.py
@@ -56,7 +56,7 @@
         if request.method != "POST" or request.is_too_large:
             return json_response(400, {"error": "a report is a POST of at most 64 KiB"})
         leader_election = self._leadership.leader_election
-        leader_election.end_standby()
+        leader_election.end_candidacy_delay()
         leader_term = self._leadership.ready_term
         if leader_term is not None:
             return await leader_term.worker_handlers.handle_heartbeat(request)
--- a/roseweir/leader_election/election.py
+++ b/roseweir/leader_election/election.py
@@ -60,7 +60,7 @@
 # Delay after reading a leader's record that can't be decoded.
 UNREADABLE_RECORD_RETRY_INTERVAL = seconds(1)
 # Delay of the candidacy of a node that the workers can't reach.
-STANDBY_CANDIDACY_DELAY = seconds(1.5)
+UNREACHABLE_NODE_CANDIDACY_DELAY = seconds(1.5)
 # Delay of the candidacy of a node whose previous process was the leader.
 RESTART_CANDIDACY_DELAY = seconds(0.5)
 # Minimum interval between the leader's queries about missed workers.
@@ -118,9 +118,9 @@
             group.create_task(self._campaign_or_follow())
             group.create_task(self._worker_reachability.answer_queries())
 
-    def end_standby(self) -> None:
+    def end_candidacy_delay(self) -> None:
         """Stop delaying this node's candidacy, because a worker's heartbeat has arrived."""
-        self._worker_reachability.end_standby()
+        self._worker_reachability.end_candidacy_delay()
 
     def forget_leader(self) -> None:
         """Discard the leader's record after a pause of the process, since another node may lead by now.
@@ -166,8 +166,8 @@
                     await sleep(RESTART_CANDIDACY_DELAY)
                     revision = await self._read_leader()
                 is_leader_key_deleted = False
-                if self.leader is None and self._worker_reachability.is_standing_by():
-                    await sleep(STANDBY_CANDIDACY_DELAY)
+                if self.leader is None and self._worker_reachability.is_candidacy_delayed():
+                    await sleep(UNREACHABLE_NODE_CANDIDACY_DELAY)
                     revision = await self._read_leader()
                 if self.leader is None:
                     leader_lease = await self._try_acquire_leadership()
@@ -305,7 +305,7 @@
         raise LeadershipEnded(leader_lease.end_reason)
 
     async def _resign(self, leader_lease: LeaderLease, reason: str) -> None:
-        self._worker_reachability.enter_standby()
+        self._worker_reachability.delay_candidacy()
         # The lease ends locally first, so that nothing is sent under this term once another node can be elected.
         leader_lease.end(reason)
         try:
--- a/roseweir/leader_election/worker_reachability.py
+++ b/roseweir/leader_election/worker_reachability.py
@@ -39,7 +39,7 @@
 REACHABILITY_POLL_INTERVAL = seconds(0.2)
 MAX_REACHABILITY_POLLS = 6
 # A node that could not reach the workers delays its candidacies for this long, or until it receives a heartbeat.
-STANDBY_DURATION = seconds(60)
+DELAYED_CANDIDACY_PERIOD = seconds(60)
 
 
 class ProbeResult(NamedTuple):
@@ -67,21 +67,21 @@
         self._received_query: ReachabilityQuery | None = None
         self._query_received = asyncio.Event()
         self._queries_sent = 0
-        self._standby_until = NEVER
+        self._candidacy_delayed_until = NEVER
 
     # -- delayed candidacy --------------------------------------------------------------------
 
-    def is_standing_by(self) -> bool:
+    def is_candidacy_delayed(self) -> bool:
         """Whether this node delays its candidacy."""
-        return monotonic_now() < self._standby_until
+        return monotonic_now() < self._candidacy_delayed_until
 
-    def enter_standby(self) -> None:
-        """Delay this node's candidacies during the next STANDBY_DURATION."""
-        self._standby_until = monotonic_now() + STANDBY_DURATION
+    def delay_candidacy(self) -> None:
+        """Delay this node's candidacies during the next DELAYED_CANDIDACY_PERIOD."""
+        self._candidacy_delayed_until = monotonic_now() + DELAYED_CANDIDACY_PERIOD
 
-    def end_standby(self) -> None:
+    def end_candidacy_delay(self) -> None:
         """Stop delaying this node's candidacy, because a worker's heartbeat has arrived."""
-        self._standby_until = NEVER
+        self._candidacy_delayed_until = NEVER
 
     # -- answering ----------------------------------------------------------------------------
 
@@ -101,7 +101,7 @@
     async def _answer_query(self, query: ReachabilityQuery) -> None:
         reachable, redirected = await self._probe_workers(query.worker_addresses)
         if not reachable and not redirected:
-            self.enter_standby()
+            self.delay_candidacy()
         answer = ReachabilityAnswer(query.term, query.query_number, reachable, sorted(redirected), redirected)
         try:
             await self._kv_store.compare_and_swap(
