--- a/roseweir/controller/public_api.py
+++ b/roseweir/controller/public_api.py
@@ -43,7 +43,7 @@
         return json_response(404, {"error": "no such path"})
 
     def _check_health(self) -> Response:
-        if self._membership.store_unreachable:
+        if self._membership.is_isolated_from_store:
             return json_response(503, {"status": "no state service here"})
         if self._catalog.is_loaded or self._kv_store.is_failing:
             # A controller that starts while the store is unreachable is healthy too: otherwise the load balancer
--- a/roseweir/membership/monitor.py
+++ b/roseweir/membership/monitor.py
@@ -58,9 +58,9 @@
     # -- the key-value store ------------------------------------------------------------------
 
     @property
-    def store_unreachable(self) -> bool:
+    def is_isolated_from_store(self) -> bool:
         """Whether this node is the only one that can't reach the store."""
-        return self._store_reachability.store_unreachable
+        return self._store_reachability.is_isolated_from_store
 
     @property
     def latest_known_term(self) -> int:
--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -45,19 +45,19 @@
     that window.
 
     Attributes:
-        store_unreachable: Whether only this node can't reach the store, as of the last evaluation.
+        is_isolated_from_store: Whether only this node can't reach the store, as of the last evaluation.
         failing_since: When requests to the store began to fail; NEVER if they succeed, or if all peers answer that they
             can't reach the store either.
         removals: When this node was found to be isolated because of missing answers.
     """
 
-    store_unreachable: bool = False
+    is_isolated_from_store: bool = False
     failing_since: datetime = NEVER
     removals: list[datetime] = field(default_factory=list)
 
     def record_not_isolated(self) -> None:
         """Record that this node can reach the store, or that its peers can't either."""
-        self.store_unreachable, self.failing_since = False, NEVER
+        self.is_isolated_from_store, self.failing_since = False, NEVER
 
     def evaluate_failing(self, peers: PeerReachability, *, is_later_term_seen: bool, now: datetime) -> bool:
         """Return whether only this node can't reach the store, while its requests to the store fail.
@@ -73,13 +73,13 @@
             return False
         if self.failing_since == NEVER:
             self.failing_since = now
-        if self.store_unreachable or peers.is_store_reachable or is_later_term_seen:
-            self.store_unreachable = True
+        if self.is_isolated_from_store or peers.is_store_reachable or is_later_term_seen:
+            self.is_isolated_from_store = True
             return True
         is_minority = (1 + peers.answered_count) * 2 <= 1 + peers.queried_count
         timeout = MAJORITY_UNREACHABLE_TIMEOUT if is_minority else MINORITY_UNREACHABLE_TIMEOUT
         self.removals = [removed_at for removed_at in self.removals if now - removed_at < REMOVAL_WINDOW]
         if now - self.failing_since >= timeout and len(self.removals) < MAX_REMOVALS:
-            self.store_unreachable = True
+            self.is_isolated_from_store = True
             self.removals.append(now)
-        return self.store_unreachable
+        return self.is_isolated_from_store
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -34,9 +34,9 @@
         self._max_worker_term = 0
 
     @property
-    def store_unreachable(self) -> bool:
+    def is_isolated_from_store(self) -> bool:
         """Whether only this node can't reach the store, as of the last check."""
-        return self._isolation.store_unreachable
+        return self._isolation.is_isolated_from_store
 
     def observe_term(self, term: int) -> None:
         """Record a term that the store contains."""
@@ -50,13 +50,13 @@
         """Check every STORE_CHECK_INTERVAL until cancelled."""
         while True:
             await sleep(STORE_CHECK_INTERVAL)
-            was_unreachable = self.store_unreachable
+            was_isolated = self.is_isolated_from_store
             if not self._kv_store.is_failing or await self.can_reach_store():
                 self._record_store_reachable()
             else:
                 await self._evaluate_failing()
-            if self.store_unreachable != was_unreachable:
-                log.info("store reachability changed: store_unreachable=%s", self.store_unreachable)
+            if self.is_isolated_from_store != was_isolated:
+                log.info("store isolation changed: isolated_from_store=%s", self.is_isolated_from_store)
 
     async def can_reach_store(self) -> bool:
         """Read one key, and return whether the store answers in time."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -126,7 +126,7 @@
     for _ in range(MAX_REMOVALS):
         assert _evaluate_for(flapping, after, nobody)
         flapping.record_not_isolated()
-        assert not flapping.store_unreachable
+        assert not flapping.is_isolated_from_store
     assert not _evaluate_for(flapping, after, nobody), "the balancer's pause doubles"
 
 
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -254,13 +254,13 @@
         while service.leader_term is not None:
             await asyncio.sleep(0.05)
         seen["gone"] = virtual_now() - lost
-        seen["alone"] = service.membership.store_unreachable
+        seen["alone"] = service.membership.is_isolated_from_store
         await asyncio.sleep(4)
         seen["leader"] = cluster.current_leader().name != node.name
         seen["sessions"] = [w.incarnation for w in cluster.workers.values()]
         node.network_faults.clear()
         await asyncio.sleep(6)
-        seen["back"] = not service.membership.store_unreachable and service.leader_election.leader is not None
+        seen["back"] = not service.membership.is_isolated_from_store and service.leader_election.leader is not None
 
     cluster.schedule_action(lose)
     check(cluster.run(length_s=80, job_count=20))
