--- a/roseweir/kv_store/fenced_writes.py
+++ b/roseweir/kv_store/fenced_writes.py
@@ -102,11 +102,11 @@
         """Write a batch, split in halves if the store refuses it as too large; return the refusals of single keys."""
         try:
             await self.write(batch)
-        except ValueTooLarge as e:
+        except ValueTooLarge as error:
             keys = list(batch)
             if len(keys) == 1:
                 log.warning("value refused as too large: record=%s key=%s", self._record_name, keys[0])
-                return [e]
+                return [error]
             half = len(keys) // 2
             refused_first = await self._write_or_split({key: batch[key] for key in keys[:half]})
             return refused_first + await self._write_or_split({key: batch[key] for key in keys[half:]})
@@ -144,17 +144,17 @@
         ]
         try:
             revision = await self._leader_transactions.commit(fencing_guards + (guards or []), key_ops + (ops or []))
-        except CompareFailed as e:
-            if LEADER_KEY in e.failed_keys:
-                raise LeadershipLost("the leader's key has changed") from e
-            if batch.keys() & set(e.failed_keys):
+        except CompareFailed as error:
+            if LEADER_KEY in error.failed_keys:
+                raise LeadershipLost("the leader's key has changed") from error
+            if batch.keys() & set(error.failed_keys):
                 self._uncertain_keys |= batch.keys()
-                raise StoreError(f"{self._record_name}: record out of date: {', '.join(e.failed_keys)}") from e
+                raise StoreError(f"{self._record_name}: record out of date: {', '.join(error.failed_keys)}") from error
             raise
         except ValueTooLarge:
             raise  # nothing was changed, and no version has become uncertain
-        except (StoreError, Unreachable) as e:
-            self._record_uncertain_write(batch, e)
+        except (StoreError, Unreachable) as error:
+            self._record_uncertain_write(batch, error)
             raise
         self._record_written(batch, revision)
 
--- a/roseweir/kv_store/group_commit.py
+++ b/roseweir/kv_store/group_commit.py
@@ -190,21 +190,21 @@
             ops = [op for change in batch for op in change.ops]
             try:
                 revision = await self.kv_store.compare_and_swap(guards, ops)
-            except CompareFailed as e:
-                batch = _fail_conflicting(batch, e)
+            except CompareFailed as error:
+                batch = _fail_conflicting(batch, error)
                 continue
-            except ValueTooLarge as e:
-                await self._send_halves(batch, e)
+            except ValueTooLarge as error:
+                await self._send_halves(batch, error)
                 return
-            except RateLimited as e:
+            except RateLimited as error:
                 rate_refusals += 1
                 if rate_refusals < MAX_RATE_LIMITED_ATTEMPTS:
                     await sleep(RATE_LIMITED_RETRY_INTERVAL)
                     continue
-                self._record_failed_txn(batch, e)
+                self._record_failed_txn(batch, error)
                 return
-            except (StoreError, Unreachable) as e:
-                self._record_failed_txn(batch, e)
+            except (StoreError, Unreachable) as error:
+                self._record_failed_txn(batch, error)
                 return
             for change in batch:
                 if not change.result.done():
--- a/roseweir/kv_store/write_confirmation.py
+++ b/roseweir/kv_store/write_confirmation.py
@@ -146,8 +146,8 @@
                 if revision is None:
                     raise
                 return revision
-            except (StoreError, Unreachable) as e:
-                errors.append(e)
+            except (StoreError, Unreachable) as error:
+                errors.append(error)
         raise next((e for e in errors if isinstance(e, Unreachable)), errors[0])
 
     @staticmethod
--- a/roseweir/leader_election/election.py
+++ b/roseweir/leader_election/election.py
@@ -175,13 +175,13 @@
                         await self._hold_leadership(leader_lease)
                     continue
                 is_leader_key_deleted = await self._follow_leader(revision)
-            except (StoreError, Unreachable, LeaseExpired) as e:
-                log.debug("election request failed: error=%s", e)
+            except (StoreError, Unreachable, LeaseExpired) as error:
+                log.debug("election request failed: error=%s", error)
                 await sleep(RETRY_INTERVAL)
-            except (msgspec.ValidationError, TypeError, ValueError) as e:
+            except (msgspec.ValidationError, TypeError, ValueError) as error:
                 # No node can lead until the record can be decoded, but users are still served: an exception here would
                 # end the process of every controller in turn.
-                log.error("leader record unreadable: error=%s", e)
+                log.error("leader record unreadable: error=%s", error)
                 await sleep(UNREADABLE_RECORD_RETRY_INTERVAL)
 
     async def _read_leader(self) -> int:
@@ -310,5 +310,5 @@
         leader_lease.end(reason)
         try:
             await self.kv_store.revoke_lease(leader_lease.lease_id)
-        except (StoreError, Unreachable) as e:
-            log.debug("lease revocation failed, left to expire: error=%s", e)
+        except (StoreError, Unreachable) as error:
+            log.debug("lease revocation failed, left to expire: error=%s", error)
--- a/roseweir/leader_election/lease.py
+++ b/roseweir/leader_election/lease.py
@@ -124,9 +124,9 @@
             except LeaseExpired:
                 self._leader_lease.end("the lease expired")
                 return
-            except (StoreError, Unreachable) as e:
+            except (StoreError, Unreachable) as error:
                 # After an outage the store restarts all leases at their full time to live, so this one may still exist.
-                log.log(logging.DEBUG if self._is_failing else logging.INFO, "lease renewal failed: error=%s", e)
+                log.log(logging.DEBUG if self._is_failing else logging.INFO, "lease renewal failed: error=%s", error)
                 self._is_failing = True
                 interval = RENEWAL_RETRY_INTERVAL
                 if not self._leader_lease.is_valid():
--- a/roseweir/leader_election/worker_reachability.py
+++ b/roseweir/leader_election/worker_reachability.py
@@ -107,8 +107,8 @@
             await self._kv_store.compare_and_swap(
                 [], [put(REACHABILITY_ANSWER_PREFIX + self._node_name, msgspec.to_builtins(answer))]
             )
-        except (StoreError, Unreachable, CompareFailed, LeaseExpired) as e:
-            log.debug("reachability answer failed: error=%s", e)
+        except (StoreError, Unreachable, CompareFailed, LeaseExpired) as error:
+            log.debug("reachability answer failed: error=%s", error)
 
     # -- querying -----------------------------------------------------------------------------
 
@@ -135,8 +135,8 @@
                 better_node = find_better_connected_node(answers, query, len(reachable), list_missed_workers())
                 if better_node is not None:
                     return better_node
-        except (StoreError, Unreachable, CompareFailed, LeaseExpired, msgspec.ValidationError) as e:
-            log.debug("reachability query failed: error=%s", e)
+        except (StoreError, Unreachable, CompareFailed, LeaseExpired, msgspec.ValidationError) as error:
+            log.debug("reachability query failed: error=%s", error)
         else:
             log.info("heartbeats missed and no better connected node: workers=%d", len(worker_addresses))
         return None
