--- a/roseweir/leader_election/leader_search.py
+++ b/roseweir/leader_election/leader_search.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class LeaderSearch:
-    """Workers that this leader redirects to search for another one, while neither store nor peers confirm that it leads.
+    """Workers that this leader redirects to search for another one, while neither store nor peers confirm it.
 
     The leader goes on renewing its workers' leases for the hold-over, since in an outage of the whole store no other
     node renews them. It can't distinguish such an outage from its own isolation, so it stops answering a few workers.
