--- a/roseweir/controller/public_api.py
+++ b/roseweir/controller/public_api.py
@@ -43,7 +43,7 @@
         return json_response(404, {"error": "no such path"})
 
     def _check_health(self) -> Response:
-        if self._membership.store_unreachable:
+        if self._membership.is_isolated_from_store:
             return json_response(503, {"status": "no state service here"})
         if self._catalog.is_loaded or self._kv_store.is_failing:
             # A controller that starts while the store is unreachable is healthy too: otherwise the load balancer
@@ -56,7 +56,7 @@
         if request.method != "POST" or request.is_too_large:
             return json_response(400, {"error": "a report is a POST of at most 64 KiB"})
         leader_election = self._leadership.leader_election
-        leader_election.end_standby()
+        leader_election.end_candidacy_delay()
         leader_term = self._leadership.ready_term
         if leader_term is not None:
             return await leader_term.worker_handlers.handle_heartbeat(request)
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -1,4 +1,4 @@
-"""Checks whether this node alone can't reach the key-value store."""
+"""Periodic check whether this node is the only one that can't reach the key-value store."""
 
 import logging
 
@@ -16,45 +16,47 @@
 
 
 class StoreReachability:
-    """Concludes from this node's requests, its peers' answers and its workers' terms whether it alone is cut off.
+    """Determines whether only this node can't reach the store.
+
+    The evidence is the outcome of this node's requests, its peers' answers, and the terms that its workers report.
 
     Attributes:
-        latest_known_term: The latest of all terms that this process has seen in the store, its own among them.
+        latest_known_term: The latest term that this process has read from the store or written to it.
     """
 
     def __init__(self, kv_store: KeyValueStoreClient, peers: PeerClients) -> None:
-        """Begin with a store that can be reached."""
+        """Begin with the assumption that the store can be reached."""
         self.latest_known_term = 0
         self._kv_store = kv_store
         self._peers = peers
         self._isolation = StoreIsolationDetector()
-        # The latest term that a worker has shown since the store was last reached.
+        # The latest term that a worker has reported since the store was last reached.
         self._max_worker_term = 0
 
     @property
-    def store_unreachable(self) -> bool:
-        """Whether the store can't be reached by this node alone, as last concluded."""
-        return self._isolation.store_unreachable
+    def is_isolated_from_store(self) -> bool:
+        """Whether only this node can't reach the store, as of the last check."""
+        return self._isolation.is_isolated_from_store
 
     def observe_term(self, term: int) -> None:
-        """Take note of a term that the store holds."""
+        """Record a term that the store contains."""
         self.latest_known_term = max(self.latest_known_term, term)
 
     def observe_worker_term(self, term: int) -> None:
-        """Take note of a term that a worker's heartbeat shows."""
+        """Record the term in a worker's heartbeat."""
         self._max_worker_term = max(self._max_worker_term, term)
 
     async def monitor(self) -> None:
         """Check every STORE_CHECK_INTERVAL until cancelled."""
         while True:
             await sleep(STORE_CHECK_INTERVAL)
-            was_unreachable = self.store_unreachable
+            was_isolated = self.is_isolated_from_store
             if not self._kv_store.is_failing or await self.can_reach_store():
-                self._record_reached()
+                self._record_store_reachable()
             else:
                 await self._evaluate_failing()
-            if self.store_unreachable != was_unreachable:
-                log.info("store reachability changed: store_unreachable=%s", self.store_unreachable)
+            if self.is_isolated_from_store != was_isolated:
+                log.info("store isolation changed: isolated_from_store=%s", self.is_isolated_from_store)
 
     async def can_reach_store(self) -> bool:
         """Read one key, and return whether the store answers in time."""
@@ -64,16 +66,16 @@
             return False
         return True
 
-    def _record_reached(self) -> None:
+    def _record_store_reachable(self) -> None:
         self._isolation.record_not_isolated()
         self._max_worker_term = 0
 
     async def _evaluate_failing(self) -> None:
         statuses = await self._peers.fetch_store_reachability()
         peers = PeerReachability(
-            asked=len(statuses),
-            answered=sum(1 for status in statuses if status),
-            is_store_reached=200 in statuses,
+            queried_count=len(statuses),
+            answered_count=sum(1 for status in statuses if status),
+            is_store_reachable=200 in statuses,
         )
         is_later_term_seen = self._max_worker_term > self.latest_known_term > 0
         self._isolation.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=monotonic_now())
