--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -1,6 +1,7 @@
-"""Accepts validated submissions: checks their dependencies and makes their durable records.
+"""Accepts validated submissions: checks their dependencies and writes their durable records.
 
-A job is accepted exactly once. Whoever submits a known id again gets its present state, whatever else the request says.
+A job is accepted exactly once. A submission with the id of an accepted job is answered with the present state of that
+job, whatever else the request contains.
 """
 
 import asyncio
@@ -29,26 +30,26 @@
 log = logging.getLogger(__name__)
 
 BEST_EFFORT_RETRY_AFTER = timedelta(seconds=3)
-# The share of the key-value store's writes that acceptances for best-effort teams may take: the completions of their
-# jobs can wait for the records of starts.
+# The share of the key-value store's write rate that acceptances for best-effort teams may use. The rest is left to
+# records of task starts and completions; completions of best-effort jobs may be delayed behind records of starts.
 BEST_EFFORT_WRITE_SHARE = 0.4
-# Seconds' worth of that rate that may be written at once.
+# Largest burst of these writes, in seconds of their rate.
 BEST_EFFORT_BURST_SECONDS = 10.0
-# How old the live job cache may be when it tells whether a dependency of a new job is cancelled.
+# Maximum age of the live job cache when it decides whether a dependency of a new job is cancelled.
 MAX_CACHE_AGE = timedelta(seconds=5)
-# For how long a user waits for the reads that tell it, before the job is accepted without them.
+# How long a submission waits for the reads of that check before the job is accepted without its result.
 DEPENDENCY_CHECK_TIMEOUT = timedelta(milliseconds=100)
 
 
 class AcceptedJob(NamedTuple):
-    """An accepted job, as its submission is answered."""
+    """The state of an accepted job, for the answer to its submission."""
 
     state: str
-    is_new: bool  # False: an earlier submission may have been answered as accepted
+    is_new: bool  # False: an earlier submission may already have been answered as accepted
 
 
 class JobAcceptor:
-    """Makes the durable records of submitted jobs."""
+    """Writes the durable records of submitted jobs."""
 
     def __init__(
         self,
@@ -78,12 +79,12 @@
         self._best_effort_rate_limiter = RateLimiter(best_effort_rate, BEST_EFFORT_BURST_SECONDS)
 
     async def accept(self, job_id: str, spec: JobSpec) -> AcceptedJob:
-        """Make the job's record, unless the job is known already; the job's state is returned either way.
+        """Write the job's record unless the job was accepted before; return the job's state in both cases.
 
         Raises:
-            SubmissionRejected: the job is not accepted now, unless it is known: the caller has to look.
+            SubmissionRejected: the job is not accepted now; the caller has to check whether it was accepted before.
             ReadBudgetExhausted: this node may send no further read now.
-            StoreError, Unreachable: whether the job is accepted is not known.
+            StoreError, Unreachable: the job may or may not have been accepted.
         """
         if spec.dependencies:
             return await self._accept_with_dependencies(job_id, spec)
@@ -91,23 +92,23 @@
         return await self._write_job_record(job_id, spec)
 
     def _is_best_effort(self, spec: JobSpec) -> bool:
-        """Whether the job's team has no guarantee while another has one.
+        """Whether the job's team has no guarantee while another team has one.
 
-        Where no team has one, nobody is best-effort: there, 931 requests of all teams were rejected in the first half
+        If no team has a guarantee, no team is best-effort: limiting all teams rejected 931 requests in the first half
         minute of a day (third deployment, steady load).
         """
         return self._has_guaranteed_team and not self._teams[spec.team].has_guarantee
 
     def _check_best_effort_share(self, spec: JobSpec) -> None:
-        """Raise SubmissionRejected if the job is beyond the share of writes of best-effort teams.
+        """Raise SubmissionRejected if the job exceeds the share of writes of best-effort teams.
 
-        A burst of their jobs must leave the records of all teams' starts and completions their writes.
+        A burst of their jobs must leave enough writes for the records of all teams' task starts and completions.
         """
         if self._is_best_effort(spec) and not self._best_effort_rate_limiter.try_acquire():
             raise SubmissionRejected(429, "more jobs than this team may submit at once", BEST_EFFORT_RETRY_AFTER)
 
     async def _accept_with_dependencies(self, job_id: str, spec: JobSpec) -> AcceptedJob:
-        """Accept a job after reading whether it may depend on the jobs it names, and whether it is cancelled by now."""
+        """Accept a job after checking that its dependencies are allowed and whether one of them has been cancelled."""
         if job_id in self._terminal_states.states or job_id in self._live_job_cache.live_jobs:
             return await self._known_job(job_id)
         dependency_ids = spec.dependencies.job_ids
@@ -124,16 +125,16 @@
         return accepted
 
     async def _known_job(self, job_id: str) -> AcceptedJob:
-        """Return the state of a job that has been accepted; StoreError if it is not found: the user asks again."""
+        """Return the state of a job that was accepted before; StoreError, so that the user retries, if not found."""
         status = await self._job_statuses.read(job_id)
         if status is None:
-            raise StoreError(f"known job {job_id} was not found")
+            raise StoreError(f"accepted job {job_id} was not found")
         return AcceptedJob(status.state, is_new=False)
 
     async def _is_dependency_cancelled(
         self, dependency_ids: list[str], job_id: str, dependencies_by_job: DependencyIds
     ) -> bool | None:
-        """Whether one of these jobs, or one that they depend on, is cancelled; None: it takes too long to tell."""
+        """Whether one of these jobs, or one that they depend on, is cancelled; None if the check fails or times out."""
         try:
             async with asyncio.timeout(DEPENDENCY_CHECK_TIMEOUT.total_seconds()):
                 if monotonic_now() - self._live_job_cache.read_at > MAX_CACHE_AGE:
@@ -142,11 +143,11 @@
                     dependency_ids, job_id, dependencies_by_job, self._live_job_cache.wait_for_refresh
                 )
         except (TimeoutError, ReadBudgetExhausted, StoreError, Unreachable) as e:
-            log.debug("accepted before cancellation is known: job=%s error=%r", job_id, e)
+            log.debug("accepting job without dependency cancellation check: job=%s error=%r", job_id, e)
             return None
 
     async def _store_dependencies(self, spec: JobSpec) -> JobSpec:
-        """Return the job as its record can hold it; dependency ids that it has no room for are stored first."""
+        """Return the job in a form that fits its record, after storing dependency ids that do not fit separately."""
         if fits_job_record(spec):
             return spec
         stored_parts = split_dependencies(spec.id, spec.dependencies.job_ids)
@@ -156,7 +157,7 @@
         return msgspec.structs.replace(spec, depends_on=stored_parts.dependencies)
 
     async def _write_job_record(self, job_id: str, spec: JobSpec, is_cancelled: bool = False) -> AcceptedJob:
-        """Make the job's record: that it is live, or that it was cancelled as it came."""
+        """Write the job's record: a live record, or a completed one if the job is cancelled on acceptance."""
         if is_cancelled:
             record_write = put(COMPLETED_JOB_PREFIX + job_id, to_stored(completed_job(spec, "cancelled")))
             confirmation = self._write_confirmations.job_cancelled(job_id)
@@ -173,14 +174,14 @@
         except CompareFailed:
             known_status = await self._job_statuses.read(job_id)
             if known_status is None:
-                raise StoreError("a known job was not found") from None
+                raise StoreError("the job exists, but its record was not found") from None
             return AcceptedJob(known_status.state, is_new=False)
         except Unreachable:
-            # The transaction may have run: the key tells. If it runs later, a retry will find it.
+            # The transaction may have been applied, as the job's key shows. If it is applied later, a retry finds it.
             known_status = await self._job_statuses.read(job_id)
             if known_status is None:
                 raise
             return AcceptedJob(known_status.state, is_new=False)
         log.debug("accepted: job=%s tasks=%d class=%s", job_id, spec.task_count, spec.job_class)
-        # A read tells that the job is known, and not by which of its submissions: an earlier one may have got 201.
+        # A confirming read proves that the job is accepted, but not by which submission: another may have got 201.
         return AcceptedJob("cancelled" if is_cancelled else "queued", is_new=not confirmation.is_confirmed)
--- a/roseweir/submissions/errors.py
+++ b/roseweir/submissions/errors.py
@@ -16,8 +16,8 @@
 
     Attributes:
         status: The HTTP status to answer with.
-        reason: What is wrong, in the user's words.
-        retry_after: When the user may try again; None if trying again is of no use.
+        reason: Why the submission is rejected, in the terms of the users' API.
+        retry_after: The delay before a retry; None if a retry can't succeed.
     """
 
     def __init__(self, status: int, reason: str, retry_after: timedelta | None = None) -> None:
--- a/roseweir/submissions/handlers.py
+++ b/roseweir/submissions/handlers.py
@@ -1,8 +1,9 @@
 """HTTP handlers of the users' API: submissions, polls and cancellations.
 
-Any node serves it; the key-value store decides every answer. No answer may be older than one that any node has given,
-so each poll waits for a read that was sent after the poll came in. Only terminal states are cached. A live job that
-depends on a cancelled one is cancelled with it, whether that is recorded yet or not (`cancellation_propagation.py`).
+Any node serves these requests; every answer follows from the state in the key-value store. No answer may be older than
+one that any node has given, so each poll waits for a read that was sent after the poll arrived. Only terminal states
+are cached. A live job that depends on a cancelled job is reported as cancelled, whether or not its cancellation is
+recorded yet (`cancellation_propagation.py`).
 """
 
 import logging
@@ -60,7 +61,7 @@
     """Answers users' requests below /submissions."""
 
     def __init__(self, settings: Settings, kv_store: KeyValueStoreClient, progress_lookup: ProgressLookup) -> None:
-        """Wire the users' API of one node; `progress_lookup` asks the leader for counts of tasks."""
+        """Create the users' API of one node; `progress_lookup` requests task counts from the leader."""
         self.kv_store = kv_store
         self.teams = {team.name: team for team in settings.params.teams}
         self.group_commit = GroupCommitter(kv_store, max_queued=8 * settings.params.kv_store.max_txn_ops)
@@ -108,28 +109,28 @@
         )
 
     def start(self, now: datetime) -> None:
-        """Note when this process began to answer users; `now` is monotonic."""
+        """Record when this process began to answer users; `now` is monotonic."""
         self._terminal_states.start(now)
 
     def set_catalog(self, machine_types: Sequence[MachineType] | None) -> None:
-        """Set the machine types that submissions are checked against; None: not known, and nothing new is accepted."""
+        """Set the machine types that submissions are checked against; while it is None, no new job is accepted."""
         self._catalog = machine_types
 
     def acknowledged_cancellations_since(self, window: timedelta) -> list[str] | None:
-        """Return the jobs whose users were first told here, in the last `window`, that they are cancelled.
+        """Return the jobs whose cancellation this process first acknowledged to a user within the last `window`.
 
-        Returns None if that is not known for the whole window.
+        Returns None if the acknowledgements of the entire window are not available.
         """
         return self._terminal_states.acknowledged_since(window)
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request; 429 beyond this node's read budget, 503 while the key-value store is not reached."""
+        """Answer one request; 429 beyond this node's read budget, 503 if the key-value store is unreachable."""
         try:
             return await self._route(request)
         except ReadBudgetExhausted:
             return json_response(429, {"error": "busy"}, RETRY_AFTER)
         except (StoreError, Unreachable) as e:
-            log.debug("user request unanswered: error=%s", e)
+            log.debug("user request answered with 503: error=%s", e)
             return json_response(503, {"error": "state service not reached"}, RETRY_AFTER)
 
     async def _route(self, request: Request) -> Response:
@@ -193,7 +194,7 @@
         return json_response(201 if accepted.is_new else 200, status_response(job_id, accepted.state))
 
     async def _respond_unless_accepted(self, job_id: str, rejection: SubmissionRejected) -> Response:
-        # A known id is answered 200 before anything else about the request can reject it.
+        # A request with the id of an accepted job is answered 200, whatever the reason for the rejection.
         return await self._respond_if_known(job_id) or json_response(
             rejection.status, {"error": rejection.reason}, rejection.retry_after
         )
@@ -225,7 +226,7 @@
                     return json_response(404, {"error": "no such job"})
                 if status.state in TERMINAL_STATES:
                     return json_response(200, status_response(job_id, status.state))
-                continue  # it was accepted between the two reads
+                continue  # the job was accepted between the two reads
             try:
                 await self.group_commit.commit(
                     [(LIVE_JOB_PREFIX + job_id, live_entry.version), (COMPLETED_JOB_PREFIX + job_id, 0)],
@@ -233,14 +234,14 @@
                     self._write_confirmations.job_cancelled(job_id).find_revision,
                 )
             except (CompareFailed, Unreachable):
-                continue  # the next read tells
+                continue  # the next read shows the outcome
             self._terminal_states.remember(job_id, "cancelled")
             log.info("cancelled: job=%s", job_id)
             return json_response(200, status_response(job_id, "cancelled"))
-        raise StoreError("the job kept changing")
+        raise StoreError("the cancellation was not confirmed in any attempt")
 
     def _cancellation_ops(self, job_id: str, live_record: Any) -> list[dict[str, Any]]:
-        """Return the changes that turn a live job into a cancelled one, as many as one transaction takes."""
+        """Return the operations that cancel a live job, as many as fit into one transaction."""
         try:
             spec = decode_job_spec(live_record)
         except msgspec.ValidationError:
@@ -249,7 +250,7 @@
             put(COMPLETED_JOB_PREFIX + job_id, to_stored(completed_job(spec, "cancelled"))),
             delete(LIVE_JOB_PREFIX + job_id),
         ]
-        # The leader deletes what does not fit, as it learns of the cancellation.
+        # The leader deletes the remaining keys when it processes the cancellation.
         max_txn_ops = self.kv_store.transaction_limits.max_txn_ops
         bitmap_keys, _ = split_chunk_keys_for_completion(job_id, chunk_numbers(spec.task_count), max_txn_ops)
         dependency_keys, _ = split_part_keys_for_completion(
--- a/roseweir/submissions/idempotency.py
+++ b/roseweir/submissions/idempotency.py
@@ -1,6 +1,7 @@
-"""Confirms that an unanswered acceptance or cancellation was carried out: by its own key, whoever wrote it.
+"""Confirms an unanswered acceptance or cancellation by reading the key that it writes.
 
-A key that is missing proves nothing, since the transaction may run later.
+A key that is present proves it, whichever request wrote the key. A missing key proves nothing, since the transaction
+may be applied later.
 """
 
 from datetime import timedelta
@@ -16,18 +17,18 @@
 
 
 class KeyConfirmation:
-    """Looks for the key that one acceptance or cancellation writes, and remembers whether it was found.
+    """Reads the key that an acceptance or a cancellation writes, and records whether it was found.
 
-    Many retries may look; `is_confirmed` stays true from the first that finds the key.
+    Several retries may read the key; `is_confirmed` is true once one of them has found it.
     """
 
     def __init__(self, find_revision: ConfirmWrite) -> None:
-        """Look for the key with `find_revision`."""
+        """Read the key with `find_revision`."""
         self._find_revision = find_revision
         self.is_confirmed = False
 
     async def find_revision(self) -> int | None:
-        """Return the revision that proves the write; None if the write may still run.
+        """Return the revision that proves the write; None if the write may still be applied.
 
         Raises:
             StoreError, Unreachable: the key-value store did not answer.
@@ -38,17 +39,17 @@
 
 
 class WriteConfirmations:
-    """Makes the confirmations of acceptances and cancellations."""
+    """Creates confirmations of acceptances and cancellations."""
 
     def __init__(self, kv_store: KeyValueStoreClient, live_job_cache: LiveJobCache) -> None:
-        """Look for live jobs through the cache, and for completed ones in the store."""
+        """Read live jobs through the cache, and completed jobs from the store."""
         self._kv_store = kv_store
         self._live_job_cache = live_job_cache
 
     def job_accepted(self, job_id: str) -> KeyConfirmation:
         """Return a confirmation that the job is accepted.
 
-        A job that completed meanwhile is not looked for: a missing live key proves nothing.
+        Only the live key is read. If the job has completed meanwhile, that key is missing, which proves nothing.
         """
 
         async def find_live_key() -> int | None:
@@ -58,7 +59,7 @@
         return KeyConfirmation(find_live_key)
 
     def job_cancelled(self, job_id: str) -> KeyConfirmation:
-        """Return a confirmation that the job is completed, and by a cancellation."""
+        """Return a confirmation that the job was cancelled."""
 
         async def find_cancellation() -> int | None:
             if (await self._live_job_cache.read_liveness(job_id)).is_live:
--- a/roseweir/submissions/job_status.py
+++ b/roseweir/submissions/job_status.py
@@ -1,4 +1,4 @@
-"""The status of one job, never older than a status that any node has answered before."""
+"""Reads the status of a job, never older than a status that any node has returned before."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class JobStatus(NamedTuple):
-    """What a poll is answered with."""
+    """A job's state and task counts, as a poll returns them."""
 
     state: str  # "queued", "running", "done" or "cancelled"
     done_count: int = 0  # tasks
@@ -40,8 +40,8 @@
     async def read(self, job_id: str) -> JobStatus | None:
         """Return the job's status, or None if the job was never accepted.
 
-        A job's live key is deleted by the same transaction that makes its completed key, and that one stays.
-        So a job that is missing under both, read in this order, was not there when the first was read.
+        The transaction that deletes a job's live key writes its completed key, which is never deleted. So if first the
+        live key and then the completed key is found missing, the job had not been accepted when the first was read.
 
         Raises:
             ReadBudgetExhausted: this node may send no further read now.
@@ -68,7 +68,7 @@
         return JobStatus(completed.state, completed.task_count if completed.state == "done" else 0)
 
     async def _is_cancelled_by_dependency(self, job_id: str) -> bool:
-        """Whether a live job without a started task depends on a cancelled one; one with a started task never does."""
+        """Whether a live job without started tasks depends on a cancelled one; a job with started tasks never does."""
         return self.live_job_cache.live_jobs.dependencies(
             job_id
         ) != [] and await self._cancellation_resolver.is_cancelled([job_id], job_id)
--- a/roseweir/submissions/messages.py
+++ b/roseweir/submissions/messages.py
@@ -7,7 +7,7 @@
 
 from roseweir.submissions.jobs import JobSpec, JobType, StoredDependencies
 
-# To the very end: `$` would let a line break follow, and a key of the key-value store can't hold one.
+# `\Z` matches only at the end; `$` would allow a trailing line break, which a key of the store can't contain.
 JOB_ID = r"^j-[0-9]{1,18}\Z"
 ResourceAmount = Annotated[float, Meta(ge=0, le=1e12)]
 
@@ -66,7 +66,7 @@
     depends_on: list[Annotated[str, Meta(pattern=JOB_ID)]] | None = None
 
     def to_spec(self, accepted_ms: int) -> JobSpec:
-        """Return the job that is asked for; `accepted_ms` is Unix time in ms."""
+        """Return the submitted job; `accepted_ms` is Unix time in ms."""
         return JobSpec(
             id=self.id,
             job_class=self.job_class,
@@ -94,7 +94,7 @@
 
 
 class SubmissionId(msgspec.Struct, rename={"id": "name_id"}):
-    """The one field of a submission that a retry is recognized by."""
+    """The field of a submission that identifies its job, so that a retry is recognized."""
 
     id: Annotated[str, Meta(pattern=JOB_ID)]
 
@@ -105,7 +105,7 @@
 def status_response(
     job_id: str, state: str, done_count: int | None = None, running_count: int | None = None
 ) -> dict[str, Any]:
-    """Return the answer that gives a job's state, for polls with its counts of tasks."""
+    """Return the body of an answer with a job's state and, for polls, its task counts."""
     answer: dict[str, Any] = {"name_id": job_id, "standing": _WIRE_STATES[state]}
     if done_count is not None:
         answer |= {"done": done_count, "running": running_count or 0}
--- a/roseweir/submissions/rejections.py
+++ b/roseweir/submissions/rejections.py
@@ -1,15 +1,15 @@
-"""Counts of submissions that were turned away with a time to retry, by team and job class."""
+"""Counts the submissions that were rejected with a time to retry, by team and job class."""
 
 from roseweir.submissions.jobs import JobSpec
 
-# Rows kept by team and job class; what goes beyond is counted together in one row.
+# Maximum number of rows, one per team and job class; further requests are counted together in one row.
 MAX_REJECTION_ROWS = 256
-# Team and job class of the row that holds what has no row of its own.
+# Team and job class of the row for all requests without a separate row.
 OTHER_ROW = "*"
 
 
 class RejectionCounter:
-    """Counts the requests, retries included, that this process has turned away since it started."""
+    """Counts the requests, retries included, that this process has rejected since it started."""
 
     def __init__(self) -> None:
         # Requests by (team, job class).
