--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -1,22 +1,23 @@
-"""Whether a job is cancelled with one that it depends on, derived from what is durable.
-
-When a job is cancelled, all that depend on it, directly or through others, are cancelled with it. Its own completed key
-is the only record that is made before its user is answered; the leader records the cancellations of the others later,
-and there may be no leader. So a node that answers about a live job traverses its dependencies, theirs, and so on:
-
-- one known to be cancelled: this job is cancelled with it;
-- one known to be done: so are all its dependencies, and nothing behind it matters;
-- a live one: its dependencies are visited in turn;
-- neither live nor known to have completed: its completed key is read. If there is none, it was not accepted when the
-  live jobs were read, so it was not cancelled by then.
-
-Every answer is as fresh as the live job cache that it starts from: a job that had completed by then is not in it, and
-its completed key, which is made in the transaction that deletes the live one, is read afterwards.
-
-The answer is stable. A terminal state is permanent, so a cancelled job stays cancelled. A job between it and the one
-asked about can't become done: each starts only when all its dependencies are done, so none of them ever starts. Hence
-they stay live, and the same path leads to the cancelled job, or their own completed key says cancelled. Nor can the
-graph have a cycle: a job names only jobs that were accepted before its own record was made, which is made once.
+"""Derives from durable records whether a job is cancelled because it depends on a cancelled job.
+
+Cancelling a job cancels all jobs that depend on it, directly or indirectly. Only the completed key of the job itself is
+written before its user is answered; the leader records the other cancellations later, and there may be no leader. So a
+node that answers a request about a live job traverses its dependencies, their dependencies, and so on:
+
+- A dependency that is cancelled: the job is cancelled as well.
+- A dependency that is done: all its own dependencies are done too, so they are not visited.
+- A live dependency: its own dependencies are visited.
+- A dependency whose state is unknown: its completed key is read. If there is none, the job had not been accepted when
+  the live jobs were read, so it was not cancelled at that time.
+
+The result is as fresh as the live job cache that the traversal starts from: a job that had completed by then is not in
+the cache, and its completed key, written in the transaction that deletes the live key, is read afterwards.
+
+The result is stable. A terminal state is permanent, so a cancelled job stays cancelled. The jobs on the path from the
+requested job to the cancelled one can't become done: a job starts only when all its dependencies are done, so none of
+them ever starts. They stay live, and the same path leads to the cancelled job, or their own completed keys say
+cancelled. The graph has no cycle: a job names only jobs that were accepted before its own record was written, and that
+record is written only once.
 """
 
 from collections.abc import Awaitable, Callable, Collection, Mapping
@@ -30,15 +31,15 @@
 from roseweir.submissions.live_job_index import LiveJobIndex
 from roseweir.submissions.read_budget import ReadBudget
 
-# By job, dependency ids that were read and are not in the index of live jobs.
+# Dependency ids by job id, for jobs whose dependencies were read but may be missing from the live job index.
 DependencyIds = dict[str, list[str]]
 
 
 class DependencyTraversal(msgspec.Struct):
-    """What one traversal of the dependencies of some jobs has found."""
+    """The result of one traversal of the dependencies of some jobs."""
 
     is_cancelled: bool = False
-    # Live jobs on the path to the cancelled one that was found: each depends on it.
+    # Live jobs on the path to the cancelled job: each of them depends on it.
     cancelled_dependents: list[str] = []
     # Live jobs that were visited, each with its dependencies that are not known to be done.
     open_dependencies: DependencyIds = {}
@@ -59,16 +60,16 @@
     live_jobs: LiveJobIndex,
     dependencies_by_job: DependencyIds,
 ) -> DependencyTraversal:
-    """Traverse these jobs and all that they depend on, as far as it is known; each is visited once, at any depth.
+    """Traverse these jobs and their direct and indirect dependencies, as far as known; visit each job once.
 
     Args:
-        job_ids: Where the traversal starts.
-        terminal_states: "done" or "cancelled" by job, as far as known.
+        job_ids: The jobs from which the traversal starts.
+        terminal_states: "done" or "cancelled" by job id, as far as known.
         live_jobs: The live jobs with their dependencies.
-        dependencies_by_job: Further dependencies that were read, which go before those of `live_jobs`.
+        dependencies_by_job: Dependencies that were read from the store; they take precedence over those of `live_jobs`.
     """
     traversal = DependencyTraversal()
-    # By job, the dependent from which it was reached.
+    # The dependent from which each job was reached; None for a job from which the traversal starts.
     reached_from: dict[str, str | None] = dict.fromkeys(job_ids)
     stack = list(reached_from)
     while stack:
@@ -102,7 +103,7 @@
 
 
 class CancellationResolver:
-    """Traverses dependencies, and reads what the traversal lacks until it is complete."""
+    """Traverses dependencies, reading missing states and records until the traversal is complete."""
 
     def __init__(
         self,
@@ -113,7 +114,7 @@
         read_budget: ReadBudget,
         remember_cancelled: Callable[[str], None],
     ) -> None:
-        """Call `remember_cancelled` with each live job that is found to be cancelled with another."""
+        """Call `remember_cancelled` with each live job that is cancelled because of a dependency."""
         self._kv_store = kv_store
         self._live_jobs = live_jobs
         self._completed_jobs = completed_jobs
@@ -130,17 +131,17 @@
         """Whether one of these jobs, or one that they depend on, is cancelled.
 
         Args:
-            job_ids: Where the traversal starts.
-            requester: The job on whose read budget the reads are spent.
-            dependencies_by_job: Dependencies of live jobs that the index may lack; those that are read are added.
-            refresh: Refreshes the index of live jobs, for a caller that asks with an older one.
+            job_ids: The jobs from which the traversal starts.
+            requester: The id of the job for which the reads are counted in the read budget.
+            dependencies_by_job: Dependencies of live jobs that the index may lack; those read here are added.
+            refresh: Refreshes the index of live jobs, for a caller whose index may be outdated.
 
         Raises:
             ReadBudgetExhausted: this node may send no further read now.
-            StoreError, Unreachable: a read failed; the answer is never a guess.
+            StoreError, Unreachable: a read failed, so the result is unknown.
         """
         dependencies_by_job = {} if dependencies_by_job is None else dependencies_by_job
-        # Jobs that are neither live nor completed: see the module's docstring.
+        # Jobs that are neither live nor completed; see the module's docstring.
         absent_ids: set[str] = set()
         while True:
             traversal = traverse_dependencies(
@@ -162,7 +163,7 @@
             if traversal.unknown_job_ids:
                 missing_ids = await self._completed_jobs.read_states(traversal.unknown_job_ids, requester)
                 if missing_ids and refresh is not None:
-                    # They may have been accepted after the live jobs were read.
+                    # The missing jobs may have been accepted after the live jobs were read.
                     await refresh()
                     refresh = None
                 else:
@@ -171,7 +172,7 @@
                 await self._read_dependencies(job_id, requester, dependencies_by_job)
 
     def _keep_open_dependencies(self, traversal: DependencyTraversal, dependencies_by_job: DependencyIds) -> None:
-        """Drop dependencies that are done: they need not be visited again."""
+        """Remove dependencies that are done, which need not be visited again."""
         for job_id, dependency_ids in traversal.open_dependencies.items():
             if job_id in dependencies_by_job:
                 dependencies_by_job[job_id] = dependency_ids
@@ -182,10 +183,11 @@
                     self._live_jobs.set_dependencies(job_id, dependency_ids)
 
     async def _read_dependencies(self, job_id: str, requester: str, dependencies_by_job: DependencyIds) -> None:
-        """Read the dependencies of a live job that are stored apart; if it has completed, its state is read next.
+        """Read the dependencies of a live job from the store.
 
-        A few parts count as one request: each node reads them once, and a list that costs more than the node may
-        spend at once could never be read.
+        If the job has completed, it is removed from the index, and the next pass reads its terminal state. All parts of
+        a list count as one request: a node reads them once, and a list that cost more than the read budget allows at
+        once could never be read.
         """
         self._read_budget.spend(requester)
         entry = await self._kv_store.get(LIVE_JOB_PREFIX + job_id)
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -1,9 +1,10 @@
-"""Reads the terminal states of completed jobs, and keeps what this node has read.
+"""Reads the terminal states of completed jobs and caches them.
 
-A terminal state never changes, so it is read once, and whoever reads does it for all that wait for their turn: after a
-start a node is asked about many jobs at once, each of which depends on others that it does not know. A few are read one
-by one. Many are read by pages of the completed jobs, each from the first id that is still wanted, so that thousands of
-ids take tens of requests, and never more requests than ids. Pages are short until they prove to hold many wanted ids.
+A terminal state never changes, so it is read once, and one call reads for all calls that wait: after a start, a node
+gets requests about many jobs at once, each of which depends on jobs whose states it has not read. A few states are read
+one by one. Many are read by pages of the completed jobs, each page starting at the first id that is still to be read.
+Thousands of ids then take tens of requests, and never more requests than ids. Pages are short until one shows that they
+contain many of the ids to read.
 """
 
 import asyncio
@@ -17,23 +18,23 @@
 
 # Up to this many jobs are read one by one.
 MAX_SINGLE_READS = 16
-# Pages read before others that wait to read get their turn.
+# Pages that a call reads before the next waiting call may read.
 MAX_PAGES_PER_TURN = 4
-# Keys of a short page.
+# Keys per short page.
 SHORT_PAGE_LIMIT = 64
-# Wanted ids that the next page must be expected to hold to be read at full length.
+# A page of full length is read only if it is expected to contain at least this many of the ids to read.
 MIN_EXPECTED_MATCHES = 16
-# Ids kept for requests that wait; beyond that each request reads its own.
+# Maximum number of ids that calls read for each other; beyond that, each call reads only its own ids.
 MAX_WANTED = 20_000
 
 
 def key_just_before(job_id: str) -> str:
-    """Return a text that sorts before a job's id and after every id that sorts before it."""
+    """Return a string that sorts before the job id and after every job id that precedes it."""
     return job_id[:-1] + chr(ord(job_id[-1]) - 1) + "~"
 
 
 class CompletedJobReader:
-    """Reads terminal states, one request of a user at a time for all that wait.
+    """Reads terminal states; one call reads at a time, for all calls that wait.
 
     Attributes:
         known_states: "done" or "cancelled" by job id.
@@ -47,19 +48,19 @@
         remember_state: Callable[[str, str], None],
         read_budget: ReadBudget,
     ) -> None:
-        """Read into `known_states` through `remember_state`, which takes a job id and its terminal state."""
+        """Add states to `known_states` by calling `remember_state` with a job id and its terminal state."""
         self.known_states = known_states
         self._kv_store = kv_store
         self._remember_state = remember_state
         self._read_budget = read_budget
-        # One reads at a time, for all; the others mostly find afterwards what they want.
+        # Held by the call that reads for all; afterwards, the other calls find most of their states in the cache.
         self._read_lock = asyncio.Lock()
         self._wanted: set[str] = set()
 
     async def read_states(self, job_ids: Collection[str], requester: str) -> set[str]:
-        """Read the terminal states of some of these jobs; return those found not to have completed.
+        """Read the terminal states of some of these jobs; return the jobs that have no completed key.
 
-        Not all need be read at once: another call reads more.
+        One call may read only some of the states; the caller repeats the call for the rest.
 
         Raises:
             ReadBudgetExhausted: this node may send no further read now.
@@ -79,7 +80,7 @@
                 else self._read_each(to_read, requester)
             )
             self._wanted = {name for name in self._wanted if name not in self.known_states and name not in absent_ids}
-            # Other requests for a job that has not completed read for themselves: the live jobs may have changed.
+            # Each call reads jobs without a completed key itself, since the live jobs may have changed between calls.
             return absent_ids & own_unknown
 
     async def _read_each(self, job_ids: list[str], requester: str) -> set[str]:
@@ -95,7 +96,7 @@
         return absent_ids
 
     def _limit_to_budget(self, job_ids: list[str], requester: str) -> list[str]:
-        """Return as many of the ids as there are requests for; ReadBudgetExhausted if there is none."""
+        """Return as many of the ids as the read budget allows; ReadBudgetExhausted if it allows none."""
         for count in range(len(job_ids)):
             try:
                 self._read_budget.spend(requester)
--- a/roseweir/submissions/dependency_storage.py
+++ b/roseweir/submissions/dependency_storage.py
@@ -1,9 +1,10 @@
-"""A job's dependencies as they are stored: in the job's record, or apart where the record has no room.
+"""Stores a job's dependencies: in the job's record, or under separate keys if the record has no room.
 
-Ids that are stored apart are compressed and cut into parts, one key each. The keys hold a digest of the ids, so that
-writing them again, or writing those of another body under the same job id, never changes what a record refers to. They
-are written before the record and deleted with the job's completion, or later: nobody reads those of a completed job,
-and none may be deleted before the job is completed, since its record may be about to be written.
+Ids under separate keys are compressed and split into parts, one key each. The keys contain a digest of the ids, so
+writing them again, or writing those of another request body with the same job id, never changes the ids that a record
+refers to. The parts are written before the record and deleted when the job completes, or later, since parts of a
+completed job are never read. No part may be deleted before the job has completed, since the job's record may be about
+to be written.
 """
 
 import hashlib
@@ -18,20 +19,21 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, JobSpec, StoredDependencies, to_stored
 
 DEPENDENCY_PART_PREFIX = "awaits/"
-# The smallest limit that a key-value store has for values (`state.value_kb`), less a margin, as the store may
-# count its own form of the JSON text. Nothing larger is written, whatever the limit is now: it may fall without notice.
+# The smallest value limit of a key-value store (`state.value_kb`), less a margin, as the store may count its own
+# serialization of the JSON value. Larger values are never written, whatever the limit is now: it may be lowered without
+# notice.
 MAX_VALUE_BYTES = 2048 - 128
-# The ids of one request body of 64 KiB; more than that was not written by this service.
+# The ids of a request body, which is at most 64 KiB, always fit; this service never writes more.
 MAX_DECOMPRESSED_BYTES = 128 * 1024
 DIGEST_LENGTH = 20
 
 
 class DependenciesUnreadable(StoreError):
-    """A part is gone, as the job has completed meanwhile, or holds no ids."""
+    """A part is missing because the job has completed meanwhile, or can't be decoded."""
 
 
 class DependencyParts(msgspec.Struct, frozen=True):
-    """Ids stored apart: what the job's record holds instead of them, and the values by their keys."""
+    """Ids to store under separate keys: the reference for the job's record, and the values by key."""
 
     dependencies: StoredDependencies
     values_by_key: dict[str, str]
@@ -47,19 +49,19 @@
 def split_part_keys_for_completion(
     job_id: str, dependencies: StoredDependencies, max_keys: int
 ) -> tuple[list[str], list[str]]:
-    """Return the keys to delete in the transaction that completes the job, at most `max_keys`, and the others."""
+    """Return the keys to delete in the transaction that completes the job, at most `max_keys`, and the rest."""
     keys = dependency_part_keys(job_id, dependencies)
     max_keys = max(0, max_keys)
     return keys[:max_keys], keys[max_keys:]
 
 
 def fits_job_record(spec: JobSpec) -> bool:
-    """Whether the job's record has room for the dependency ids that it holds now."""
+    """Whether the job's record, including its dependency ids, fits the smallest value limit."""
     return len(orjson.dumps(to_stored(spec))) <= MAX_VALUE_BYTES
 
 
 def split_dependencies(job_id: str, job_ids: Iterable[str]) -> DependencyParts:
-    """Return a job's dependency ids as values of at most `MAX_VALUE_BYTES` each, to be stored apart."""
+    """Return a job's dependency ids as values of at most `MAX_VALUE_BYTES` each, to store under separate keys."""
     raw = "\n".join(sorted(job_ids)).encode()
     digest = hashlib.sha256(raw).hexdigest()[:DIGEST_LENGTH]
     text = b64encode(zlib.compress(raw)).decode()
@@ -70,10 +72,10 @@
 
 
 def join_dependencies(pieces: Iterable[str]) -> list[str]:
-    """Return the ids, sorted.
+    """Return the sorted job ids that were split into these pieces.
 
     Raises:
-        ValueError, zlib.error: the pieces are not those of `split_dependencies`.
+        ValueError, zlib.error: the pieces are not a complete result of `split_dependencies`.
     """
     unpacked = zlib.decompressobj()
     raw = unpacked.decompress(b64decode("".join(pieces)), MAX_DECOMPRESSED_BYTES)
@@ -98,7 +100,7 @@
     for key in keys:
         entry = entries[key]
         if entry is None:
-            raise DependenciesUnreadable(f"{key} is gone")
+            raise DependenciesUnreadable(f"{key} is missing")
         pieces.append(entry.value)
     try:
         return join_dependencies(pieces)
@@ -107,9 +109,9 @@
 
 
 async def orphaned_part_keys(kv_store: KeyValueStoreClient, live_jobs: Container[str]) -> list[str]:
-    """Return the keys of parts that belong to completed jobs, which nobody reads any more.
+    """Return the keys of parts that belong to completed jobs, which are no longer read.
 
-    Those of a job that is neither live nor completed are left alone: its record may be about to be written.
+    Parts of a job that is neither live nor completed are not returned: its record may be about to be written.
     `live_jobs` may be outdated, as a completed job never becomes live again.
     """
     entries, _ = await kv_store.scan(DEPENDENCY_PART_PREFIX)
--- a/roseweir/submissions/dependency_validation.py
+++ b/roseweir/submissions/dependency_validation.py
@@ -1,9 +1,9 @@
-"""Whether a submission may depend on the jobs that it names.
+"""Checks whether a submission may depend on the jobs that it names.
 
-It may name jobs that were accepted, in any state, but no service: a service never becomes done, so the job could
-never start. Being accepted is permanent, so whatever this node has ever read of a job is enough. That one was never
-accepted is concluded only from reads that were sent after the submission came: its live key first, then its completed
-key, which is made in the transaction that deletes the live one.
+It may name accepted jobs in any state, except services: a service never becomes done, so the job could never start. An
+accepted job stays accepted, so any earlier read of a job by this node is sufficient. That a job was never accepted is
+concluded only from reads that were sent after the submission arrived: first of its live key, then of its completed key,
+which is written in the transaction that deletes the live key.
 """
 
 from collections.abc import Sequence
@@ -18,21 +18,21 @@
 from roseweir.submissions.live_job_index import is_service, stored_dependencies_of
 from roseweir.submissions.read_budget import ReadBudget
 
-# Job ids listed to a user who named jobs that can't be dependencies.
+# Maximum number of job ids listed in a rejection reason.
 MAX_LISTED_JOB_IDS = 5
 
 
 class ValidationResult(msgspec.Struct):
-    """What was found about the jobs that a submission names."""
+    """The result of checking the jobs that a submission names as dependencies."""
 
     never_accepted_ids: list[str] = []
     service_ids: list[str] = []
-    # Dependencies of live ones that the live job cache may lack.
+    # Dependencies of live jobs that may be missing from the live job cache.
     dependencies_by_job: DependencyIds = {}
 
     @property
     def rejection_reason(self) -> str | None:
-        """Why they can't be dependencies, in the user's words, or None."""
+        """Why the jobs can't be dependencies, in the terms of the users' API; None if they can."""
         if self.never_accepted_ids:
             return f"awaits jobs that were never accepted: {_format_job_ids(self.never_accepted_ids)}"
         if self.service_ids:
@@ -63,7 +63,7 @@
         self._read_budget = read_budget
 
     async def validate(self, job_ids: Sequence[str], requester: str) -> ValidationResult:
-        """Return what is found about the jobs that `requester`'s submission names.
+        """Return the result of checking the jobs that the submission of `requester` names.
 
         Raises:
             ReadBudgetExhausted: this node may send no further read now.
@@ -108,7 +108,7 @@
         return not_live
 
     async def _never_accepted_ids(self, job_ids: list[str], requester: str) -> list[str]:
-        """Return those of these jobs, none of them live, that have not completed either: they were never accepted."""
+        """Return the jobs, none of which is live, that have no completed key either: they were never accepted."""
         absent_ids: set[str] = set()
         remaining_ids = set(job_ids)
         while remaining_ids:
--- a/roseweir/submissions/live_job_cache.py
+++ b/roseweir/submissions/live_job_cache.py
@@ -1,9 +1,9 @@
 """A cache of the live jobs, refreshed for each batch of polls by one read of the key-value store.
 
-No answer may be older than one that any node has given. A watch that returns at once has all changes up to
-its sending, so one sent after a poll came in is a fresh read, and it serves every poll that came before it.
-With a read for each poll, the polls of a thousand small jobs exceeded the store's rate limit, and the leader's
-lease renewals and log writes were refused with them.
+No answer may be older than one that any node has given. A watch that returns at once includes all changes up to the
+moment it was sent, so a watch that was sent after a poll arrived is a fresh read for this poll and all earlier ones.
+With one read per poll, the polls of a thousand small jobs exceeded the store's rate limit, and the store refused the
+leader's lease renewals and log writes as well.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 # The share of the key-value store's request rate that all nodes together may spend on reads for polls.
 POLL_READ_SHARE = 0.3
-# The further share for lookups of unanswered writes, which do not wait for the next read for polls.
+# The additional share for lookups that confirm unanswered writes, which do not wait for the next read for polls.
 LOOKUP_READ_SHARE = 0.05
-# Without polls the cache is refreshed this often, so that no watch has to return many changes.
+# Without requests, the cache is refreshed at this interval, so that no watch has to return many changes.
 IDLE_REFRESH_INTERVAL = timedelta(seconds=5)
-# A read that took longer, or whose answer waited while this process was paused, is not fresh any more.
+# A read that takes longer, or whose answer waits while this process is paused, does not count as fresh.
 MAX_READ_DURATION = timedelta(seconds=1.5)
-# No job has this id.
+# The id of no job, for lookups that only wait for a fresh read.
 NO_JOB_ID = ""
 
-# Asks the leader for the counts of tasks, done and running, by job; jobs that it does not know are left out.
+# Requests the counts of done and running tasks by job id from the leader; jobs unknown to the leader are omitted.
 ProgressLookup = Callable[[list[str]], Awaitable[dict[str, tuple[int, int]]]]
 
 
@@ -57,7 +57,7 @@
 
 
 class LiveJobCache:
-    """Answers polls and lookups in batches, each after a read that was sent when all of the batch had come in.
+    """Answers polls and lookups in batches, each after a read that was sent when its requests had arrived.
 
     Attributes:
         live_jobs: The live jobs as of the last read.
@@ -65,7 +65,7 @@
     """
 
     def __init__(self, kv_store: KeyValueStoreClient, node_count: int, progress_lookup: ProgressLookup) -> None:
-        """Share the rate limit of `kv_store` among `node_count` nodes; `progress_lookup` asks the leader."""
+        """Share the rate limit of `kv_store` among `node_count` nodes; `progress_lookup` requests task counts."""
         self.kv_store = kv_store
         self._progress_lookup = progress_lookup
         self._read_interval = seconds(node_count / (kv_store.settings.max_requests_per_s * POLL_READ_SHARE))
@@ -103,11 +103,11 @@
         return await future
 
     async def wait_for_refresh(self) -> None:
-        """Wait until the cache is as fresh as this call; raises as `read_liveness` does."""
+        """Wait for a read that is sent after this call; raises the same errors as `read_liveness`."""
         await self.read_liveness(NO_JOB_ID)
 
     async def run(self) -> None:
-        """Refresh the cache and answer what waits; never returns."""
+        """Refresh the cache and answer pending requests; never returns."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await wait_at_most(IDLE_REFRESH_INTERVAL, self._request_pending.wait())
@@ -129,7 +129,7 @@
                 await wait_at_most(self._read_interval, self._lookup_urgent.wait())
 
     def _take_batch(self) -> tuple[list[PendingLookup], list[PendingPoll]]:
-        """Take what the next read answers; polls only if the leader is not being asked for others."""
+        """Take the requests that the next read answers; polls only if no earlier batch of polls awaits the leader."""
         lookups, self._pending_lookups = self._pending_lookups, []
         polls: list[PendingPoll] = []
         if self._answer_task is None:
@@ -147,7 +147,7 @@
             self._request_pending.set()
 
     async def _read_fresh(self) -> int:
-        """Refresh the cache and return the revision that it has reached; StoreError if that took too long."""
+        """Refresh the cache and return its revision; StoreError if the read took too long."""
         sent_at = monotonic_now()
         await self._refresh()
         if monotonic_now() - sent_at > MAX_READ_DURATION or self._revision is None:
@@ -170,7 +170,7 @@
                         self.live_jobs.add(job_id, event.value)
                 return
         self._revision = None
-        # The revision is from before the first page: the next watch has what changes meanwhile.
+        # The revision is from before the first page, so the next watch returns the changes made during the scan.
         entries, revision = await self.kv_store.scan(LIVE_JOB_PREFIX)
         self.live_jobs.replace_all({entry.key.removeprefix(LIVE_JOB_PREFIX): entry.value for entry in entries})
         self._revision = revision
--- a/roseweir/submissions/live_job_index.py
+++ b/roseweir/submissions/live_job_index.py
@@ -1,4 +1,4 @@
-"""An index of the live jobs that one node knows, with the dependencies of each."""
+"""An index of the live jobs, as one node last read them, with the dependencies of each."""
 
 import sys
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 from roseweir.submissions.jobs import SERVICE, StoredDependencies
 
-# Dependency ids kept in all. Lists beyond that are read from the key-value store whenever they are needed.
+# Maximum number of dependency ids in the index. Further lists are read from the key-value store when needed.
 MAX_DEPENDENCY_IDS = 200_000
 
 
@@ -29,20 +29,20 @@
 
 
 class LiveJobIndex:
-    """Sets of job ids, kept up to date by whoever reads the records: no I/O here.
+    """Sets of live job ids, updated by the callers that read the records; the index itself does no I/O.
 
     Attributes:
-        known_not_cancelled: Jobs found to depend on no cancelled one. It holds all live jobs that they depend on, so it
-            stays true until one of these completes.
+        known_not_cancelled: Jobs that depend on no cancelled job. The set includes all live jobs that they depend on,
+            so it stays correct until one of its jobs completes.
     """
 
     def __init__(self) -> None:
-        """Know no job yet."""
+        """Create an empty index."""
         self._job_ids: set[str] = set()
         self._service_ids: set[str] = set()
         # By job, its dependencies that are not known to be done.
         self._dependencies: dict[str, list[str]] = {}
-        # Jobs whose dependencies are not kept here.
+        # Jobs whose dependencies have to be read from the key-value store.
         self._unread_dependency_ids: set[str] = set()
         self._dependency_count = 0
         self.known_not_cancelled: set[str] = set()
@@ -99,12 +99,12 @@
         self.invalidate_not_cancelled(job_id)
 
     def invalidate_not_cancelled(self, job_id: str) -> None:
-        """Forget what was concluded with the help of a job that has completed, or is known to be cancelled."""
+        """Clear `known_not_cancelled` if it contains this job, which has completed or is cancelled."""
         if job_id in self.known_not_cancelled:
             self.known_not_cancelled.clear()
 
     def replace_all(self, records: dict[str, Any]) -> None:
-        """Set all live jobs to the records, by job id, that one scan has found."""
+        """Replace the live jobs by those of one scan, given as records by job id."""
         for job_id in self._job_ids - records.keys():
             self.discard(job_id)
         for job_id, record in records.items():
--- a/roseweir/submissions/read_budget.py
+++ b/roseweir/submissions/read_budget.py
@@ -1,6 +1,6 @@
 """Limits the reads that this node sends to the key-value store for users' requests.
 
-A flood of polls must leave the store's request rate to lease renewals and the write-ahead log.
+A flood of polls must not use up the store's request rate, which lease renewals and the write-ahead log need.
 """
 
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 READ_SHARE = 0.25
 # The part of that share which is reserved for jobs that were refused a read before.
 RETRIED_READ_SHARE = 0.05
-# Jobs that were refused a read, as far as they are kept.
+# Maximum number of refused jobs that are recorded.
 MAX_REFUSED_JOBS = 4096
 
 
@@ -22,13 +22,13 @@
     def __init__(self, requests_per_second: float) -> None:
         """Take shares of `requests_per_second`, the rate that the store allows."""
         self._read_rate_limiter = RateLimiter(requests_per_second * (READ_SHARE - RETRIED_READ_SHARE))
-        # Without this reserve, a flood of polls of ever other jobs could keep any one job without an answer for as long
-        # as it lasts.
+        # Without this reserve, a flood of polls about constantly different jobs could leave a single job unanswered for
+        # as long as the flood lasts.
         self._retried_read_rate_limiter = RateLimiter(requests_per_second * RETRIED_READ_SHARE)
         self._refused_job_ids: OrderedDict[str, None] = OrderedDict()
 
     def spend(self, job_id: str) -> None:
-        """Take one request for this job; ReadBudgetExhausted if there is none."""
+        """Spend one request on this job; ReadBudgetExhausted if none is left."""
         if self._read_rate_limiter.try_acquire() or (
             job_id in self._refused_job_ids and self._retried_read_rate_limiter.try_acquire()
         ):
@@ -40,5 +40,5 @@
         raise ReadBudgetExhausted
 
     def try_spend_many(self, request_count: int) -> bool:
-        """Take this many requests at once; False, and none are taken, if there are fewer."""
+        """Spend this many requests at once; if fewer are left, spend none and return False."""
         return self._read_rate_limiter.try_acquire(request_count)
--- a/roseweir/submissions/terminal_state_cache.py
+++ b/roseweir/submissions/terminal_state_cache.py
@@ -10,7 +10,7 @@
 from roseweir.submissions.live_job_index import LiveJobIndex
 
 MAX_CACHED_TERMINAL_STATES = 20_000
-# The most recent acknowledged cancellations that are kept for a leader that asks for them.
+# Maximum number of acknowledged cancellations that are kept for requests of a leader.
 MAX_ACKNOWLEDGED_CANCELLATIONS = 2000
 
 
@@ -18,23 +18,23 @@
     """A bounded cache of terminal states; the oldest entries are evicted first."""
 
     def __init__(self, live_jobs: LiveJobIndex) -> None:
-        """Hold no state yet. `live_jobs` is told of each job that is known to be cancelled."""
+        """Create an empty cache; each cancellation added to it also invalidates the conclusions in `live_jobs`."""
         # "done" or "cancelled" by job id.
         self.states: OrderedDict[str, str] = OrderedDict()
         self._live_jobs = live_jobs
         # Before this process started, other processes of this node may have acknowledged cancellations.
         self._started_at = FOREVER
-        # When users were first told here that a job is cancelled, oldest first.
+        # When each cancellation was first acknowledged to a user by this process, oldest first.
         self._acknowledged_cancellations: deque[tuple[datetime, str]] = deque()
         # Acknowledgements at or before this moment may have been evicted.
         self._cancellations_complete_since = NEVER
 
     def start(self, now: datetime) -> None:
-        """Note when this process began to answer users; `now` is monotonic."""
+        """Record when this process began to answer users; `now` is monotonic."""
         self._started_at = now
 
     def remember(self, job_id: str, state: str) -> None:
-        """Record the terminal state of a job, before its user is told of it."""
+        """Record the terminal state of a job; call this before the state is returned to a user."""
         if state == "cancelled" and job_id not in self.states:
             self._acknowledged_cancellations.append((monotonic_now(), job_id))
             if len(self._acknowledged_cancellations) > MAX_ACKNOWLEDGED_CANCELLATIONS:
@@ -42,17 +42,17 @@
         self._store(job_id, state)
 
     def remember_propagated_cancellation(self, job_id: str) -> None:
-        """Record that a live job is cancelled with one that it depends on.
+        """Record that a live job is cancelled because of a job that it depends on.
 
-        A leader does not learn of it as of an acknowledged cancellation, since it has yet to record the terminal state.
-        Nor does it need to: none of the job's tasks ever starts.
+        This is not reported to a leader as an acknowledged cancellation, since the leader has yet to record the
+        terminal state. The leader does not need the report: none of the job's tasks ever starts.
         """
         self._store(job_id, "cancelled")
 
     def acknowledged_since(self, window: timedelta) -> list[str] | None:
-        """Return the jobs whose users were first told in the last `window` that they are cancelled.
+        """Return the jobs whose cancellation this process first acknowledged to a user within the last `window`.
 
-        Returns None if that is not known for the whole window.
+        Returns None if the acknowledgements of the entire window are not available.
         """
         since = monotonic_now() - window
         if max(self._started_at, self._cancellations_complete_since) >= since:
