--- a/roseweir/submissions/jobs/admission.py
+++ b/roseweir/submissions/jobs/admission.py
@@ -5,12 +5,12 @@
 from roseweir.settings import Team
 from roseweir.submissions.jobs.model import JobSpec, MachineType
 
-# What a sum of floating-point resources may be off by.
+# Tolerance for rounding errors in sums of floating-point resources.
 RESOURCE_TOLERANCE = 1e-9
 
 
 def rejection_reason(spec: JobSpec, teams: dict[str, Team], catalog: Sequence[MachineType]) -> str | None:
-    """Return why the job can never run, in the user's words, or None if it can."""
+    """Return why the job can never run, in the terms of the users' API, or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
--- a/roseweir/submissions/jobs/model.py
+++ b/roseweir/submissions/jobs/model.py
@@ -1,4 +1,4 @@
-"""The job model: machine types, jobs as their users described them, and what is kept of completed jobs."""
+"""The job model: machine types, jobs as their users described them, and records of completed jobs."""
 
 from datetime import timedelta
 from typing import Literal
@@ -14,7 +14,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """What the cloud provider's catalog offers under one name. Prices are per hour as the catalog gives them."""
+    """A machine type of the cloud provider's catalog. Prices are per hour, as in the catalog."""
 
     name: str
     cpus: float
@@ -38,12 +38,13 @@
 ):
     """The jobs that have to be done before any task of a job starts, as the job's record names them.
 
-    If the record has no room for the ids, they are stored apart: under `part_count` keys of the key-value store, which
-    contain `digest` (of the ids) and are numbered in order; `job_ids` is then empty.
+    If the record has no room for the ids, they are stored under `part_count` separate keys of the key-value store,
+    which contain `digest` (of the ids) and are numbered in order; `job_ids` is then empty.
 
-    It stands where the record of a workflow step has a list. A version that knows only that list can't read such a
-    record: it keeps the job known and starts nothing of it (`ClusterState.add_record` of that version), which is what
-    a waiting job asks for. So the two versions of an upgrade need not agree on a level before this is written.
+    The object is stored in the field in which the record of a workflow step has a list. A version that supports only
+    the list can't decode such a record: it keeps the job but starts none of its tasks (`ClusterState.add_record` of
+    that version), which is correct for a job that waits. So the two versions of a rolling upgrade need not agree on a
+    format before this is written.
     """
 
     job_ids: list[str] = []
@@ -105,7 +106,7 @@
 
     @property
     def dependencies(self) -> StoredDependencies:
-        """The jobs that the submission named; false if there are none. A workflow step names none here."""
+        """The dependencies that the submission named; falsy if there are none, as for a workflow step."""
         return self.depends_on if isinstance(self.depends_on, StoredDependencies) else StoredDependencies()
 
     @property
@@ -128,7 +129,7 @@
         return self.machine_types is None or machine_type.name in self.machine_types
 
     def image_fits_cache(self, machine_type: MachineType) -> bool:
-        """Whether the type's cache can hold the image, which may be weights of tens of GB. 0: no size is given."""
+        """Whether the type's cache, if its size is given, can hold the image, which may have tens of GB of weights."""
         return machine_type.cache_gb <= 0 or self.image_gb <= machine_type.cache_gb
 
     def fits_machine_type(self, machine_type: MachineType) -> bool:
@@ -144,10 +145,10 @@
 
 
 class CompletedJob(msgspec.Struct, omit_defaults=True, rename={"task_count": "tasks", "total_resource_units": "size"}):
-    """What is kept of a job that is done or cancelled.
+    """The record of a job that is done or cancelled.
 
-    A cancelled job's tasks may still be on machines after a failover, so what they use of a machine and of their
-    team's limit is kept with it.
+    Tasks of a cancelled job may still run on machines after a failover, so the record contains the resources that they
+    use of a machine and of their team's limit.
     """
 
     state: Literal["done", "cancelled"]
@@ -176,7 +177,7 @@
 
 
 def completed_job(spec: JobSpec, state: Literal["done", "cancelled"]) -> CompletedJob:
-    """Return what is kept of a job that has reached this terminal state."""
+    """Return the record of a job that has reached this terminal state."""
     if state == "done":
         return CompletedJob(
             state, spec.task_count, spec.team, spec.job_class, total_resource_units=spec.total_resource_units
--- a/roseweir/submissions/jobs/storage.py
+++ b/roseweir/submissions/jobs/storage.py
@@ -25,9 +25,9 @@
 
 
 def decode_partial_job_spec(job_id: str, value: Any) -> JobSpec:
-    """Return what can be read of a live job's record that can't be read as a whole.
+    """Return a live job with the fields of its record that can be decoded, and defaults for the others.
 
-    What its tasks use and which team they belong to has to count, as far as the record says it.
+    The resources that its tasks use, and its team, must still be accounted for, as far as the record contains them.
     """
     spec = JobSpec(job_id, "", "", ARRAY, 3, 1, 0.0, 0.0, 0.0)
     for field_name, field_value in value.items() if isinstance(value, dict) else ():
--- a/roseweir/submissions/task_bitmap.py
+++ b/roseweir/submissions/task_bitmap.py
@@ -23,8 +23,8 @@
 def split_chunk_keys_for_completion(job_id: str, numbers: Iterable[int], txn_ops: int) -> tuple[list[str], list[str]]:
     """Return the keys to delete in the transaction that completes the job, and those to delete later.
 
-    The completion itself takes two of the transaction's `txn_ops` operations. A transaction of 8 has no room for the 13
-    chunks of 100,000 tasks, and nobody reads a chunk of a completed job: what is left costs space, not correctness.
+    The completion itself takes two of the transaction's `txn_ops` operations. A transaction of 8 operations has no room
+    for the 13 chunks of 100,000 tasks. Chunks of a completed job are never read, so remaining ones only take up space.
     """
     max_keys = txn_ops - 2
     return (
