--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -17,7 +17,7 @@
 from roseweir.kv_store.client import RateLimiter, gather_all, put
 from roseweir.kv_store.group_commit import GroupCommitter
 from roseweir.settings import Settings
-from roseweir.submissions.cancellation_propagation import CancellationResolver, DependencyIds
+from roseweir.submissions.cancellation_propagation import CancellationResolver, DependenciesByJob
 from roseweir.submissions.dependency_storage import fits_job_record, split_dependencies
 from roseweir.submissions.dependency_validation import DependencyValidator
 from roseweir.submissions.errors import ReadBudgetExhausted, SubmissionRejected
@@ -110,7 +110,7 @@
     async def _accept_with_dependencies(self, job_id: str, spec: JobSpec) -> AcceptedJob:
         """Accept a job after checking that its dependencies are allowed and whether one of them has been cancelled."""
         if job_id in self._terminal_states.states or job_id in self._live_job_cache.live_jobs:
-            return await self._known_job(job_id)
+            return await self._read_accepted_job(job_id)
         dependency_ids = spec.dependencies.job_ids
         validation = await self._dependency_validator.validate(dependency_ids, job_id)
         if validation.rejection_reason is not None:
@@ -121,10 +121,10 @@
             return await self._write_job_record(job_id, spec, is_cancelled=True)
         accepted = await self._write_job_record(job_id, await self._store_dependencies(spec))
         if is_cancelled is None:
-            return AcceptedJob((await self._known_job(job_id)).state, accepted.is_new)
+            return AcceptedJob((await self._read_accepted_job(job_id)).state, accepted.is_new)
         return accepted
 
-    async def _known_job(self, job_id: str) -> AcceptedJob:
+    async def _read_accepted_job(self, job_id: str) -> AcceptedJob:
         """Return the state of a job that was accepted before; StoreError, so that the user retries, if not found."""
         status = await self._job_statuses.read(job_id)
         if status is None:
@@ -132,7 +132,7 @@
         return AcceptedJob(status.state, is_new=False)
 
     async def _is_dependency_cancelled(
-        self, dependency_ids: list[str], job_id: str, dependencies_by_job: DependencyIds
+        self, dependency_ids: list[str], job_id: str, dependencies_by_job: DependenciesByJob
     ) -> bool | None:
         """Whether one of these jobs, or one that they depend on, is cancelled; None if the check fails or times out."""
         try:
@@ -164,7 +164,7 @@
         else:
             record_write = put(LIVE_JOB_PREFIX + job_id, to_stored(spec))
             confirmation = self._write_confirmations.job_accepted(job_id)
-        known_status: JobStatus | None
+        status: JobStatus | None
         try:
             await self._group_commit.commit(
                 [(LIVE_JOB_PREFIX + job_id, 0), (COMPLETED_JOB_PREFIX + job_id, 0)],
@@ -172,16 +172,16 @@
                 confirmation.find_revision,
             )
         except CompareFailed:
-            known_status = await self._job_statuses.read(job_id)
-            if known_status is None:
+            status = await self._job_statuses.read(job_id)
+            if status is None:
                 raise StoreError("the job exists, but its record was not found") from None
-            return AcceptedJob(known_status.state, is_new=False)
+            return AcceptedJob(status.state, is_new=False)
         except Unreachable:
             # The transaction may have been applied, as the job's key shows. If it is applied later, a retry finds it.
-            known_status = await self._job_statuses.read(job_id)
-            if known_status is None:
+            status = await self._job_statuses.read(job_id)
+            if status is None:
                 raise
-            return AcceptedJob(known_status.state, is_new=False)
+            return AcceptedJob(status.state, is_new=False)
         log.debug("accepted: job=%s tasks=%d class=%s", job_id, spec.task_count, spec.job_class)
         # A confirming read proves that the job is accepted, but not by which submission: another may have got 201.
         return AcceptedJob("cancelled" if is_cancelled else "queued", is_new=not confirmation.is_confirmed)
--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -32,7 +32,7 @@
 from roseweir.submissions.read_budget import ReadBudget
 
 # Dependency ids by job id, for jobs whose dependencies were read but may be missing from the live job index.
-DependencyIds = dict[str, list[str]]
+DependenciesByJob = dict[str, list[str]]
 
 
 class DependencyTraversal(msgspec.Struct):
@@ -42,7 +42,7 @@
     # Live jobs on the path to the cancelled job: each of them depends on it.
     cancelled_dependents: list[str] = []
     # Live jobs that were visited, each with its dependencies that are not known to be done.
-    open_dependencies: DependencyIds = {}
+    open_dependencies: DependenciesByJob = {}
     # Jobs whose completed keys have to be read.
     unknown_job_ids: set[str] = set()
     # Live jobs whose dependencies have to be read.
@@ -58,7 +58,7 @@
     job_ids: Collection[str],
     terminal_states: Mapping[str, str],
     live_jobs: LiveJobIndex,
-    dependencies_by_job: DependencyIds,
+    dependencies_by_job: DependenciesByJob,
 ) -> DependencyTraversal:
     """Traverse these jobs and their direct and indirect dependencies, as far as known; visit each job once.
 
@@ -93,12 +93,12 @@
         if dependency_ids is None:
             traversal.unread_dependency_ids.add(job_id)
             continue
-        open_ids = [name for name in dependency_ids if terminal_states.get(name) != "done"]
+        open_ids = [dependency_id for dependency_id in dependency_ids if terminal_states.get(dependency_id) != "done"]
         traversal.open_dependencies[job_id] = open_ids
-        for name in open_ids:
-            if name not in reached_from:
-                reached_from[name] = job_id
-                stack.append(name)
+        for dependency_id in open_ids:
+            if dependency_id not in reached_from:
+                reached_from[dependency_id] = job_id
+                stack.append(dependency_id)
     return traversal
 
 
@@ -124,15 +124,15 @@
     async def is_cancelled(
         self,
         job_ids: Collection[str],
-        requester: str,
-        dependencies_by_job: DependencyIds | None = None,
+        requesting_job_id: str,
+        dependencies_by_job: DependenciesByJob | None = None,
         refresh: Callable[[], Awaitable[None]] | None = None,
     ) -> bool:
         """Whether one of these jobs, or one that they depend on, is cancelled.
 
         Args:
             job_ids: The jobs from which the traversal starts.
-            requester: The id of the job for which the reads are counted in the read budget.
+            requesting_job_id: The id of the job for which the reads are counted in the read budget.
             dependencies_by_job: Dependencies of live jobs that the index may lack; those read here are added.
             refresh: Refreshes the index of live jobs, for a caller whose index may be outdated.
 
@@ -146,7 +146,7 @@
         while True:
             traversal = traverse_dependencies(
                 [job for job in job_ids if job not in absent_ids],
-                self._completed_jobs.known_states,
+                self._completed_jobs.terminal_states,
                 self._live_jobs,
                 dependencies_by_job,
             )
@@ -154,14 +154,14 @@
                 for job_id in traversal.cancelled_dependents:
                     self._remember_cancelled(job_id)
                 return True
-            self._keep_open_dependencies(traversal, dependencies_by_job)
+            self._drop_done_dependencies(traversal, dependencies_by_job)
             traversal.unknown_job_ids -= absent_ids
             if traversal.is_complete:
                 if not dependencies_by_job and not absent_ids:
                     self._live_jobs.known_not_cancelled.update(traversal.open_dependencies)
                 return False
             if traversal.unknown_job_ids:
-                missing_ids = await self._completed_jobs.read_states(traversal.unknown_job_ids, requester)
+                missing_ids = await self._completed_jobs.read_states(traversal.unknown_job_ids, requesting_job_id)
                 if missing_ids and refresh is not None:
                     # The missing jobs may have been accepted after the live jobs were read.
                     await refresh()
@@ -169,27 +169,29 @@
                 else:
                     absent_ids |= missing_ids
             for job_id in traversal.unread_dependency_ids:
-                await self._read_dependencies(job_id, requester, dependencies_by_job)
+                await self._read_dependencies(job_id, requesting_job_id, dependencies_by_job)
 
-    def _keep_open_dependencies(self, traversal: DependencyTraversal, dependencies_by_job: DependencyIds) -> None:
+    def _drop_done_dependencies(self, traversal: DependencyTraversal, dependencies_by_job: DependenciesByJob) -> None:
         """Remove dependencies that are done, which need not be visited again."""
         for job_id, dependency_ids in traversal.open_dependencies.items():
             if job_id in dependencies_by_job:
                 dependencies_by_job[job_id] = dependency_ids
                 self._live_jobs.set_dependencies(job_id, dependency_ids)
             else:
-                kept = self._live_jobs.dependencies(job_id)
-                if kept is not None and len(kept) > len(dependency_ids):
+                indexed_ids = self._live_jobs.dependencies(job_id)
+                if indexed_ids is not None and len(indexed_ids) > len(dependency_ids):
                     self._live_jobs.set_dependencies(job_id, dependency_ids)
 
-    async def _read_dependencies(self, job_id: str, requester: str, dependencies_by_job: DependencyIds) -> None:
+    async def _read_dependencies(
+        self, job_id: str, requesting_job_id: str, dependencies_by_job: DependenciesByJob
+    ) -> None:
         """Read the dependencies of a live job from the store.
 
         If the job has completed, it is removed from the index, and the next pass reads its terminal state. All parts of
         a list count as one request: a node reads them once, and a list that cost more than the read budget allows at
         once could never be read.
         """
-        self._read_budget.spend(requester)
+        self._read_budget.spend(requesting_job_id)
         entry = await self._kv_store.get(LIVE_JOB_PREFIX + job_id)
         if entry is None:
             self._live_jobs.discard(job_id)
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -25,10 +25,10 @@
 # A page of full length is read only if it is expected to contain at least this many of the ids to read.
 MIN_EXPECTED_MATCHES = 16
 # Maximum number of ids that calls read for each other; beyond that, each call reads only its own ids.
-MAX_WANTED = 20_000
+MAX_REQUESTED_IDS = 20_000
 
 
-def key_just_before(job_id: str) -> str:
+def key_suffix_just_before(job_id: str) -> str:
     """Return a string that sorts before the job id and after every job id that precedes it."""
     return job_id[:-1] + chr(ord(job_id[-1]) - 1) + "~"
 
@@ -37,27 +37,27 @@
     """Reads terminal states; one call reads at a time, for all calls that wait.
 
     Attributes:
-        known_states: "done" or "cancelled" by job id.
+        terminal_states: "done" or "cancelled" by job id.
     """
 
     def __init__(
         self,
         kv_store: KeyValueStoreClient,
         *,
-        known_states: MutableMapping[str, str],
+        terminal_states: MutableMapping[str, str],
         remember_state: Callable[[str, str], None],
         read_budget: ReadBudget,
     ) -> None:
-        """Add states to `known_states` by calling `remember_state` with a job id and its terminal state."""
-        self.known_states = known_states
+        """Add states to `terminal_states` by calling `remember_state` with a job id and its terminal state."""
+        self.terminal_states = terminal_states
         self._kv_store = kv_store
         self._remember_state = remember_state
         self._read_budget = read_budget
         # Held by the call that reads for all; afterwards, the other calls find most of their states in the cache.
         self._read_lock = asyncio.Lock()
-        self._wanted: set[str] = set()
+        self._requested_ids: set[str] = set()
 
-    async def read_states(self, job_ids: Collection[str], requester: str) -> set[str]:
+    async def read_states(self, job_ids: Collection[str], requesting_job_id: str) -> set[str]:
         """Read the terminal states of some of these jobs; return the jobs that have no completed key.
 
         One call may read only some of the states; the caller repeats the call for the rest.
@@ -66,25 +66,31 @@
             ReadBudgetExhausted: this node may send no further read now.
             StoreError, Unreachable: the key-value store did not answer.
         """
-        unknown = {name for name in job_ids if name not in self.known_states}
-        if len(self._wanted) + len(unknown) <= MAX_WANTED:
-            self._wanted |= unknown
+        unread_ids = {job_id for job_id in job_ids if job_id not in self.terminal_states}
+        if len(self._requested_ids) + len(unread_ids) <= MAX_REQUESTED_IDS:
+            self._requested_ids |= unread_ids
         async with self._read_lock:
-            own_unknown = {name for name in unknown if name not in self.known_states}
-            if not own_unknown:
+            still_unread_ids = {job_id for job_id in unread_ids if job_id not in self.terminal_states}
+            if not still_unread_ids:
                 return set()
-            to_read = sorted(own_unknown | {name for name in self._wanted if name not in self.known_states})
+            ids_to_read = sorted(
+                still_unread_ids | {job_id for job_id in self._requested_ids if job_id not in self.terminal_states}
+            )
             absent_ids = await (
-                self._read_pages(to_read, requester)
-                if len(to_read) > MAX_SINGLE_READS
-                else self._read_each(to_read, requester)
+                self._read_pages(ids_to_read, requesting_job_id)
+                if len(ids_to_read) > MAX_SINGLE_READS
+                else self._read_each(ids_to_read, requesting_job_id)
             )
-            self._wanted = {name for name in self._wanted if name not in self.known_states and name not in absent_ids}
+            self._requested_ids = {
+                job_id
+                for job_id in self._requested_ids
+                if job_id not in self.terminal_states and job_id not in absent_ids
+            }
             # Each call reads jobs without a completed key itself, since the live jobs may have changed between calls.
-            return absent_ids & own_unknown
+            return absent_ids & still_unread_ids
 
-    async def _read_each(self, job_ids: list[str], requester: str) -> set[str]:
-        job_ids = self._limit_to_budget(job_ids, requester)
+    async def _read_each(self, job_ids: list[str], requesting_job_id: str) -> set[str]:
+        job_ids = self._limit_to_budget(job_ids, requesting_job_id)
         entries = await self._kv_store.get_many(COMPLETED_JOB_PREFIX + job_id for job_id in job_ids)
         absent_ids: set[str] = set()
         for job_id in job_ids:
@@ -95,31 +101,31 @@
                 self._remember_state(job_id, decode_completed_job(entry.value).state)
         return absent_ids
 
-    def _limit_to_budget(self, job_ids: list[str], requester: str) -> list[str]:
+    def _limit_to_budget(self, job_ids: list[str], requesting_job_id: str) -> list[str]:
         """Return as many of the ids as the read budget allows; ReadBudgetExhausted if it allows none."""
         for count in range(len(job_ids)):
             try:
-                self._read_budget.spend(requester)
+                self._read_budget.spend(requesting_job_id)
             except ReadBudgetExhausted:
                 if count == 0:
                     raise
                 return job_ids[:count]
         return job_ids
 
-    async def _read_pages(self, job_ids: list[str], requester: str) -> set[str]:
+    async def _read_pages(self, job_ids: list[str], requesting_job_id: str) -> set[str]:
         absent_ids: set[str] = set()
         position, limit = 0, SHORT_PAGE_LIMIT
         for page_number in range(MAX_PAGES_PER_TURN):
             if position >= len(job_ids):
                 break
             try:
-                self._read_budget.spend(requester)
+                self._read_budget.spend(requesting_job_id)
             except ReadBudgetExhausted:
                 if page_number == 0:
                     raise
                 break
             page = await self._kv_store.scan_page(
-                COMPLETED_JOB_PREFIX, COMPLETED_JOB_PREFIX + key_just_before(job_ids[position]), limit
+                COMPLETED_JOB_PREFIX, COMPLETED_JOB_PREFIX + key_suffix_just_before(job_ids[position]), limit
             )
             stored_by_id = {entry.key.removeprefix(COMPLETED_JOB_PREFIX): entry.value for entry in page.entries}
             last_job_id = page.entries[-1].key.removeprefix(COMPLETED_JOB_PREFIX) if page.has_more else None
--- a/roseweir/submissions/dependency_storage.py
+++ b/roseweir/submissions/dependency_storage.py
@@ -77,9 +77,9 @@
     Raises:
         ValueError, zlib.error: the pieces are not a complete result of `split_dependencies`.
     """
-    unpacked = zlib.decompressobj()
-    raw = unpacked.decompress(b64decode("".join(pieces)), MAX_DECOMPRESSED_BYTES)
-    if not unpacked.eof:
+    decompressor = zlib.decompressobj()
+    raw = decompressor.decompress(b64decode("".join(pieces)), MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
         raise ValueError("the job ids are truncated")
     return raw.decode().split("\n")
 
--- a/roseweir/submissions/dependency_validation.py
+++ b/roseweir/submissions/dependency_validation.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from roseweir.kv_store import KeyValueStoreClient
-from roseweir.submissions.cancellation_propagation import DependencyIds
+from roseweir.submissions.cancellation_propagation import DependenciesByJob
 from roseweir.submissions.completed_jobs import MAX_SINGLE_READS, CompletedJobReader
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
 from roseweir.submissions.live_job_cache import LiveJobCache
@@ -28,7 +28,7 @@
     never_accepted_ids: list[str] = []
     service_ids: list[str] = []
     # Dependencies of live jobs that may be missing from the live job cache.
-    dependencies_by_job: DependencyIds = {}
+    dependencies_by_job: DependenciesByJob = {}
 
     @property
     def rejection_reason(self) -> str | None:
@@ -62,21 +62,21 @@
         self._completed_jobs = completed_jobs
         self._read_budget = read_budget
 
-    async def validate(self, job_ids: Sequence[str], requester: str) -> ValidationResult:
-        """Return the result of checking the jobs that the submission of `requester` names.
+    async def validate(self, job_ids: Sequence[str], requesting_job_id: str) -> ValidationResult:
+        """Return the result of checking the jobs that the submission of `requesting_job_id` names.
 
         Raises:
             ReadBudgetExhausted: this node may send no further read now.
             StoreError, Unreachable: the key-value store did not answer.
         """
         result = ValidationResult()
-        unknown = self._unknown_ids(job_ids)
-        if len(unknown) <= MAX_SINGLE_READS and self._read_budget.try_spend_many(len(unknown)):
-            unknown = await self._read_live_records(unknown, result)
-        elif unknown:
+        unresolved_ids = self._unresolved_ids(job_ids)
+        if len(unresolved_ids) <= MAX_SINGLE_READS and self._read_budget.try_spend_many(len(unresolved_ids)):
+            unresolved_ids = await self._read_live_records(unresolved_ids, result)
+        elif unresolved_ids:
             await self._live_job_cache.wait_for_refresh()
-            unknown = self._unknown_ids(unknown)
-        result.never_accepted_ids = await self._never_accepted_ids(unknown, requester)
+            unresolved_ids = self._unresolved_ids(unresolved_ids)
+        result.never_accepted_ids = await self._never_accepted_ids(unresolved_ids, requesting_job_id)
         result.service_ids = [
             job_id
             for job_id in job_ids
@@ -84,11 +84,11 @@
         ]
         return result
 
-    def _unknown_ids(self, job_ids: Sequence[str]) -> list[str]:
+    def _unresolved_ids(self, job_ids: Sequence[str]) -> list[str]:
         return [
             job_id
             for job_id in job_ids
-            if job_id not in self._completed_jobs.known_states and job_id not in self._live_job_cache.live_jobs
+            if job_id not in self._completed_jobs.terminal_states and job_id not in self._live_job_cache.live_jobs
         ]
 
     async def _read_live_records(self, job_ids: list[str], result: ValidationResult) -> list[str]:
@@ -107,15 +107,15 @@
                 result.dependencies_by_job[job_id] = dependencies.job_ids
         return not_live
 
-    async def _never_accepted_ids(self, job_ids: list[str], requester: str) -> list[str]:
+    async def _never_accepted_ids(self, job_ids: list[str], requesting_job_id: str) -> list[str]:
         """Return the jobs, none of which is live, that have no completed key either: they were never accepted."""
         absent_ids: set[str] = set()
         remaining_ids = set(job_ids)
         while remaining_ids:
-            absent_ids |= await self._completed_jobs.read_states(remaining_ids, requester)
+            absent_ids |= await self._completed_jobs.read_states(remaining_ids, requesting_job_id)
             remaining_ids = {
                 job_id
                 for job_id in remaining_ids
-                if job_id not in absent_ids and job_id not in self._completed_jobs.known_states
+                if job_id not in absent_ids and job_id not in self._completed_jobs.terminal_states
             }
         return [job_id for job_id in job_ids if job_id in absent_ids]
--- a/roseweir/submissions/handlers.py
+++ b/roseweir/submissions/handlers.py
@@ -73,7 +73,7 @@
         self._read_budget = ReadBudget(settings.params.kv_store.max_requests_per_s)
         completed_jobs = CompletedJobReader(
             kv_store,
-            known_states=self._terminal_states.states,
+            terminal_states=self._terminal_states.states,
             remember_state=self._terminal_states.remember,
             read_budget=self._read_budget,
         )
--- a/roseweir/submissions/live_job_index.py
+++ b/roseweir/submissions/live_job_index.py
@@ -79,14 +79,14 @@
         if job_id not in self._job_ids:
             return
         self._drop_dependencies(job_id)
-        kept = [sys.intern(name) for name in dependency_ids]
-        if self._dependency_count + len(kept) > MAX_DEPENDENCY_IDS:
+        interned_ids = [sys.intern(dependency_id) for dependency_id in dependency_ids]
+        if self._dependency_count + len(interned_ids) > MAX_DEPENDENCY_IDS:
             self._unread_dependency_ids.add(job_id)
             return
         self._unread_dependency_ids.discard(job_id)
-        if kept:
-            self._dependencies[job_id] = kept
-            self._dependency_count += len(kept)
+        if interned_ids:
+            self._dependencies[job_id] = interned_ids
+            self._dependency_count += len(interned_ids)
 
     def discard(self, job_id: str) -> None:
         """Remove a job that has completed."""
--- a/roseweir/submissions/task_bitmap.py
+++ b/roseweir/submissions/task_bitmap.py
@@ -20,13 +20,16 @@
     return range((task_count + TASKS_PER_CHUNK - 1) // TASKS_PER_CHUNK)
 
 
-def split_chunk_keys_for_completion(job_id: str, numbers: Iterable[int], txn_ops: int) -> tuple[list[str], list[str]]:
+def split_chunk_keys_for_completion(
+    job_id: str, numbers: Iterable[int], max_txn_ops: int
+) -> tuple[list[str], list[str]]:
     """Return the keys to delete in the transaction that completes the job, and those to delete later.
 
-    The completion itself takes two of the transaction's `txn_ops` operations. A transaction of 8 operations has no room
-    for the 13 chunks of 100,000 tasks. Chunks of a completed job are never read, so remaining ones only take up space.
+    The completion itself takes two of the transaction's `max_txn_ops` operations. A transaction of 8 operations has no
+    room for the 13 chunks of 100,000 tasks. Chunks of a completed job are never read, so remaining ones only take up
+    space.
     """
-    max_keys = txn_ops - 2
+    max_keys = max_txn_ops - 2
     return (
         [chunk_key(job_id, number) for number in sorted(numbers) if number < max_keys],
         [chunk_key(job_id, number) for number in sorted(numbers) if number >= max_keys],
