--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -112,14 +112,14 @@
         live_jobs: LiveJobIndex,
         completed_jobs: CompletedJobReader,
         read_budget: ReadBudget,
-        remember_cancelled: Callable[[str], None],
+        cache_cancelled: Callable[[str], None],
     ) -> None:
-        """Call `remember_cancelled` with each live job that is cancelled because of a dependency."""
+        """Call `cache_cancelled` with each live job that is cancelled because of a dependency."""
         self._kv_store = kv_store
         self._live_jobs = live_jobs
         self._completed_jobs = completed_jobs
         self._read_budget = read_budget
-        self._remember_cancelled = remember_cancelled
+        self._cache_cancelled = cache_cancelled
 
     async def is_cancelled(
         self,
@@ -152,7 +152,7 @@
             )
             if traversal.is_cancelled:
                 for job_id in traversal.cancelled_dependents:
-                    self._remember_cancelled(job_id)
+                    self._cache_cancelled(job_id)
                 return True
             self._drop_done_dependencies(traversal, dependencies_by_job)
             traversal.unknown_job_ids -= absent_ids
--- a/roseweir/submissions/completed_jobs.py
+++ b/roseweir/submissions/completed_jobs.py
@@ -45,13 +45,13 @@
         kv_store: KeyValueStoreClient,
         *,
         terminal_states: MutableMapping[str, str],
-        remember_state: Callable[[str, str], None],
+        cache_state: Callable[[str, str], None],
         read_budget: ReadBudget,
     ) -> None:
-        """Add states to `terminal_states` by calling `remember_state` with a job id and its terminal state."""
+        """Add states to `terminal_states` by calling `cache_state` with a job id and its terminal state."""
         self.terminal_states = terminal_states
         self._kv_store = kv_store
-        self._remember_state = remember_state
+        self._cache_state = cache_state
         self._read_budget = read_budget
         # Held by the call that reads for all; afterwards, the other calls find most of their states in the cache.
         self._read_lock = asyncio.Lock()
@@ -98,7 +98,7 @@
             if entry is None:
                 absent_ids.add(job_id)
             else:
-                self._remember_state(job_id, decode_completed_job(entry.value).state)
+                self._cache_state(job_id, decode_completed_job(entry.value).state)
         return absent_ids
 
     def _limit_to_budget(self, job_ids: list[str], requesting_job_id: str) -> list[str]:
@@ -134,7 +134,7 @@
                 job_id = job_ids[position]
                 position += 1
                 if job_id in stored_by_id:
-                    self._remember_state(job_id, decode_completed_job(stored_by_id[job_id]).state)
+                    self._cache_state(job_id, decode_completed_job(stored_by_id[job_id]).state)
                 else:
                     absent_ids.add(job_id)
             limit = (
--- a/roseweir/submissions/handlers.py
+++ b/roseweir/submissions/handlers.py
@@ -74,7 +74,7 @@
         completed_jobs = CompletedJobReader(
             kv_store,
             terminal_states=self._terminal_states.states,
-            remember_state=self._terminal_states.remember,
+            cache_state=self._terminal_states.add,
             read_budget=self._read_budget,
         )
         cancellation_resolver = CancellationResolver(
@@ -82,7 +82,7 @@
             live_jobs=self.live_job_cache.live_jobs,
             completed_jobs=completed_jobs,
             read_budget=self._read_budget,
-            remember_cancelled=self._terminal_states.remember_propagated_cancellation,
+            cache_cancelled=self._terminal_states.add_propagated_cancellation,
         )
         dependency_validator = DependencyValidator(
             kv_store,
@@ -235,7 +235,7 @@
                 )
             except (CompareFailed, Unreachable):
                 continue  # the next read shows the outcome
-            self._terminal_states.remember(job_id, "cancelled")
+            self._terminal_states.add(job_id, "cancelled")
             log.info("cancelled: job=%s", job_id)
             return json_response(200, status_response(job_id, "cancelled"))
         raise StoreError("the cancellation was not confirmed in any attempt")
--- a/roseweir/submissions/job_status.py
+++ b/roseweir/submissions/job_status.py
@@ -64,7 +64,7 @@
         if completed_entry is None:
             return None
         completed = decode_completed_job(completed_entry.value)
-        self._terminal_states.remember(job_id, completed.state)
+        self._terminal_states.add(job_id, completed.state)
         return JobStatus(completed.state, completed.task_count if completed.state == "done" else 0)
 
     async def _is_cancelled_by_dependency(self, job_id: str) -> bool:
--- a/roseweir/submissions/terminal_state_cache.py
+++ b/roseweir/submissions/terminal_state_cache.py
@@ -33,21 +33,21 @@
         """Record when this process began to answer users; `now` is monotonic."""
         self._started_at = now
 
-    def remember(self, job_id: str, state: str) -> None:
-        """Record the terminal state of a job; call this before the state is returned to a user."""
+    def add(self, job_id: str, state: str) -> None:
+        """Add the terminal state of a job; call this before the state is returned to a user."""
         if state == "cancelled" and job_id not in self.states:
             self._acknowledged_cancellations.append((monotonic_now(), job_id))
             if len(self._acknowledged_cancellations) > MAX_ACKNOWLEDGED_CANCELLATIONS:
                 self._cancellations_complete_since, _ = self._acknowledged_cancellations.popleft()
-        self._store(job_id, state)
+        self._insert(job_id, state)
 
-    def remember_propagated_cancellation(self, job_id: str) -> None:
-        """Record that a live job is cancelled because of a job that it depends on.
+    def add_propagated_cancellation(self, job_id: str) -> None:
+        """Add a live job that is cancelled because of a job that it depends on.
 
         This is not reported to a leader as an acknowledged cancellation, since the leader has yet to record the
         terminal state. The leader does not need the report: none of the job's tasks ever starts.
         """
-        self._store(job_id, "cancelled")
+        self._insert(job_id, "cancelled")
 
     def acknowledged_since(self, window: timedelta) -> list[str] | None:
         """Return the jobs whose cancellation this process first acknowledged to a user within the last `window`.
@@ -59,7 +59,7 @@
             return None
         return [job_id for at, job_id in self._acknowledged_cancellations if at >= since]
 
-    def _store(self, job_id: str, state: str) -> None:
+    def _insert(self, job_id: str, state: str) -> None:
         if state == "cancelled":
             self._live_jobs.invalidate_not_cancelled(job_id)
         self.states[job_id] = state
