--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -160,10 +160,10 @@
         """Write the job's record: a live record, or a completed one if the job is cancelled on acceptance."""
         if is_cancelled:
             record_write = put(COMPLETED_JOB_PREFIX + job_id, to_stored(completed_job(spec, "cancelled")))
-            confirmation = self._write_confirmations.job_cancelled(job_id)
+            confirmation = self._write_confirmations.cancellation_confirmation(job_id)
         else:
             record_write = put(LIVE_JOB_PREFIX + job_id, to_stored(spec))
-            confirmation = self._write_confirmations.job_accepted(job_id)
+            confirmation = self._write_confirmations.acceptance_confirmation(job_id)
         status: JobStatus | None
         try:
             await self._group_commit.commit(
--- a/roseweir/submissions/cancellation_propagation.py
+++ b/roseweir/submissions/cancellation_propagation.py
@@ -82,7 +82,7 @@
                 traversal.cancelled_dependents.append(dependent)
                 dependent = reached_from[dependent]
             return traversal
-        if state == "done" or job_id in live_jobs.known_not_cancelled:
+        if state == "done" or job_id in live_jobs.not_cancelled_ids:
             continue
         dependency_ids = dependencies_by_job.get(job_id)
         if dependency_ids is None:
@@ -158,7 +158,7 @@
             traversal.unknown_job_ids -= absent_ids
             if traversal.is_complete:
                 if not dependencies_by_job and not absent_ids:
-                    self._live_jobs.known_not_cancelled.update(traversal.open_dependencies)
+                    self._live_jobs.not_cancelled_ids.update(traversal.open_dependencies)
                 return False
             if traversal.unknown_job_ids:
                 missing_ids = await self._completed_jobs.read_states(traversal.unknown_job_ids, requesting_job_id)
--- a/roseweir/submissions/handlers.py
+++ b/roseweir/submissions/handlers.py
@@ -195,11 +195,11 @@
 
     async def _respond_unless_accepted(self, job_id: str, rejection: SubmissionRejected) -> Response:
         # A request with the id of an accepted job is answered 200, whatever the reason for the rejection.
-        return await self._respond_if_known(job_id) or json_response(
+        return await self._respond_if_accepted(job_id) or json_response(
             rejection.status, {"error": rejection.reason}, rejection.retry_after
         )
 
-    async def _respond_if_known(self, job_id: str) -> Response | None:
+    async def _respond_if_accepted(self, job_id: str) -> Response | None:
         status = await self._job_statuses.read(job_id)
         return None if status is None else json_response(200, status_response(job_id, status.state))
 
@@ -231,7 +231,7 @@
                 await self.group_commit.commit(
                     [(LIVE_JOB_PREFIX + job_id, live_entry.version), (COMPLETED_JOB_PREFIX + job_id, 0)],
                     self._cancellation_ops(job_id, live_entry.value),
-                    self._write_confirmations.job_cancelled(job_id).find_revision,
+                    self._write_confirmations.cancellation_confirmation(job_id).find_revision,
                 )
             except (CompareFailed, Unreachable):
                 continue  # the next read shows the outcome
--- a/roseweir/submissions/idempotency.py
+++ b/roseweir/submissions/idempotency.py
@@ -46,7 +46,7 @@
         self._kv_store = kv_store
         self._live_job_cache = live_job_cache
 
-    def job_accepted(self, job_id: str) -> KeyConfirmation:
+    def acceptance_confirmation(self, job_id: str) -> KeyConfirmation:
         """Return a confirmation that the job is accepted.
 
         Only the live key is read. If the job has completed meanwhile, that key is missing, which proves nothing.
@@ -58,7 +58,7 @@
 
         return KeyConfirmation(find_live_key)
 
-    def job_cancelled(self, job_id: str) -> KeyConfirmation:
+    def cancellation_confirmation(self, job_id: str) -> KeyConfirmation:
         """Return a confirmation that the job was cancelled."""
 
         async def find_cancellation() -> int | None:
--- a/roseweir/submissions/live_job_index.py
+++ b/roseweir/submissions/live_job_index.py
@@ -32,7 +32,7 @@
     """Sets of live job ids, updated by the callers that read the records; the index itself does no I/O.
 
     Attributes:
-        known_not_cancelled: Jobs that depend on no cancelled job. The set includes all live jobs that they depend on,
+        not_cancelled_ids: Jobs that depend on no cancelled job. The set includes all live jobs that they depend on,
             so it stays correct until one of its jobs completes.
     """
 
@@ -45,7 +45,7 @@
         # Jobs whose dependencies have to be read from the key-value store.
         self._unread_dependency_ids: set[str] = set()
         self._dependency_count = 0
-        self.known_not_cancelled: set[str] = set()
+        self.not_cancelled_ids: set[str] = set()
 
     def __contains__(self, job_id: object) -> bool:
         return job_id in self._job_ids
@@ -99,9 +99,9 @@
         self.invalidate_not_cancelled(job_id)
 
     def invalidate_not_cancelled(self, job_id: str) -> None:
-        """Clear `known_not_cancelled` if it contains this job, which has completed or is cancelled."""
-        if job_id in self.known_not_cancelled:
-            self.known_not_cancelled.clear()
+        """Clear `not_cancelled_ids` if it contains this job, which has completed or is cancelled."""
+        if job_id in self.not_cancelled_ids:
+            self.not_cancelled_ids.clear()
 
     def replace_all(self, records: dict[str, Any]) -> None:
         """Replace the live jobs by those of one scan, given as records by job id."""
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -346,7 +346,7 @@
     found = traverse_dependencies(["j-1990"], {"j-990": "done"}, live, {})
     assert found.is_complete and "j-990" not in found.open_dependencies
     # What is found clear stays so until something of it ends.
-    live.known_not_cancelled.update(found.open_dependencies)
+    live.not_cancelled_ids.update(found.open_dependencies)
     assert traverse_dependencies(["j-1990"], {}, live, {}).open_dependencies == {}
     live.discard("j-01")
     assert traverse_dependencies(["j-1990"], {}, live, {}).unknown_job_ids == {"j-01"}
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -247,7 +247,7 @@
 
         return KeyConfirmation(proof)
 
-    patch.setattr(WriteConfirmations, "job_accepted", live)
+    patch.setattr(WriteConfirmations, "acceptance_confirmation", live)
 
 
 def no_lookups(patch: Patch) -> None:
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -189,7 +189,7 @@
 
     async def once(self: SubmissionHandlers, job_id: str) -> Response:
         if await self.kv_store.get(LIVE_JOB_PREFIX + job_id) is None:
-            known = await self._respond_if_known(job_id)
+            known = await self._respond_if_accepted(job_id)
             return known or json_response(404, {"error": "no such job"})
         return await cancel(self, job_id)
 
