--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -147,7 +147,7 @@
             return None
 
     async def _store_dependencies(self, spec: JobSpec) -> JobSpec:
-        """Return the job in a form that fits its record, after storing dependency ids that do not fit separately."""
+        """Return the job in a form that fits its record; ids that do not fit are first stored under separate keys."""
         if fits_job_record(spec):
             return spec
         stored_parts = split_dependencies(spec.id, spec.dependencies.job_ids)
@@ -183,5 +183,5 @@
                 raise
             return AcceptedJob(status.state, is_new=False)
         log.debug("accepted: job=%s tasks=%d class=%s", job_id, spec.task_count, spec.job_class)
-        # A confirming read proves that the job is accepted, but not by which submission: another may have got 201.
+        # A confirming read proves acceptance, but not by which submission: an earlier one may have got 201.
         return AcceptedJob("cancelled" if is_cancelled else "queued", is_new=not confirmation.is_confirmed)
--- a/roseweir/submissions/terminal_state_cache.py
+++ b/roseweir/submissions/terminal_state_cache.py
@@ -18,7 +18,7 @@
     """A bounded cache of terminal states; the oldest entries are evicted first."""
 
     def __init__(self, live_jobs: LiveJobIndex) -> None:
-        """Create an empty cache; each cancellation added to it also invalidates the conclusions in `live_jobs`."""
+        """Create an empty cache; each cancellation added to it also calls `live_jobs.invalidate_not_cancelled`."""
         # "done" or "cancelled" by job id.
         self.states: OrderedDict[str, str] = OrderedDict()
         self._live_jobs = live_jobs
