--- a/roseweir/controller/cancellations.py
+++ b/roseweir/controller/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations that a leader learns of from the other controllers while it cannot reach the store."""
+"""Cancellations that a leader fetches from the other controllers while it cannot reach the store."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -14,17 +14,17 @@
 
 log = logging.getLogger(__name__)
 
-# The leader asks the other controllers once its knowledge of cancellations is this old.
+# The leader queries the other controllers once its data on cancellations is this old.
 STORE_UNREACHABLE_TIMEOUT = timedelta(seconds=3)
 CANCELLATION_QUERY_INTERVAL = timedelta(seconds=1)
-# Answers count if they come within this time, and the query reaches back for that much longer.
+# Answers count only if all arrive within this time. The window that a query asks about is longer by twice this time.
 CANCELLATION_QUERY_TIMEOUT = timedelta(seconds=1)
 
 FetchAcknowledgedCancellations = Callable[[timedelta], Awaitable[AcknowledgedCancellations | None]]
 
 
 class PeerCancellations:
-    """Keeps the leader's knowledge of cancellations current by the other controllers' answers."""
+    """Keeps the leader's data on cancellations current with the other controllers' answers."""
 
     def __init__(
         self,
@@ -43,22 +43,25 @@
         self._queried_at = NEVER
 
     async def apply(self) -> None:
-        """Ask the other controllers if the store has not answered for long, and stop the jobs that they name.
+        """Query the other controllers if the store has not answered for long, and stop the jobs that they name.
 
-        Without the store the other controllers know as much as it does: all cancellations that users were
-        acknowledged. A cancellation counts from when its user hears of it, and users hear by a controller. So if all
-        others name the jobs whose cancellation they have acknowledged since the last answer of the store, these are
-        all, and none of them led as it answered. The leader stops those jobs, and goes on as if its watch had been
-        answered. Bound and proof: docs/design.md.
+        A cancellation takes effect once a controller has acknowledged it to the user. So if every other controller
+        lists the cancellations that it has acknowledged since the store's last answer, the lists are complete, and
+        none of these controllers led when it answered. The leader stops those jobs, and continues as if the store had
+        answered its watch. Bound and proof: docs/design.md.
         """
         sent_at = monotonic_now()
-        knowledge_age = sent_at - self._worker_handlers.authority.cancellations_known_at
-        if knowledge_age < STORE_UNREACHABLE_TIMEOUT or sent_at - self._queried_at < CANCELLATION_QUERY_INTERVAL:
+        cancellation_data_age = sent_at - self._worker_handlers.authority.cancellations_known_at
+        if (
+            cancellation_data_age < STORE_UNREACHABLE_TIMEOUT
+            or sent_at - self._queried_at < CANCELLATION_QUERY_INTERVAL
+        ):
             return
         self._queried_at = sent_at
-        # Back to when nobody else led, too: one that led since and ended does not know of it any more.
+        # The window also reaches back to when this node was last confirmed as the only leader: another node whose term
+        # began and ended since then no longer knows of that term.
         acknowledged = await self._fetch_acknowledged(
-            knowledge_age * CLOCK_DRIFT_FACTOR + CANCELLATION_QUERY_TIMEOUT * 2
+            cancellation_data_age * CLOCK_DRIFT_FACTOR + CANCELLATION_QUERY_TIMEOUT * 2
         )
         if (
             acknowledged is None
--- a/roseweir/controller/catalog.py
+++ b/roseweir/controller/catalog.py
@@ -30,7 +30,7 @@
         *,
         on_loaded: Callable[[list[MachineType]], None],
     ) -> None:
-        """`on_loaded` is called with the machine types as soon as they are known."""
+        """`on_loaded` is called with the machine types as soon as they are loaded."""
         self._kv_store = kv_store
         self._cloud_client = cloud_client
         self._on_loaded = on_loaded
@@ -38,13 +38,13 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the machine types are known."""
+        """Whether the machine types are loaded."""
         return bool(self.machine_types)
 
     async def load(self) -> None:
         """Load the machine types from the store if a node has saved them there, else from the cloud; retry until done.
 
-        What was read from the cloud is saved in the store for the other nodes.
+        A catalog that was read from the cloud is saved in the store for the other nodes.
         """
         while not self.machine_types:
             try:
@@ -52,8 +52,8 @@
             except (StoreError, Unreachable, NoCapacity, CompareFailed, msgspec.ValidationError) as error:
                 log.debug("catalog load failed: error=%s", error)
                 await sleep(CATALOG_RETRY_INTERVAL)
-        log.info("catalog loaded: machine_types=%s", ",".join(each.name for each in self.machine_types))
-        # What is allocated by now lives as long as the process; later collections need not look at it.
+        log.info("catalog loaded: machine_types=%s", ",".join(machine_type.name for machine_type in self.machine_types))
+        # Objects allocated so far live as long as the process, so later garbage collections need not scan them.
         gc.collect()
         gc.freeze()
 
@@ -64,7 +64,7 @@
             return
         machine_types = await self._cloud_client.read_catalog()
         if machine_types:
-            # In use before it is saved: a store that fails now does not hold this node up.
+            # The catalog is used before it is saved, so that a failure of the store does not delay this node.
             self._set_machine_types(machine_types)
             await self._kv_store.compare_and_swap(
                 [(CATALOG_KEY, 0)], [put(CATALOG_KEY, msgspec.to_builtins(machine_types))]
--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does for one term: recover the cluster state, then schedule, write the log, watch jobs and scale."""
+"""One term as leader: recover the cluster state, then run the control loops that schedule, log, watch and scale."""
 
 import asyncio
 import logging
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True)
 class LeaderDependencies:
-    """What a process hands to each of its terms as leader.
+    """Objects of the controller process that each of its terms as leader uses.
 
     Attributes:
         settings: The platform's settings.
-        operator_config: The operators' own settings.
-        kv_store: Client of the store.
-        cloud_client: Client of the cloud.
-        connect: Opens the way to a worker.
-        may_hold_connection: Whether there is room for one more connection that waits for its response.
-        gather_rejections: Counts of rejected requests, by controller.
-        fetch_acknowledged_cancellations: Cancellations that any controller has acknowledged to a user.
+        operator_config: The settings that operators change.
+        kv_store: Client of the key-value store.
+        cloud_client: Client of the cloud's API.
+        connect: Opens a transport to a worker.
+        may_hold_connection: Returns whether one more connection may be kept waiting for its response.
+        gather_rejections: Fetches the counts of rejected requests, by controller.
+        fetch_acknowledged_cancellations: Fetches the cancellations that any controller has acknowledged to a user.
     """
 
     settings: Settings
@@ -71,17 +71,23 @@
 
 
 class LeaderTerm:
-    """One term of a leader: the cluster state and the control loops that work on it."""
+    """One term as leader: the cluster state and the control loops that read and change it."""
 
     def __init__(
         self, dependencies: LeaderDependencies, machine_types: list[MachineType], leader_lease: LeaderLease
     ) -> None:
-        """`machine_types` is the catalog; `leader_lease` the lease that the term lasts for."""
+        """Create the control loops of a term.
+
+        Args:
+            dependencies: Objects of the controller process.
+            machine_types: The catalog of machine types.
+            leader_lease: The lease that the term is bound to.
+        """
         operator_config = dependencies.operator_config
         self._dependencies = dependencies
         self.leader_lease = leader_lease
         self.kv_store = dependencies.kv_store
-        self.is_ready = False  # recovered: heartbeats are handled
+        self.is_ready = False  # whether the cluster state is recovered; heartbeats are handled from then on
         self._signals = SchedulingSignals()
         placement_policy = FragmentationScorer()
         self.cluster_state = self._make_cluster_state(machine_types, placement_policy)
@@ -144,7 +150,7 @@
             signals=self._signals,
         )
 
-    # -- wiring -------------------------------------------------------------------------------
+    # -- construction -------------------------------------------------------------------------
 
     def _make_cluster_state(
         self, machine_types: list[MachineType], placement_policy: FragmentationScorer
@@ -164,7 +170,7 @@
         settings = self._dependencies.operator_config.predictive_scaling
         if settings is None:
             return None
-        # Loaded only where it is used: controllers have little memory.
+        # Imported only if predictive scaling is enabled, since controllers have little memory.
         from roseweir.forecast import predictive_scaler
 
         return predictive_scaler.PredictiveScaler(
@@ -232,16 +238,16 @@
             signals=self._signals,
         )
 
-    # -- what one controller tells the others -------------------------------------------------
+    # -- events passed from one control loop to others ----------------------------------------
 
     def _on_job_ended(self, job_id: str, state: str) -> None:
-        """The store has recorded a job's end."""
+        """Handle a job's end, which the store has recorded."""
         self.service_levels.account.record_outcome(job_id, state)
         self.workflows.record_job_end(job_id, state)
         self.dependency_reconciler.record_end(job_id, state)
 
     def _on_dependencies_met(self, run: JobRun) -> None:
-        """All jobs that a job depends on are done."""
+        """Wake the scheduling loop for a job whose dependencies are all done."""
         signal_job(self._signals, self.cluster_state, run)
 
     # -- the term -----------------------------------------------------------------------------
@@ -272,14 +278,15 @@
                 group.create_task(self.predictive_scaler.run())
 
     async def _recover(self) -> int:
-        """Recover from the store first, then from heartbeats; the store's revision that has been read.
+        """Read the cluster state from the store, retrying until it succeeds; heartbeats are handled only afterwards.
 
-        No heartbeat is handled before the store has been read.
+        Returns:
+            The store's revision that was read; the watch of live jobs continues from it.
         """
         while True:
             sent_at = monotonic_now()
             try:
-                # Before the log writer recovers: what it has recovered cannot be recovered again.
+                # These reads come before the log writer's recovery, which cannot be repeated if one of them fails.
                 drain_records, workflow_records = await gather_pair(
                     self.drain_controller.read_records(), self.workflows.read_entries()
                 )
@@ -295,7 +302,7 @@
             self.service_levels.begin(revision)
             if self.predictive_scaler is not None:
                 for run in self.cluster_state.jobs.values():
-                    # What the scan found beyond its revision is delivered again with the first watch.
+                    # Jobs that the scan returned with a later revision are delivered again by the first watch.
                     if run.version <= revision:
                         self.predictive_scaler.record_accepted_job(run, run.version)
                 self.predictive_scaler.record_watch_progress(revision, sent_at)
--- a/roseweir/controller/leadership.py
+++ b/roseweir/controller/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, as far as this node knows: its own term as leader, or the leader that the election has found."""
+"""The leadership as this node observes it: its own term as leader, or the leader that the election reports."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 class Leadership:
-    """This node's term as leader, if it leads, and the way to the leader if it does not."""
+    """This node's term as leader if it leads, and the transport to the leader if it does not."""
 
     def __init__(self, node_name: str, leader_election: LeaderElection, membership: MembershipMonitor) -> None:
         self.node_name = node_name
@@ -26,16 +26,16 @@
         return leader_term if leader_term is not None and leader_term.is_ready else None
 
     def leader_transport(self) -> Transport | None:
-        """The way to the leader's peer API; None if no leader is known or it is this node."""
+        """The transport to the leader's peer API; None if no leader is known or this node leads."""
         leader = self.leader_election.leader
         return None if leader is None else self._membership.peer_transport(leader.name)
 
     def describe_node(self) -> dict[str, Any]:
-        """The fields of every answer to operators: who answers, and who leads as far as this node knows."""
+        """The fields of every answer to operators: the answering node, and the leader that it knows of."""
         leader = self.leader_election.leader
         return {"node": self.node_name, "leader": None if leader is None else leader.name}
 
 
-def knowledge_age_s(leader_term: LeaderTerm) -> float:
-    """The age of the leader's knowledge of submissions and cancellations, in seconds."""
+def job_data_age_s(leader_term: LeaderTerm) -> float:
+    """The age of the leader's data on submissions and cancellations, in seconds."""
     return round((monotonic_now() - leader_term.worker_handlers.authority.cancellations_read_at).total_seconds(), 1)
--- a/roseweir/controller/limit_renewal.py
+++ b/roseweir/controller/limit_renewal.py
@@ -1,4 +1,4 @@
-"""Renewal of the startup limits that hold while their cause holds."""
+"""Renewal of the startup limits that apply for as long as their cause does."""
 
 from datetime import timedelta
 
@@ -11,9 +11,9 @@
 
 
 async def renew_limits(cluster_state: ClusterState) -> None:
-    """Renew the leases of limits until cancelled, and log what they block.
+    """Renew the leases of startup limits until cancelled, and log at intervals what they block.
 
-    A zone with machines may see fetches, so its fetch limits hold while it has any.
+    Any machine in a zone may fetch images, so the zone's fetch limits apply while it has machines.
     """
     last_logged_at = monotonic_now()
     while True:
--- a/roseweir/controller/listeners.py
+++ b/roseweir/controller/listeners.py
@@ -1,4 +1,4 @@
-"""Listening addresses: how they are written, and how a restarted process gets them back."""
+"""Listening addresses: parsing them, and binding one that is briefly still in use after a restart."""
 
 from collections.abc import Awaitable, Callable
 from errno import EADDRINUSE
@@ -6,7 +6,7 @@
 from roseweir.clock import monotonic_now, seconds, sleep
 from roseweir.http import Listener
 
-# A restarted process waits at most this long for an address that is still in use.
+# The maximum time that a restarted process waits for an address that is still in use.
 ADDRESS_IN_USE_TIMEOUT = seconds(5)
 ADDRESS_IN_USE_RETRY_INTERVAL = seconds(0.02)
 
@@ -14,7 +14,7 @@
 async def listen_when_free(start_listener: Callable[[], Awaitable[Listener]]) -> Listener:
     """Start a listener, and retry while its address is in use.
 
-    A process that is restarted at once may find its addresses still held, for a moment, by the process before it.
+    After an immediate restart, the previous process may still hold the addresses for a moment.
 
     Returns:
         The open listener, which the caller closes.
--- a/roseweir/controller/live_jobs.py
+++ b/roseweir/controller/live_jobs.py
@@ -1,4 +1,4 @@
-"""The leader's watch of the live jobs: which jobs users have submitted and cancelled, and which have ended."""
+"""The leader's watch of the live jobs' keys in the store: jobs that were submitted, were cancelled or have ended."""
 
 import logging
 from datetime import datetime, timedelta
@@ -27,7 +27,7 @@
 
 
 class LiveJobWatcher:
-    """Applies the coming and going of live jobs' keys to the cluster state and to all that counts jobs."""
+    """Applies additions and deletions of live jobs' keys to the cluster state and to all components that count jobs."""
 
     def __init__(
         self,
@@ -51,16 +51,16 @@
         self._worker_handlers = worker_handlers
         self._peer_cancellations = peer_cancellations
         self._signals = signals
-        # Complete jobs whose live key was deleted before our record of their end was confirmed: it was that record,
-        # or a user's cancellation.
+        # Complete jobs whose live key was deleted before this leader's write of their end was confirmed. Either that
+        # write or a user's cancellation deleted the key.
         self._unconfirmed_completions: set[str] = set()
-        # The store's revision up to which changes are applied. It counts even if a read that follows them fails.
+        # The store's revision up to which changes are applied. It stays valid if a later read of the same round fails.
         self._revision = 0
 
     async def watch(self, revision: int) -> None:
-        """Follow the live jobs from a revision of the store until cancelled.
+        """Watch the live jobs from a revision of the store until cancelled.
 
-        Each answer proves that all changes up to the sending of its request are known.
+        Each answer of the store includes all changes made before its request was sent.
         """
         self._revision = revision
         while True:
@@ -73,7 +73,7 @@
                 await sleep(WATCH_RETRY_INTERVAL)
                 continue
             self._worker_handlers.authority.record_cancellations_read(sent_at)
-            # Reads may go through while renewals are answered too late to count.
+            # The watch may succeed while the lease's renewals are answered too late to count, so peers are queried too.
             await self._peer_cancellations.apply()
 
     async def _watch_once(self, sent_at: datetime) -> None:
@@ -95,13 +95,13 @@
 
     async def _confirm_completions(self, job_ids: list[str]) -> None:
         for job_id in job_ids:
-            # Mostly the log writer has had its answer by now, and nothing needs to be read.
+            # In most cases the log writer has received its answer by now, and nothing needs to be read.
             if job_id in self.cluster_state.jobs and not self.cluster_state.jobs[job_id].final_state:
                 await self.log_writer.refresh_job_end(job_id)
             self._unconfirmed_completions.discard(job_id)
 
     async def _rescan(self) -> int:
-        """Read all live jobs, after a watch whose revision the store no longer has; the revision of what was read."""
+        """Read all live jobs and return their revision, after a watch whose revision the store no longer has."""
         entries, revision = await self._kv_store.scan(LIVE_JOB_PREFIX)
         present_job_ids = {entry.key.removeprefix(LIVE_JOB_PREFIX) for entry in entries}
         for entry in entries:
@@ -113,13 +113,13 @@
                 await self.log_writer.refresh_job_end(job_id)
         for job_id in self._service_levels.account.live_jobs.keys() - present_job_ids:
             self._service_levels.account.confirm_end(job_id)
-        self._service_levels.account.gap_count += 1  # what came and went meanwhile
+        self._service_levels.account.gap_count += 1  # jobs that were added and ended in between are missed
         return revision
 
     def _apply_live_job(self, job_id: str, value: object, version: int, revision: int) -> None:
         """Apply one live job's key: its stored value, or None if the key was deleted.
 
-        What is newer than `revision` is delivered again, and is counted then.
+        A job whose version is newer than `revision` is delivered again by the next watch, and is counted then.
         """
         if value is not None:
             self._add_job(job_id, value, version, revision)
@@ -143,15 +143,15 @@
         if run is not None and run.is_complete and not run.final_state:
             self._stop_unconfirmed_completion(job_id, run)
         elif run is not None:
-            # Only our own record of its end, or a user's cancellation, deletes a live key.
+            # Only this leader's write of the job's end, or a user's cancellation, deletes a live key.
             self.log_writer.record_job_end(job_id, completed_job(run.spec, "cancelled"))
         self._service_levels.account.confirm_end(job_id)
 
     def _stop_unconfirmed_completion(self, job_id: str, run: JobRun) -> None:
-        """Stop a complete job, and leave it to the store how it ended.
+        """Stop a complete job, and read its final state from the store later.
 
-        Its key was deleted by our own record of its end, or by a user's cancellation that came before. If it were
-        taken for done, a workflow's step that was cancelled as it completed would start the steps that follow it.
+        Either this leader's write of its end or an earlier cancellation by a user deleted its key. If the job were
+        treated as done, a workflow step that was cancelled as it completed would start the steps that depend on it.
         """
         self._unconfirmed_completions.add(job_id)
         for placement in list(run.placements.values()):
--- a/roseweir/controller/peer_api.py
+++ b/roseweir/controller/peer_api.py
@@ -1,4 +1,4 @@
-"""The API on a controller's own address: queries of the other controllers, and operators' queries and commands."""
+"""The API on a controller's peer address: queries of other controllers, and operators' queries and commands."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -24,12 +24,12 @@
 
 JOB_PATH_PREFIX = "/job/"
 COMMAND_RETRY_AFTER = seconds(0.2)
-# How long a node that does not lead waits for the leader's answer to a command that it forwards.
+# The timeout of a command that a node that does not lead forwards to the leader.
 COMMAND_TIMEOUT = seconds(4)
 
 
 class LeaderRoute(NamedTuple):
-    """A path that only the leader answers: which of its controllers is asked, and the handler of its requests."""
+    """A path that only the leader answers: the controller that serves it, and the handler of its requests."""
 
     select_controller: Callable[[LeaderTerm], Any]
     handle_request: Callable[[Any, str, bytes], Awaitable[tuple[int, dict[str, Any]]]]
@@ -84,7 +84,7 @@
         return json_response(404, {"error": "no such path"})
 
     def _handle_acknowledged_cancellations(self, request: Request) -> Response:
-        """Tell a leader that cannot reach the store which cancellations users were acknowledged here meanwhile."""
+        """List the cancellations that this node acknowledged to users, for a leader that cannot reach the store."""
         try:
             query = msgspec.json.decode(request.body, type=AcknowledgedCancellationsQuery)
             job_ids = self._submission_handlers.acknowledged_cancellations_since(seconds(query.since_s))
@@ -117,7 +117,7 @@
         return json_response(200, {job_id: self._peer_queries.count_tasks(job_id) for job_id in job_ids})
 
     async def _handle_or_forward_to_leader(self, request: Request, route: LeaderRoute) -> Response:
-        """Handle an operator's command or query (GET) as leader; a node that does not lead forwards it, once."""
+        """Handle an operator's command or query (GET) as leader, or forward it to the leader, at most once."""
         leader_term = self._leadership.ready_term
         if leader_term is None:
             return await self._forward_to_leader(request)
--- a/roseweir/controller/peer_queries.py
+++ b/roseweir/controller/peer_queries.py
@@ -1,4 +1,4 @@
-"""What this controller asks of the other controllers: acknowledged cancellations, rejected requests, progress."""
+"""Queries to the other controllers: acknowledged cancellations, rejected requests and progress."""
 
 from collections.abc import Awaitable, Callable
 from datetime import datetime, timedelta
@@ -20,7 +20,7 @@
 
 REJECTIONS_PATH = "/turned-away"
 PROGRESS_PATH = "/progress"
-# Jobs asked about in one request to the leader: it has to fit 64 KiB.
+# Limited so that a request to the leader stays within 64 KiB.
 MAX_JOBS_PER_PROGRESS_REQUEST = 2000
 
 
@@ -48,10 +48,10 @@
         self._started_at = now
 
     async def fetch_acknowledged_cancellations(self, window: timedelta) -> AcknowledgedCancellations | None:
-        """Jobs whose cancellation any controller, this one among them, has acknowledged to a user within `window`.
+        """Fetch the cancellations that any controller, this one included, has acknowledged to a user within `window`.
 
         Returns:
-            None if a controller did not answer or does not remember as far back.
+            The cancelled jobs, or None if a controller did not answer or its records do not reach back that far.
         """
         peer_acknowledged = await self._membership.fetch_acknowledged_cancellations(window)
         own_job_ids = self._submission_handlers.acknowledged_cancellations_since(window)
@@ -65,19 +65,19 @@
         return encode_rejected_requests(self._process_id, uptime_s, self._submission_handlers.rejections.counts)
 
     async def gather_rejections(self) -> dict[str, RejectedRequests]:
-        """Counts of rejected requests by the name of the controller, of this one and all that answer."""
+        """Counts of rejected requests by controller name, for this controller and all others that answer."""
         fetchers: dict[str, Callable[[], Awaitable[Any]]] = {self._settings.name: self._fetch_own_rejections}
-        for each in self._settings.peers:
-            peer = self._membership.peer_transport(each.name)
-            if peer is not None:
-                fetchers[each.name] = _rejections_fetcher(peer)
+        for peer in self._settings.peers:
+            transport = self._membership.peer_transport(peer.name)
+            if transport is not None:
+                fetchers[peer.name] = _rejections_fetcher(transport)
         return await gather_rejected_requests(fetchers)
 
     async def _fetch_own_rejections(self) -> Any:
         return self.describe_rejections()
 
     def count_tasks(self, job_id: str) -> tuple[int, int]:
-        """Tasks completed and running, for display; zeros unless this node leads. Only recorded completions count."""
+        """Tasks completed and running, for display; zeros unless this node leads. Only durable completions count."""
         leader_term = self._leadership.leader_term
         run = None if leader_term is None else leader_term.cluster_state.jobs.get(job_id)
         if run is None:
@@ -86,7 +86,7 @@
         return run.completed_count - len(run.uncommitted_completions), running
 
     async def fetch_progress(self, job_ids: list[str]) -> dict[str, tuple[int, int]]:
-        """Tasks completed and running of each job, as the leader counts them; empty if it does not answer."""
+        """Tasks completed and running of each job, as counted by the leader; empty if it does not answer."""
         if self._leadership.leader_term is not None:
             return {job_id: self.count_tasks(job_id) for job_id in job_ids}
         leader_transport = self._leadership.leader_transport()
@@ -101,8 +101,8 @@
             return {}
 
 
-def _rejections_fetcher(peer: Transport) -> Callable[[], Awaitable[Any]]:
+def _rejections_fetcher(peer_transport: Transport) -> Callable[[], Awaitable[Any]]:
     async def fetch() -> Any:
-        return (await peer("GET", REJECTIONS_PATH, timeout=PEER_TIMEOUT)).json()
+        return (await peer_transport("GET", REJECTIONS_PATH, timeout=PEER_TIMEOUT)).json()
 
     return fetch
--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -1,4 +1,4 @@
-"""The process of one controller: its listeners, its background tasks, and what they are made of."""
+"""The process of one controller: its components, listeners and background tasks."""
 
 import asyncio
 import logging
@@ -28,8 +28,8 @@
 log = logging.getLogger(__name__)
 
 MAX_PEER_CONNECTIONS = 32
-# Sockets kept free of public connections, for the store, the cloud and workers' direct commands: this many, or a
-# tenth of all if that is more.
+# Sockets reserved for outgoing connections to the store, the cloud and workers: at least this many, or a tenth of all
+# sockets if that is more.
 MIN_OUTGOING_SOCKETS = 24
 OUTGOING_SOCKETS_DIVISOR = 10
 MIN_PUBLIC_CONNECTIONS = 16
@@ -37,14 +37,14 @@
 
 
 class ControllerProcess:
-    """One controller: what it is made of, its background tasks, and its term while it leads."""
+    """One controller: its components, its background tasks, and its term while it leads."""
 
     def __init__(self, settings: Settings, operator_config: OperatorConfig, connect: Connect = connect) -> None:
-        """`connect` opens the ways to the store, the cloud, workers and peers; tests give their own."""
+        """`connect` opens transports to the store, the cloud, workers and peers; tests replace it."""
         self.settings = settings
         self.operator_config = operator_config
         if operator_config.predictive_scaling is not None:
-            # Now, and not as this node takes over: it takes a tenth of a second.
+            # Imported at startup rather than at the start of a term as leader, since the import takes 0.1 s.
             import roseweir.forecast.predictive_scaler  # noqa: F401
         self._connect = connect
         self.kv_store = KeyValueStoreClient(settings.endpoints.kv_store, settings.params.kv_store, connect)
@@ -122,7 +122,7 @@
             await self.run_background_tasks()
 
     async def run_background_tasks(self) -> None:
-        """Run all that a controller does besides answering requests, until cancelled."""
+        """Run all background tasks, which is all work other than answering requests, until cancelled."""
         started_at = monotonic_now()
         self.peer_queries.start(started_at)
         self.submission_handlers.start(started_at)
@@ -143,7 +143,7 @@
         return await self.public_api.handle(request)
 
     async def serve_peer(self, request: Request) -> Response:
-        """Answer a request on this controller's own address."""
+        """Answer a request on the peer address."""
         return await self.peer_api.handle(request)
 
     def _on_catalog_loaded(self, machine_types: list[MachineType]) -> None:
@@ -152,7 +152,7 @@
     # -- workers ------------------------------------------------------------------------------
 
     def _overdue_workers(self) -> OverdueWorkers:
-        """Addresses and newest heartbeats of the workers whose heartbeats this leader misses, if it misses most."""
+        """Addresses and latest heartbeats of overdue workers; empty unless this node leads and most are overdue."""
         leader_term = self.leadership.ready_term
         if leader_term is None:
             return {}
@@ -162,7 +162,7 @@
         }
 
     def _on_leadership_uncertain(self, now: datetime) -> None:
-        """A leader that can ask nobody whether it still leads lets some workers look for another."""
+        """Redirect some workers to look for another leader, while neither the store nor a peer can confirm this one."""
         leader_term = self.leadership.ready_term
         if leader_term is None:
             return
@@ -176,12 +176,12 @@
             self.leader_term.worker_handlers.worker_reachability.stop()
 
     def _on_process_pause(self) -> None:
-        """Forget what may have changed while the process was paused."""
+        """Discard state that may have changed while the process was paused."""
         self.leader_election.forget_leader()
         if self.leader_term is not None:
             self.leader_term.cloud_controller.pause_for_heartbeats()
 
-    # -- leading ------------------------------------------------------------------------------
+    # -- leadership ---------------------------------------------------------------------------
 
     async def _run_leader_term(self, leader_lease: LeaderLease) -> None:
         while not self.catalog.is_loaded:
@@ -211,6 +211,6 @@
 
 
 def max_public_connections(max_sockets: int) -> int:
-    """Connections that the public listener may hold, of all the sockets that the process may open."""
+    """The maximum number of connections of the public listener, given the sockets that the process may open."""
     outgoing_sockets = max(MIN_OUTGOING_SOCKETS, max_sockets // OUTGOING_SOCKETS_DIVISOR)
     return max(MIN_PUBLIC_CONNECTIONS, max_sockets - MAX_PEER_CONNECTIONS - outgoing_sockets)
--- a/roseweir/controller/public_api.py
+++ b/roseweir/controller/public_api.py
@@ -46,8 +46,8 @@
         if self._membership.store_unreachable:
             return json_response(503, {"status": "no state service here"})
         if self._catalog.is_loaded or self._kv_store.is_failing:
-            # A controller that starts while the store is unreachable is healthy too: otherwise the load balancer
-            # would take it back only seconds after the store.
+            # A controller that starts while the store is unreachable reports healthy too: otherwise the load balancer
+            # would send it requests again only seconds after the store has recovered.
             return json_response(200, {"status": "ok"})
         return json_response(503, {"status": "starting"})
 
@@ -68,7 +68,7 @@
 
 
 def classify_request(request: Request) -> ConnectionClass:
-    """The class of the connection that a request of this path comes by, for admission."""
+    """The class of a connection by the path of its request, for connection admission."""
     if request.path == HEARTBEAT_PATH:
         return ConnectionClass.WORKER
     return ConnectionClass.HEALTH if request.path == HEALTH_CHECK_PATH else ConnectionClass.USER
--- a/roseweir/controller/scheduling_loop.py
+++ b/roseweir/controller/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""When a leader schedules: at most so often, at least so often, and at once for urgent work."""
+"""The leader's scheduling loop: bounds how often scheduling passes run, and runs them earlier for urgent work."""
 
 import asyncio
 from datetime import datetime, timedelta
@@ -11,28 +11,28 @@
 from roseweir.scheduler.model import JobRun
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult, run_scheduling_pass
 
-# Passes are at least this far apart, so that scheduling takes a bounded part of the processor. The write-ahead log
-# takes a batch every 50 to 100 ms: passes much closer together only plan what waits for it.
+# The minimum interval between passes, which bounds the share of CPU time spent on scheduling. The write-ahead log
+# accepts a batch every 50 to 100 ms: passes at much shorter intervals only plan placements that wait for it.
 MIN_SCHEDULING_INTERVAL = timedelta(milliseconds=200)
-# But work that must start at once waits no longer than this.
+# The minimum interval between passes if work that must start at once is waiting.
 MIN_URGENT_SCHEDULING_INTERVAL = timedelta(milliseconds=20)
-# After a pass that took longer, scheduling rests for so many times as long: it may take half of the time at most.
-SCHEDULING_REST_FACTOR = 1
-# Without new work the cluster state is still evaluated this often: leases expire, limits refill.
+# The minimum pause after a pass, as a multiple of the pass's duration: at 1, scheduling takes at most half of the time.
+SCHEDULING_PAUSE_FACTOR = 1
+# Without new work the cluster state is still evaluated at this interval, since leases expire and limits refill.
 MAX_SCHEDULING_INTERVAL = timedelta(milliseconds=500)
 
 
 class SchedulingSignals:
-    """Wakes the scheduling loop."""
+    """Events that wake the scheduling loop."""
 
     def __init__(self) -> None:
         self.has_work = asyncio.Event()
-        # Work that must start at once has come.
+        # Set when work that must start at once arrives.
         self.has_urgent_work = asyncio.Event()
 
 
 class SchedulingLoop:
-    """Runs scheduling passes for one term, while its lease is valid."""
+    """Runs scheduling passes for one term as leader, while the leader lease is valid."""
 
     def __init__(
         self,
@@ -60,16 +60,16 @@
             was_paused = now - last_checked_at > MAX_SCHEDULING_INTERVAL + PROCESS_PAUSE_THRESHOLD
             last_checked_at = now
             if was_paused:
-                # This process was paused: heartbeats wait in its buffers, and another may lead.
+                # This process was paused: unread heartbeats are in its socket buffers, and another node may lead.
                 await sleep(MAX_SCHEDULING_INTERVAL)
                 continue
-            self._evaluate(now)
-            rest_duration = (monotonic_now() - now) * SCHEDULING_REST_FACTOR
+            self._evaluate_cluster_state(now)
+            min_pause = (monotonic_now() - now) * SCHEDULING_PAUSE_FACTOR
             self._signal_urgent_placements()
-            await self._rest(rest_duration)
+            await self._wait_for_next_pass(min_pause)
 
-    def _evaluate(self, now: datetime) -> None:
-        """Apply timeouts, run a scheduling pass if one is due, and have the log written if anything has changed."""
+    def _evaluate_cluster_state(self, now: datetime) -> None:
+        """Apply timeouts, run a scheduling pass if one is due, and wake the log writer if anything has changed."""
         cluster_state = self._cluster_state
         cluster_state.apply_timeouts(now)
         is_pass_due = cluster_state.needs_scheduling or now - self._last_pass_at >= MAX_SCHEDULING_INTERVAL
@@ -83,23 +83,23 @@
             self._log_writer.work_available.set()
 
     def _signal_urgent_placements(self) -> None:
-        """Have placements of work that must start at once written to the log without waiting for a full batch."""
+        """Wake the log writer at once, without waiting for a full batch, if a planned placement must start at once."""
         cluster_state = self._cluster_state
         if any(cluster_state.headroom.is_urgent(placement.run.spec) for placement in cluster_state.planned_placements):
             self._log_writer.urgent_work_available.set()
 
-    async def _rest(self, duration: timedelta) -> None:
-        """Wait until the next pass may run: `duration` at least, less than the usual interval for urgent work."""
-        urgent_interval = max(MIN_URGENT_SCHEDULING_INTERVAL, duration)
+    async def _wait_for_next_pass(self, min_pause: timedelta) -> None:
+        """Wait for `min_pause`, and for the rest of the minimum interval between passes unless urgent work arrives."""
+        urgent_interval = max(MIN_URGENT_SCHEDULING_INTERVAL, min_pause)
         await sleep(urgent_interval)
         await wait_at_most(
-            max(MIN_SCHEDULING_INTERVAL, duration) - urgent_interval, self._signals.has_urgent_work.wait()
+            max(MIN_SCHEDULING_INTERVAL, min_pause) - urgent_interval, self._signals.has_urgent_work.wait()
         )
         self._signals.has_urgent_work.clear()
 
 
 def signal_job(signals: SchedulingSignals, cluster_state: ClusterState, run: JobRun) -> None:
-    """Wake the scheduling loop for a job, at once if its tasks must start at once."""
+    """Wake the scheduling loop for a job; a pass runs earlier if the job's tasks must start at once."""
     if cluster_state.headroom.is_urgent(run.spec):
         signals.has_urgent_work.set()
     signals.has_work.set()
--- a/roseweir/controller/status.py
+++ b/roseweir/controller/status.py
@@ -1,16 +1,16 @@
-"""What one controller tells operators of itself: `status`, `limits`, `forecast`, `served` and `status --job`."""
+"""A controller's answers to the operators' queries `status`, `limits`, `forecast`, `served` and `status --job`."""
 
 from typing import Any
 
 from roseweir.clock import monotonic_now
 from roseweir.connections import ConnectionAdmission
 from roseweir.controller.leader import LeaderTerm
-from roseweir.controller.leadership import Leadership, knowledge_age_s
+from roseweir.controller.leadership import Leadership, job_data_age_s
 from roseweir.http import ServerConnection
 from roseweir.leader_election.messages import FEATURE_LEVEL
 from roseweir.scheduler.job_explanation import explain_job
 
-# Jobs that `status` names of those that may not start.
+# The maximum number of held jobs that `status` lists.
 MAX_HELD_JOBS_LISTED = 20
 
 
@@ -50,7 +50,7 @@
         }
 
     def describe_forecast(self) -> dict[str, Any]:
-        """The answer to `forecast`: whether predictive scaling is enabled and, from the leader, what it expects."""
+        """The answer to `forecast`: whether predictive scaling is enabled and, on the leader, its forecast."""
         leader_term = self._leadership.leader_term
         answer = self._leadership.describe_node() | {"switched_on": self._is_predictive_scaling_enabled}
         if leader_term is not None and leader_term.predictive_scaler is not None:
@@ -65,11 +65,11 @@
         return (
             self._leadership.describe_node()
             | leader_term.service_levels.describe()
-            | {"as_of_s": knowledge_age_s(leader_term)}
+            | {"as_of_s": job_data_age_s(leader_term)}
         )
 
     def describe_job(self, job_id: str) -> dict[str, Any] | None:
-        """What an unfinished job waits for; None unless this node leads and the job is live."""
+        """The answer to `status --job`: what a live job waits for; None for another job or unless this node leads."""
         leader_term = self._leadership.ready_term
         if leader_term is None:
             return None
@@ -80,12 +80,12 @@
             self._leadership.describe_node()
             | explanation
             | leader_term.dependency_reconciler.describe_job(job_id)
-            | {"as_of_s": knowledge_age_s(leader_term)}
+            | {"as_of_s": job_data_age_s(leader_term)}
         )
 
 
 def _describe_cluster_state(leader_term: LeaderTerm) -> dict[str, Any]:
-    """Counts of jobs, tasks and machines, as the leader knows them."""
+    """Counts of jobs, tasks and machines in the leader's cluster state."""
     cluster_state = leader_term.cluster_state
     runs = cluster_state.jobs.values()
     machines = cluster_state.machines.values()
@@ -101,12 +101,12 @@
             machine.name for machine in machines if machine.is_suspected and not machine.is_unreachable
         ),
         "machines_deaf": sorted(machine.name for machine in machines if machine.is_unreachable),
-        "as_of_s": knowledge_age_s(leader_term) if leader_term.is_ready else None,
+        "as_of_s": job_data_age_s(leader_term) if leader_term.is_ready else None,
     }
 
 
 def _summarize_controllers(leader_term: LeaderTerm) -> dict[str, Any]:
-    """The lines that each of the leader's controllers adds to `status`, in the order in which they are shown."""
+    """The fields that each of the leader's controllers adds to `status`, in the order in which they are shown."""
     summary: dict[str, Any] = {}
     if leader_term.predictive_scaler is not None:
         summary |= leader_term.predictive_scaler.summary()
