--- a/roseweir/dependencies/__init__.py
+++ b/roseweir/dependencies/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait for jobs: held, released, cancelled with those that they need, and ordered by their pipeline's end."""
+"""Dependencies between jobs: holding and releasing dependents, transitive cancellation, and slack before deadlines."""
--- a/roseweir/dependencies/cancellation_writer.py
+++ b/roseweir/dependencies/cancellation_writer.py
@@ -1,7 +1,7 @@
 """Writes the ends of jobs that are cancelled with a job that they depend on, in the background.
 
-Until then any controller derives these ends from that of the job that was cancelled, so the writing may be slow: it
-takes what starts leave over of the store's write rate (arithmetic: docs/design.md).
+Until an end is written, any controller derives it from the end of the cancelled dependency. The writes may therefore be
+slow: they use only the part of the store's write rate that task starts leave unused (arithmetic: docs/design.md).
 """
 
 import asyncio
@@ -22,21 +22,21 @@
 
 log = logging.getLogger(__name__)
 
-# The wait after a request that failed.
+# The delay before a failed request is retried.
 RETRY_DELAY = timedelta(milliseconds=250)
-# The wait while this node is not sure to lead.
+# The delay before the leader lease is checked again, while this node may not lead.
 LEADERSHIP_RETRY_DELAY = timedelta(seconds=1)
-# The part of a second's changes that is left to others. The log writer keeps a quarter of it: this spends what is
-# above both.
+# The share of a second's changes that this writer leaves available. The log writer leaves a quarter to submissions, so
+# the next quarter is left to the log writer.
 RESERVED_WRITE_FRACTION = 0.5
-# If there is nothing above that for so long, one job is ended all the same: two changes in that time.
+# After waiting this long for changes above the reserved share, one job is ended all the same, which takes two changes.
 WRITE_BUDGET_TIMEOUT = timedelta(seconds=2)
-# Jobs that one transaction ends at the most: their ends are up to 300 bytes each.
+# The maximum number of jobs that one transaction ends; a stored end takes up to 300 bytes.
 MAX_CANCELLATIONS_PER_TRANSACTION = 64
 
 
 class CancellationWriter:
-    """Ends jobs that are cancelled with others, a few in each transaction."""
+    """Writes the ends of jobs that are cancelled with a dependency, several in each transaction."""
 
     def __init__(
         self,
@@ -46,27 +46,35 @@
         may_act: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
-        """`may_act`: whether this node surely leads. `step_down`: called when another has taken the leader's key."""
+        """Create the writer of a term.
+
+        Args:
+            cluster_state: Jobs are looked up in it.
+            kv_store: Ends are written to it.
+            log_writer: Holds the leader key's version, and applies the ends of jobs.
+            may_act: Returns whether this node's leader lease is valid.
+            step_down: Called with the reason when another node has taken the leader's key.
+        """
         self.cluster_state = cluster_state
         self.kv_store = kv_store
         self.log_writer = log_writer
         self._may_act = may_act
         self._step_down = step_down
-        # Jobs whose end is to be written, in that order (a dict as an ordered set).
+        # Jobs whose ends have to be written, in this order (a dict used as an ordered set).
         self.pending: dict[str, None] = {}
         self._requested = asyncio.Event()
 
     def add(self, job_id: str) -> None:
-        """Write the job's end soon."""
+        """Queue the job's end to be written."""
         self.pending[job_id] = None
         self._requested.set()
 
     def discard(self, job_id: str) -> None:
-        """The job's end is durable, or need not be written."""
+        """Remove a job whose end is durable or need not be written."""
         self.pending.pop(job_id, None)
 
     async def run(self) -> None:
-        """Write the ends of the jobs in `pending` in the background, for the leader's whole term."""
+        """Write the ends of the jobs in `pending` until cancelled."""
         while True:
             await self._requested.wait()
             if not self.pending:
@@ -86,7 +94,7 @@
                 await sleep(RETRY_DELAY)
 
     async def _wait_for_write_budget(self) -> float:
-        """Wait until starts leave some write rate over, WRITE_BUDGET_TIMEOUT at most; returns how many changes."""
+        """Wait up to `WRITE_BUDGET_TIMEOUT` for changes above the reserved share; return how many are available."""
         try:
             async with asyncio.timeout(WRITE_BUDGET_TIMEOUT.total_seconds()):
                 return await self.kv_store.wait_for_write_capacity(RESERVED_WRITE_FRACTION)
@@ -94,7 +102,7 @@
             return 0.0
 
     async def _write_cancellations(self, job_ids: list[str]) -> None:
-        """End these jobs in one transaction, if the leader's key and none of them has changed."""
+        """End these jobs in one transaction, which fails if the leader's key or one of the jobs has changed."""
         runs = [run for run in map(self.cluster_state.jobs.get, job_ids) if run is not None and not run.final_state]
         for job_id in set(job_ids) - {run.spec.id for run in runs}:
             self.pending.pop(job_id, None)
@@ -116,11 +124,11 @@
                 self._step_down("the leader's key has changed")
                 await sleep(LEADERSHIP_RETRY_DELAY)
                 return
-            # The user cancelled it first, or an earlier try of this was executed and not answered.
-            for job_id in sorted({path.partition("/")[2] for path in error.failed_keys}):
+            # The user cancelled the job first, or an earlier attempt was committed but its answer was lost.
+            for job_id in sorted({key.partition("/")[2] for key in error.failed_keys}):
                 await self.log_writer.refresh_job_end(job_id)
                 if self.pending.pop(job_id, "over") is None:
-                    self.pending[job_id] = None  # not over: retried after the others
+                    self.pending[job_id] = None  # its end is not stored: retried after the others
                     await sleep(RETRY_DELAY)
             return
         for run in runs:
--- a/roseweir/dependencies/slack.py
+++ b/roseweir/dependencies/slack.py
@@ -1,10 +1,10 @@
 """Slack of a pipeline's jobs before its deadline, which users set on the last job alone. No I/O.
 
-Each job before has to end early enough for those behind it, by the estimates that the leader corrects by class. Among
-one team's jobs of equal standing those that run out of time go first, the least slack first
-(`scheduler/queue_order.py`): an exception to the order of arrival, and the smallest that works. No other team's place
-in the queue moves, no job whose time is ample moves, and a job late by more than its whole path makes way again for
-jobs that can still end in time.
+Each earlier job has to end in time for its dependents, by the estimated durations that the leader corrects by job
+class. Among one team's jobs of equal rank, jobs at risk of missing the deadline go first, least slack first
+(`scheduler/queue_order.py`). This exception to the order of arrival is kept as small as possible: other teams' jobs and
+jobs with ample slack keep their positions, and a job late by more than its whole path loses its precedence, in favour
+of jobs that can still end in time.
 """
 
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 from roseweir.scheduler.model import JobRun
 from roseweir.scheduler.quota import max_concurrent_tasks
 
-# Estimates are wrong by half: a job with less slack than this part of the path behind it is at risk.
+# A job with less slack than this fraction of its remaining path is at risk: estimates may be wrong by half.
 AT_RISK_SLACK_FRACTION = 0.5
-# A job that is late by more than this part of the path behind it can not end in time.
+# A job that is late by more than this fraction of its remaining path cannot end in time.
 MAX_LATENESS_FRACTION = 1.0
 
 
 def estimated_duration_ms(cluster_state: ClusterState, run: JobRun) -> int:
-    """Milliseconds from the job's start to its end: a task's time, as often as its team's limit makes waves of them."""
+    """Milliseconds from the job's start to its end: a task's duration times the waves that the team's limit causes."""
     spec = run.spec
     task_ms = spec.estimated_duration_s * cluster_state.runtime_ratios.get(spec.job_class, 1.0) * 1000
     remaining_tasks = spec.task_count - run.completed_count
@@ -32,7 +32,7 @@
 
 
 def stage_of(cluster_state: ClusterState, job_id: str) -> Stage:
-    """The job's estimated duration and its own deadline; neither for one that is over or not known."""
+    """The job's estimated duration and its own deadline; zero and None if it has ended or is unknown."""
     run = cluster_state.jobs.get(job_id)
     if run is None or run.final_state:
         return Stage(0, None)
@@ -46,16 +46,16 @@
 def latest_start_times(
     cluster_state: ClusterState, graph: DependencyGraph, job_ids: Iterable[str]
 ) -> dict[str, LatestStart]:
-    """By when these jobs and those behind them have to start, of those with a deadline behind them."""
+    """The latest starts of these jobs and their transitive dependents, for those with a deadline on their path."""
     return latest_starts(job_ids, graph.dependents, lambda job_id: stage_of(cluster_state, job_id))
 
 
 def slack_of_jobs_at_risk(latest_starts_by_job: dict[str, LatestStart], now_ms: int) -> dict[str, int]:
-    """Slack in milliseconds of the jobs that run out of time. `now_ms`: time of day."""
+    """Slack in milliseconds of the jobs that are at risk of missing a deadline. `now_ms`: Unix time."""
     slack_ms_by_job: dict[str, int] = {}
-    for job_id, latest in latest_starts_by_job.items():
-        path_ms = latest.deadline_ms - latest.start_ms
-        slack_ms = latest.start_ms - now_ms
+    for job_id, latest_start in latest_starts_by_job.items():
+        path_ms = latest_start.deadline_ms - latest_start.start_ms
+        slack_ms = latest_start.start_ms - now_ms
         if -MAX_LATENESS_FRACTION * path_ms <= slack_ms < AT_RISK_SLACK_FRACTION * path_ms:
             slack_ms_by_job[job_id] = slack_ms
     return slack_ms_by_job
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -544,7 +544,7 @@
     assert not placed.hold_reason and not begun.hold_reason and held.hold_reason == WAITING_FOR_DEPENDENCIES
     asyncio.run(reconciler._read_ends())
     assert not held.hold_reason and unreadable.hold_reason == "its record to be readable"
-    reconciler._stored_lists_seen.set()
+    reconciler._has_stored_lists.set()
     asyncio.run(reconciler._collect_orphaned_lists())
     assert recorder.orphaned_chunk_keys == {"awaits/j-000007/d/0"}, "the other's job may be about to be accepted"
 
