--- a/roseweir/workflows/controller.py
+++ b/roseweir/workflows/controller.py
@@ -1,8 +1,8 @@
-"""The leader's workflows: amendments accepted, steps released as their dependencies end, status reported.
+"""Workflow controller of the leader: accepts amendments, releases steps as their dependencies end, reports status.
 
-Idle until there is a workflow. A step is an accepted job that names its dependencies; the cluster state holds it until
-this controller releases it. Releases have no record of their own: a new leader derives them from the live jobs, the
-steps in the stored pages and the ends of jobs since the pages were written.
+It is idle while there are no workflows. A step is an accepted job that names its dependencies; the cluster state holds
+the job until this controller releases it. Releases have no stored record of their own: a new leader derives them from
+the live jobs, the steps in the stored pages and the jobs that have ended since the pages were written.
 """
 
 import asyncio
@@ -51,18 +51,18 @@
 EVALUATION_INTERVAL = timedelta(seconds=1)
 SAVE_INTERVAL = timedelta(seconds=2)
 REPORT_INTERVAL = timedelta(seconds=60)
-# Deliveries of older workflows that one workflow may wait for.
+# Maximum number of deliveries of older workflows that one workflow may wait for.
 MAX_BLOCKING_JOBS = 50
-# So long after its acceptance a step whose workflow was never recorded is cancelled.
+# An accepted step whose workflow has not been stored within this time is cancelled.
 ORPHANED_JOB_TIMEOUT_MS = 180_000
-# Workflows evaluated in a pass though no event of theirs is known.
+# Maximum number of workflows without a new event that one pass evaluates.
 MAX_IDLE_EVALUATIONS_PER_PASS = 200
-# Workflows that one answer lists.
+# Maximum number of workflows that one answer lists.
 MAX_LISTED_WORKFLOWS = 200
 
 
 class WorkflowController:
-    """Accepts amendments and runs their workflows, for one term of a leader."""
+    """Accepts amendments and runs their workflows during one term of a leader."""
 
     def __init__(
         self,
@@ -78,30 +78,30 @@
         self.kv_store = kv_store
         self.store = WorkflowStore(kv_store, leader_version)
         self.workflows: dict[str, Workflow] = {}
-        self.workflow_by_job: dict[str, Workflow] = {}  # of unfinished steps
-        self.open_workflow_ids_by_lot: dict[str, set[str]] = {}  # unfinished workflows
-        # The newest accepted revision of each lot, among the workflows that are kept.
+        self.workflow_by_job: dict[str, Workflow] = {}  # by job id; unfinished steps only
+        self.open_workflow_ids_by_lot: dict[str, set[str]] = {}  # ids of unfinished workflows
+        # The newest accepted revision of each lot, among the retained workflows.
         self.newest_revision_by_lot: dict[str, int] = {}
-        # Set by the controller of delivery deadlines, where there is one: when a workflow is due, and its changes.
+        # Set by the deadline controller, if there is one: returns when a workflow is due, and handles its changes.
         self.assign_due_ms: Callable[[Workflow], int] = lambda workflow: 0
         self.on_workflow_changed: Callable[[Workflow], None] = lambda workflow: None
-        self.watched_revision: Callable[[], int] = lambda: 0  # up to which ends have been reported
+        self.watched_revision: Callable[[], int] = lambda: 0  # store revision up to which the ends of jobs are reported
         self.work_available = asyncio.Event()
-        self.has_loaded_ends = False  # the ends of jobs since the pages were written are known
+        self.has_loaded_job_ends = False  # whether the ends since the pages were written have been read
         self._may_write = may_write
         self._step_down = step_down
         now = monotonic_now()
         self._intake_limiter = TokenBucket.full(now, settings.max_amendments_per_window, settings.intake_window)
         self._dirty_pages: set[int] = set()  # pages that have to be written
-        self._workflows_with_unsaved_marks: set[str] = set()  # changes whose write can wait
+        self._workflows_with_deferred_changes: set[str] = set()  # their pages need not be written yet
         self._lock = asyncio.Lock()
         self._workflows_to_evaluate: set[str] = set()  # workflows with new events
-        self._remaining_in_round: list[str] = []  # unfinished ones not evaluated yet in this round
-        # Jobs that some delivery waits for, and the workflows of these deliveries.
+        self._remaining_in_round: list[str] = []  # unfinished workflows to evaluate in this round
+        # Ids of the workflows whose deliveries wait for the end of a job, by job id.
         self._blocked_workflows_by_job: dict[str, set[str]] = {}
-        self._orphaned_jobs: set[str] = set()  # recorded steps whose workflow never was
-        self._ended_jobs: set[str] = set()  # ended jobs that some delivery waits for
-        self._is_save_urgent = False  # a workflow was blocked: the next leader has to know
+        self._orphaned_jobs: set[str] = set()  # stored steps whose workflow was never stored
+        self._ended_jobs: set[str] = set()  # ended jobs that a delivery may wait for
+        self._is_save_urgent = False  # a workflow was blocked, which the next leader must find stored
         cluster_state.on_task_failed = self._on_task_failed
 
     # -- failover -----------------------------------------------------------------------------
@@ -127,11 +127,11 @@
         self._restore_delivery_order()
 
     def _restore_delivery_order(self) -> None:
-        """Derive the order of deliveries of unfinished workflows again, in addition to what the pages hold.
+        """Derive the order of the deliveries of unfinished workflows again, in addition to what the pages hold.
 
-        An older amendment that is accepted after a newer one delivers before it. That is stored on the newer one's
-        page, which is written a moment later: when a leader failed in between, the two could deliver in any order, and
-        a lot's older state came into the viewer after its newer one (tests/test_fault_combinations.py).
+        An older amendment that is accepted after a newer one delivers before it. That order is stored on the newer
+        one's page, which is written after the acceptance. If a leader fails in between, the pages lack the order, and
+        the older state of a lot could reach the viewer after the newer one (tests/test_fault_combinations.py).
         """
         for workflow in self._open_workflows():
             for workflow_id in sorted(
@@ -171,7 +171,7 @@
                     del self.open_workflow_ids_by_lot[lot]
 
     async def _load_job_ends(self) -> None:
-        """Load the ends of steps that are not on the pages: the store's history has those since they were written."""
+        """Load the ends of steps that the pages lack from the store's history since the pages were written."""
         jobs = self.cluster_state.jobs
         for job_id, run in [(job_id, jobs[job_id]) for job_id in self.workflow_by_job if job_id in jobs]:
             if run.final_state:
@@ -186,9 +186,9 @@
         )
         if changes is not None:
             states_by_job = {
-                i.key.removeprefix(COMPLETED_JOB_PREFIX): decode_completed_job(i.value).state
-                for i in changes[0]
-                if i.value is not None
+                change.key.removeprefix(COMPLETED_JOB_PREFIX): decode_completed_job(change.value).state
+                for change in changes[0]
+                if change.value is not None
             }
         for job_id in sorted(missing_jobs):
             if job_id in self.cluster_state.jobs:
@@ -199,11 +199,11 @@
                 state = None if entry is None else decode_completed_job(entry.value).state
             if state is not None:
                 self.record_job_end(job_id, state)
-        # Steps whose amendment was never acknowledged: its sender may repeat it for a while.
+        # Steps whose amendment was never acknowledged. They are kept for a while, as the sender may repeat the request.
         self._orphaned_jobs = {
             run.spec.id for run in self.cluster_state.jobs.values() if run.spec.workflow_id not in ("", *self.workflows)
         }
-        self.has_loaded_ends = True
+        self.has_loaded_job_ends = True
 
     def _open_workflows(self) -> Iterable[Workflow]:
         return (workflow for workflow in self.workflows.values() if not workflow.is_ended)
@@ -211,7 +211,7 @@
     # -- control loop -------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Evaluate workflows at each event and interval, save and log them at theirs, until cancelled."""
+        """Evaluate workflows on events and at an interval, save the pages and log counts at theirs, until cancelled."""
         last_saved = last_reported = monotonic_now()
         while True:
             await wait_at_most(EVALUATION_INTERVAL, self.work_available.wait())
@@ -221,7 +221,7 @@
                 continue
             try:
                 async with self._lock:
-                    if not self.has_loaded_ends:
+                    if not self.has_loaded_job_ends:
                         await self._load_job_ends()
                     if not self.workflows and not self._orphaned_jobs:
                         continue
@@ -243,11 +243,11 @@
                 await sleep(seconds(0.05))
 
     def record_job_end(self, job_id: str, outcome: str) -> None:
-        """Note that a job has ended, durably; `outcome`: done or cancelled."""
+        """Record the end of a job, which is durable already; `outcome`: done or cancelled."""
         self._ended_jobs.add(job_id)
         workflow = self.workflow_by_job.pop(job_id, None)
         if workflow is not None and step_transitions.record_step_outcome(workflow, job_id, outcome, utc_now_ms()):
-            self._workflows_with_unsaved_marks.add(workflow.id)
+            self._workflows_with_deferred_changes.add(workflow.id)
             self.on_workflow_changed(workflow)
             self._log_event(workflow, f"step ended: job={job_id} outcome={outcome}")
         affected_workflow_ids = self._blocked_workflows_by_job.get(job_id, set()) | (
@@ -258,12 +258,12 @@
             self.work_available.set()
 
     async def _evaluate_workflows(self) -> None:
-        """Release, cancel and supersede steps, and find the workflows that have ended or are blocked."""
+        """Release, cancel and supersede steps; finish the workflows that have ended and block those that failed."""
         now_ms = utc_now_ms()
         await self._cancel_orphaned_jobs(now_ms)
         if not self._remaining_in_round:
             self._remaining_in_round = [workflow.id for workflow in self._open_workflows()]
-        # Those with new events, and some of the others in each pass: a job may fail without an end.
+        # Workflows with new events, and some of the others in each pass: a job may fail without an event that it ended.
         workflow_ids = self._workflows_to_evaluate | set(self._remaining_in_round[-MAX_IDLE_EVALUATIONS_PER_PASS:])
         del self._remaining_in_round[-MAX_IDLE_EVALUATIONS_PER_PASS:]
         self._workflows_to_evaluate = set()
@@ -274,19 +274,19 @@
             if workflow.state == "open":
                 self._block_on_exhausted_attempts(workflow)
             actions = step_transitions.evaluate(workflow, self.settings, self._has_job_ended)
-            for n in actions.cancellable:
-                await self._end_step(workflow, workflow.steps[n], "cancelled")
+            for step_number in actions.cancellable:
+                await self._end_step(workflow, workflow.steps[step_number], "cancelled")
             if workflow.state == "open":
-                for n in actions.releasable:
-                    self._release_step(workflow, workflow.steps[n], now_ms)
+                for step_number in actions.releasable:
+                    self._release_step(workflow, workflow.steps[step_number], now_ms)
             else:
                 self._hold_unstarted_steps(workflow)
-            superseded = step_transitions.superseded_steps(
+            superseded_steps = step_transitions.superseded_steps(
                 workflow, self.newest_revision_by_lot, self._has_step_started, self.settings
             )
-            for n in superseded:
-                await self._end_step(workflow, workflow.steps[n], "superseded")
-            if actions.cancellable or superseded:
+            for step_number in superseded_steps:
+                await self._end_step(workflow, workflow.steps[step_number], "superseded")
+            if actions.cancellable or superseded_steps:
                 actions = step_transitions.evaluate(workflow, self.settings, self._has_job_ended)
             if actions.final_state:
                 self._finish_workflow(workflow, actions.final_state)
@@ -302,9 +302,9 @@
                 self._orphaned_jobs.discard(job_id)
 
     def _has_job_ended(self, job_id: str) -> bool:
-        # Not before its tasks have left their machines: a task that is being stopped may still deliver.
+        # A job has ended once its tasks have left their machines: a task that is being stopped may still deliver.
         return job_id not in self.cluster_state.jobs and (
-            job_id in self._ended_jobs or (self.has_loaded_ends and job_id not in self.workflow_by_job)
+            job_id in self._ended_jobs or (self.has_loaded_job_ends and job_id not in self.workflow_by_job)
         )
 
     def _release_step(self, workflow: Workflow, step: WorkflowStep, now_ms: int) -> None:
@@ -313,18 +313,18 @@
             self._workflows_to_evaluate.add(workflow.id)  # the watch reports its end shortly
             return
         step.released_ms = now_ms
-        self._workflows_with_unsaved_marks.add(workflow.id)
+        self._workflows_with_deferred_changes.add(workflow.id)
         self._release_held_job(run, step)
         self.on_workflow_changed(workflow)
         self._log_event(workflow, f"step released: job={step.job_id}")
 
     def _release_held_job(self, run: JobRun, step: WorkflowStep) -> None:
         if run.hold_reason:
-            # Its due time and its place in the queue count from its release.
+            # The job's due time and its place in the queue count from the release.
             self.cluster_state.release_job(run, step.released_ms)
 
     def _hold_unstarted_steps(self, workflow: Workflow) -> None:
-        """Hold the unstarted steps of a blocked or stopped workflow, and of a blocked one the failing step as well."""
+        """Hold the unstarted steps of a stopped workflow, and all unfinished steps of a blocked one."""
         for step in workflow.steps:
             run = self.cluster_state.jobs.get(step.job_id)
             if run is None or step.outcome or run.final_state:
@@ -336,7 +336,7 @@
                 self.cluster_state.hold_job(run, f"its chain {workflow.id} to go on: {workflow.reason}")
 
     def _on_task_failed(self, run: JobRun) -> None:
-        """Hold a step whose attempts are used up at once, before a scheduling pass places it again."""
+        """Hold a step as soon as its attempts are used up, before a scheduling pass places it again."""
         workflow = self.workflow_by_job.get(run.spec.id)
         if workflow is not None and workflow.state == "open" and self._has_exhausted_attempts(run):
             self.cluster_state.hold_job(run, f"its chain {workflow.id} to go on: its attempts are used up")
@@ -347,7 +347,7 @@
         return failure_count(run) >= self.settings.max_attempts and run.completed_count == 0
 
     def _block_on_exhausted_attempts(self, workflow: Workflow) -> None:
-        """Block the workflow if a step of it has used up its attempts."""
+        """Block the workflow if one of its steps has used up its attempts."""
         for step in workflow.steps:
             run = self.cluster_state.jobs.get(step.job_id)
             if run is None or step.outcome or not step.released_ms:
@@ -364,11 +364,11 @@
                 self._log_event(workflow, "blocked")
                 return
             if run.hold_reason:
-                # A new leader learns from the page that the step has been released.
+                # The page says that the step was released, but a new leader holds its job at first.
                 self._release_held_job(run, step)
 
     async def _end_step(self, workflow: Workflow, step: WorkflowStep, outcome: str) -> None:
-        """Cancel a step, as a user's request does; durable when this returns. `outcome`: cancelled or superseded."""
+        """Cancel a step's job as a user's request does; durable on return. `outcome`: cancelled or superseded."""
         if not step.outcome:
             run = self.cluster_state.jobs.get(step.job_id)
             if run is None or not await cancel_live_job(self.kv_store, step.job_id, run.spec):
@@ -380,7 +380,7 @@
             self.workflow_by_job.pop(step.job_id, None)
             self._ended_jobs.add(step.job_id)
             step.outcome, step.ended_ms = outcome, utc_now_ms()
-            self._workflows_with_unsaved_marks.add(workflow.id)
+            self._workflows_with_deferred_changes.add(workflow.id)
             self._log_event(workflow, f"step ended: job={step.job_id} outcome={outcome}")
 
     def _finish_workflow(self, workflow: Workflow, state: str) -> None:
@@ -392,9 +392,9 @@
         compacted = self.workflows[workflow.id] = compact_ended_workflow(workflow)
         self.store.record_compaction(workflow, compacted)
         self._mark_page_dirty(compacted)
-        self._workflows_with_unsaved_marks.discard(workflow.id)
+        self._workflows_with_deferred_changes.discard(workflow.id)
         if state == "done":
-            # Its deliveries are done: the ends that they waited for need not be known any more.
+            # The workflow's deliveries are done, so the ends that they waited for are no longer needed.
             self._ended_jobs.difference_update(workflow.blocking_jobs)
             for lot in workflow.lots:
                 self.newest_revision_by_lot[lot] = max(self.newest_revision_by_lot.get(lot, -1), workflow.revision)
@@ -407,12 +407,12 @@
             self._dirty_pages.add(page_number)
 
     async def _save_pages(self) -> None:
-        """Write the pages that must be durable, and those whose later ends the store is about to drop."""
+        """Write the dirty pages, and those old enough that the store is about to drop the changes since."""
         self._remove_expired_workflows()
         dirty_pages, self._dirty_pages = self._dirty_pages, set()
         page_numbers = set(dirty_pages)
         watched_revision = self.watched_revision()
-        for workflow_id in self._workflows_with_unsaved_marks:
+        for workflow_id in self._workflows_with_deferred_changes:
             page_number = self.store.page_by_workflow.get(workflow_id)
             if (
                 page_number is not None
@@ -420,7 +420,7 @@
                 > MAX_PAGE_AGE_REVISIONS
             ):
                 page_numbers.add(page_number)
-        # An unchanged page ages as well: a new leader reads the ends since the oldest page.
+        # Unchanged pages are written again as well, a few at a time: a new leader reads the ends since the oldest page.
         for key, version in self.store.key_versions.items():
             if watched_revision - version > MAX_PAGE_AGE_REVISIONS and len(page_numbers) < 4:
                 page_numbers.add(int(key.removeprefix(PAGE_KEY_PREFIX)))
@@ -443,16 +443,16 @@
         except BaseException:
             self._dirty_pages |= dirty_pages
             raise
-        self._workflows_with_unsaved_marks = {
+        self._workflows_with_deferred_changes = {
             workflow_id
-            for workflow_id in self._workflows_with_unsaved_marks
+            for workflow_id in self._workflows_with_deferred_changes
             if self.store.page_by_workflow.get(workflow_id) not in page_numbers
         }
 
     def _remove_expired_workflows(self) -> None:
         """Remove the ended workflows whose retention is over."""
         oldest_kept_ms = utc_now_ms() - round(self.settings.retention.total_seconds() * 1000)
-        for workflow in [c for c in self.workflows.values() if c.is_ended and c.ended_ms < oldest_kept_ms]:
+        for workflow in [w for w in self.workflows.values() if w.is_ended and w.ended_ms < oldest_kept_ms]:
             self._remove_workflow(workflow)
 
     def _remove_workflow(self, workflow: Workflow) -> None:
@@ -462,12 +462,12 @@
 
     def _evict_oldest_ended_workflows(self) -> bool:
         """Evict the oldest ended workflows to make room for a new one. Return whether there were any."""
-        ended_workflows = sorted((c for c in self.workflows.values() if c.is_ended), key=lambda c: (c.ended_ms, c.id))
+        ended_workflows = sorted((w for w in self.workflows.values() if w.is_ended), key=lambda w: (w.ended_ms, w.id))
         for workflow in ended_workflows[:20]:
             self._remove_workflow(workflow)
         return bool(ended_workflows)
 
-    # -- registries and operators ---------------------------------------------------------------
+    # -- requests of registries and operators ---------------------------------------------------
 
     async def accept_amendment(self, value: Any) -> tuple[bool, dict[str, Any]]:
         """Accept an amendment; durable when this returns.
@@ -476,7 +476,7 @@
             Whether it is new, and the workflow's view.
 
         Raises:
-            WorkflowRejected: it is invalid, or conflicts with what was accepted before.
+            WorkflowRejected: it is invalid, or conflicts with an earlier amendment or an existing job.
             WorkflowRetryLater: it cannot be accepted or recorded now.
         """
         amendment = parse_amendment(value)
@@ -492,7 +492,7 @@
                     raise WorkflowRejected(f"amendment {amendment.id} is known with another content", 409)
                 return False, workflow_view(existing, self.cluster_state)
             self._validate_jobs(amendment.id, specs)
-            if not self.has_loaded_ends:
+            if not self.has_loaded_job_ends:
                 raise WorkflowRetryLater("a new leader looks at what has ended")
             if not self._intake_limiter.can_pay(1.0, monotonic_now()):
                 raise WorkflowRetryLater("more amendments than may be taken at once", self._retry_after_s())
@@ -524,9 +524,9 @@
         return max(1.5, round(self.settings.intake_window.total_seconds() / self.settings.max_amendments_per_window, 1))
 
     def _validate_jobs(self, workflow_id: str, specs: list[JobSpec]) -> None:
-        """Reject what would be rejected as a submission."""
+        """Reject jobs that would be rejected as submissions, or whose ids are in use."""
         classes = {o.job_class for o in self.cluster_state.settings.params.objectives if o.job_class}
-        classes |= {workflow_id for group in self.settings.step_order for workflow_id in group}
+        classes |= {job_class for group in self.settings.step_order for job_class in group}
         for spec in specs:
             reason = rejection_reason(spec, self.cluster_state.teams, list(self.cluster_state.catalog.values()))
             if reason is not None:
@@ -536,20 +536,26 @@
             workflow = self.workflow_by_job.get(spec.id)
             run = self.cluster_state.jobs.get(spec.id)
             if workflow is not None or (run is not None and run.spec.workflow_id != workflow_id):
-                owner = f" of chain {workflow.id}" if workflow is not None else ""
-                raise WorkflowRejected(f"step {spec.id}: a job{owner} has this id already", 409)
+                owner_text = f" of chain {workflow.id}" if workflow is not None else ""
+                raise WorkflowRejected(f"step {spec.id}: a job{owner_text} has this id already", 409)
 
     def _order_deliveries(self, workflow: Workflow) -> None:
-        """Order its deliveries among those of other workflows of its lots; if all lots are newer, it is superseded."""
+        """Order the workflow's deliveries among those of other workflows of its lots.
+
+        The workflow is superseded if a newer revision of each of its lots has been accepted.
+        """
         if all(self.newest_revision_by_lot.get(lot, -1) > workflow.revision for lot in workflow.lots):
             workflow.state, workflow.ended_ms = "superseded", workflow.accepted_ms
             for step in workflow.steps:
                 step.outcome, step.ended_ms = "superseded", workflow.accepted_ms
             return
-        workflow_ids = {name for lot in workflow.lots for name in self.open_workflow_ids_by_lot.get(lot, ())}
+        workflow_ids = {
+            workflow_id for lot in workflow.lots for workflow_id in self.open_workflow_ids_by_lot.get(lot, ())
+        }
         newer: list[Workflow] = []
         for other in sorted(
-            (self.workflows[name] for name in workflow_ids), key=lambda c: (c.revision, c.accepted_ms, c.id)
+            (self.workflows[workflow_id] for workflow_id in workflow_ids),
+            key=lambda w: (w.revision, w.accepted_ms, w.id),
         ):
             if other.revision <= workflow.revision:
                 workflow.blocking_jobs += step_transitions.pending_delivery_jobs(other, workflow)
@@ -572,12 +578,12 @@
                 f"newer revisions of {shown_lots} are in the viewer or on their way: send the rest alone", 409
             )
         for other in newer:
-            # Accepted before and newer: its deliveries wait for this one's.
+            # The other workflow was accepted earlier but is newer, so its deliveries wait for those of this one.
             self._add_blocking_jobs(other, step_transitions.pending_delivery_jobs(workflow, other))
             self._mark_page_dirty(other)
 
     def _may_have_delivered(self, workflow: Workflow) -> bool:
-        """Return whether a delivery may have started, also under an earlier leader whose releases are not stored."""
+        """Return whether a delivery may have started, even under an earlier leader whose releases are not stored."""
         return any(
             step.is_delivery and (step.released_ms or step.outcome or self._has_step_started(step))
             for step in workflow.steps
@@ -644,21 +650,21 @@
                 await self.store.write(page_values or {}, guards, ops)
                 return
             except CompareFailed as e:
-                own_jobs: set[str] = set()
-                for path in e.failed_keys:
-                    job_id = path.partition("/")[2]
-                    entry = await self.kv_store.get(path)
+                already_written_jobs: set[str] = set()
+                for key in e.failed_keys:
+                    job_id = key.partition("/")[2]
+                    entry = await self.kv_store.get(key)
                     if entry is None:
                         continue
                     if (
-                        path.startswith(LIVE_JOB_PREFIX)
+                        key.startswith(LIVE_JOB_PREFIX)
                         and isinstance(entry.value, dict)
                         and entry.value.get("chain") == workflow.id
                     ):
-                        own_jobs.add(job_id)  # an earlier attempt at this amendment, never acknowledged
+                        already_written_jobs.add(job_id)  # by an unacknowledged attempt at this amendment
                     else:
                         raise WorkflowRejected(f"step {job_id}: a job has this id already", 409) from e
-                specs = [spec for spec in specs if spec.id not in own_jobs]
+                specs = [spec for spec in specs if spec.id not in already_written_jobs]
         raise JobIdsContended(workflow.id)
 
     async def stop_or_resume(self, workflow_id: str, verb: str) -> dict[str, Any]:
@@ -674,7 +680,7 @@
                 raise WorkflowRejected(f"no chain is called {workflow_id}", 404)
             if workflow.is_ended:
                 raise WorkflowRejected(f"chain {workflow_id} is over: {workflow.state}")
-            previous = (workflow.state, workflow.reason)
+            previous_state_and_reason = (workflow.state, workflow.reason)
             if verb == "stop":
                 workflow.state, workflow.reason = "stopped", "stopped by an operator"
             else:
@@ -686,7 +692,7 @@
                 self._step_down(str(e))
                 raise WorkflowRetryLater(str(e)) from e
             except (StoreError, Unreachable) as e:
-                workflow.state, workflow.reason = previous
+                workflow.state, workflow.reason = previous_state_and_reason
                 raise WorkflowRetryLater(f"not recorded: {e}") from e
             if verb == "resume":
                 for step in workflow.steps:
@@ -719,16 +725,16 @@
         return dict(sorted(counts.items()))
 
     def summary(self) -> dict[str, Any]:
-        """Return the part of `status`: workflows by state, and the blocked ones with their reasons."""
+        """Return what `status` shows: the number of workflows by state, and the blocked ones with their reasons."""
         if not self.workflows:
             return {}
-        blocked = [f"{c.id}: {c.reason}" for c in self.workflows.values() if c.state == "standing"]
+        blocked = [f"{w.id}: {w.reason}" for w in self.workflows.values() if w.state == "standing"]
         return {"chains": self.count_by_state(), "chains_standing": blocked[:20]}
 
     def describe(self) -> dict[str, Any]:
         """Return the answer that lists the workflows, blocked ones first."""
         state_order = {"standing": 0, "stopped": 1, "open": 2, "superseded": 3, "done": 4}
-        workflows = sorted(self.workflows.values(), key=lambda c: (state_order[c.state], -c.accepted_ms, c.id))
+        workflows = sorted(self.workflows.values(), key=lambda w: (state_order[w.state], -w.accepted_ms, w.id))
         return {
             "counts": self.count_by_state(),
             "chains": [
@@ -741,7 +747,7 @@
         """Return a workflow with its steps.
 
         Raises:
-            WorkflowRejected: there is none of this id.
+            WorkflowRejected: there is no workflow with this id.
         """
         workflow = self.workflows.get(workflow_id)
         if workflow is None:
