--- a/roseweir/workflows/amendment.py
+++ b/roseweir/workflows/amendment.py
@@ -17,21 +17,21 @@
 
     submission: dict[str, Any]
     dependencies: list[str] | None = None  # None: by the order of classes in the settings
-    lots: list[str] = []  # those of the amendment's lots that it is for; none: all
+    lots: list[str] = []  # the amendment's lots that it processes; empty: all of them
 
 
 class Amendment(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """What a registry sends when a change of lots has landed."""
+    """The request that a registry sends when changed lots have landed."""
 
     id: str
     revision: int
     lots: list[str]
     steps: list[StepRequest]
-    landed_ms: int = 0  # time of day, in milliseconds; 0: when it is accepted
+    landed_ms: int = 0  # in milliseconds since the epoch; 0: when it is accepted
 
 
 def content_digest(amendment: Amendment) -> str:
     """Return a digest that tells apart two amendments with the same id and different content."""
     value = msgspec.to_builtins(amendment)
-    value.pop("landed_ms", None)  # a repeated request may carry a new time
+    value.pop("landed_ms", None)  # may differ in a repeated request
     return blake2b(orjson.dumps(value, option=orjson.OPT_SORT_KEYS), digest_size=12).hexdigest()
--- a/roseweir/workflows/amendment_validation.py
+++ b/roseweir/workflows/amendment_validation.py
@@ -1,4 +1,4 @@
-"""Checks of an amendment that need nothing but the amendment itself."""
+"""Validation of an amendment that needs neither settings nor the state of a controller."""
 
 import re
 from typing import Any
@@ -12,7 +12,7 @@
 from roseweir.workflows.settings import WorkflowSettings
 from roseweir.workflows.step_dependencies import step_dependencies
 
-# Limits of one amendment, so that its workflow fits into a value of the key-value store beside others.
+# Limits of one amendment, so that its workflow fits into a value of the key-value store together with others.
 MAX_STEPS = 200
 MAX_LOTS = 500
 _ID_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,79}")
@@ -20,10 +20,12 @@
 
 
 def parse_amendment(value: Any) -> Amendment:
-    """Return the amendment that a JSON value holds. What only a controller knows is not checked.
+    """Return the amendment that a JSON value holds.
+
+    Checks that need the state of a controller are left to the controller.
 
     Raises:
-        WorkflowRejected: it is no valid amendment; the message is one line.
+        WorkflowRejected: the value is no valid amendment; the message is one line.
     """
     try:
         amendment = msgspec.convert(value, Amendment)
@@ -48,7 +50,7 @@
 
 
 def job_specs(amendment: Amendment, accepted_ms: int = 0) -> list[JobSpec]:
-    """Return the specs of the steps' jobs; `accepted_ms`: their time of acceptance, in milliseconds.
+    """Return the specs of the steps' jobs; `accepted_ms`: when they are accepted, in milliseconds since the epoch.
 
     Raises:
         WorkflowRejected: a step is no valid submission, or cannot be part of a workflow.
@@ -63,7 +65,7 @@
             raise WorkflowRejected(f"step {spec.id}: a service never ends, so nothing can follow it")
         if spec.dependencies:
             raise WorkflowRejected(f"step {spec.id}: a chain's steps follow each other, and await nothing else")
-        if any(spec.id == other.id for other in specs):
+        if any(spec.id == earlier.id for earlier in specs):
             raise WorkflowRejected(f"step {spec.id} is there twice")
         if specs and spec.team != specs[0].team:
             raise WorkflowRejected(f"step {spec.id} is of team {spec.team}, the steps before of {specs[0].team}")
--- a/roseweir/workflows/cli.py
+++ b/roseweir/workflows/cli.py
@@ -1,4 +1,4 @@
-"""Commands `roseweir amend` and `roseweir chains`: sending amendments, and watching workflows."""
+"""Commands `roseweir amend` and `roseweir chains`: send amendments; list, show, stop and resume workflows."""
 
 import argparse
 import sys
@@ -14,27 +14,31 @@
 
 WORKFLOWS_PATH = "/chains"
 POLL_INTERVAL_S = 2.0
-# An amendment that cannot be accepted yet is sent so many times at the most.
+# Maximum number of times that an amendment is sent while the leader asks to retry later.
 MAX_AMEND_ATTEMPTS = 40
 
 
 def add_commands(commands: Any) -> None:
     """Add the commands to the subparsers of the command line."""
-    amend = commands.add_parser("amend", help="send an amendment: its chain of jobs is taken, whole or not at all")
-    amend.add_argument("file", metavar="FILE", help="the amendment (JSON); `-`: standard input")
-    _add_common_arguments(amend, _run_amend)
-    amend.add_argument("--wait", action="store_true", help="show progress until the chain is over; exit 1 if not done")
-    chains = commands.add_parser("chains", help="how chains stand, what they wait for; stop or resume one")
-    verbs = chains.add_subparsers(required=True, metavar="list | show | stop | resume")
-    _add_common_arguments(verbs.add_parser("list", help="those that stand still first"), _run_list)
-    show = verbs.add_parser("show", help="one chain, step by step")
-    show.add_argument("name", metavar="ID")
-    _add_common_arguments(show, _run_show)
-    show.add_argument("--wait", action="store_true", help="show progress until it is over; exit 1 if not done")
-    for verb, text in (("stop", "what has not begun waits"), ("resume", "go on, with fresh attempts")):
-        parser = verbs.add_parser(verb, help=text)
-        parser.add_argument("name", metavar="ID")
-        _add_common_arguments(parser, _run_stop_or_resume, verb=verb)
+    amend_parser = commands.add_parser(
+        "amend", help="send an amendment: its chain of jobs is taken, whole or not at all"
+    )
+    amend_parser.add_argument("file", metavar="FILE", help="the amendment (JSON); `-`: standard input")
+    _add_common_arguments(amend_parser, _run_amend)
+    amend_parser.add_argument(
+        "--wait", action="store_true", help="show progress until the chain is over; exit 1 if not done"
+    )
+    chains_parser = commands.add_parser("chains", help="how chains stand, what they wait for; stop or resume one")
+    verb_parsers = chains_parser.add_subparsers(required=True, metavar="list | show | stop | resume")
+    _add_common_arguments(verb_parsers.add_parser("list", help="those that stand still first"), _run_list)
+    show_parser = verb_parsers.add_parser("show", help="one chain, step by step")
+    show_parser.add_argument("name", metavar="ID")
+    _add_common_arguments(show_parser, _run_show)
+    show_parser.add_argument("--wait", action="store_true", help="show progress until it is over; exit 1 if not done")
+    for verb, help_text in (("stop", "what has not begun waits"), ("resume", "go on, with fresh attempts")):
+        verb_parser = verb_parsers.add_parser(verb, help=help_text)
+        verb_parser.add_argument("name", metavar="ID")
+        _add_common_arguments(verb_parser, _run_stop_or_resume, verb=verb)
 
 
 def _add_common_arguments(
@@ -76,8 +80,8 @@
         return 0
     print(", ".join(f"{n} {state}" for state, n in answer["counts"].items()) or "no chains")
     for row in answer["chains"]:
-        done = f"{row['steps_over']}/{row['steps']} steps"
-        print(f"{row['id']:24} {row['state']:11} {done:12} {row['waits_for'] or ''}".rstrip())
+        progress = f"{row['steps_over']}/{row['steps']} steps"
+        print(f"{row['id']:24} {row['state']:11} {progress:12} {row['waits_for'] or ''}".rstrip())
     return 0
 
 
--- a/roseweir/workflows/errors.py
+++ b/roseweir/workflows/errors.py
@@ -20,10 +20,10 @@
 
 
 class WorkflowRetryLater(WorkflowError):
-    """A request that cannot be accepted or recorded now, and may be repeated under the same id.
+    """The request cannot be accepted or stored now, and may be repeated with the same id.
 
     Attributes:
-        retry_after_s: seconds after which to repeat it.
+        retry_after_s: the delay, in seconds, after which to repeat the request.
     """
 
     def __init__(self, reason: str, retry_after_s: float = 1.0) -> None:
@@ -36,7 +36,7 @@
 
     Attributes:
         key: the page's key.
-        cause: the error met while decoding.
+        cause: the decoding error.
     """
 
     def __init__(self, key: str, cause: Exception) -> None:
@@ -46,10 +46,10 @@
 
 
 class JobIdsContended(WorkflowError, StoreError):
-    """The records of a workflow's jobs changed at each attempt to write them.
+    """Each attempt to write the records of a workflow's jobs conflicted with another write.
 
     Attributes:
-        workflow_id: the workflow.
+        workflow_id: the id of the workflow.
     """
 
     def __init__(self, workflow_id: str) -> None:
--- a/roseweir/workflows/handlers.py
+++ b/roseweir/workflows/handlers.py
@@ -1,4 +1,4 @@
-"""Handler of `/chains`: requests about workflows, of operators, registries and peers."""
+"""Handler of `/chains`: workflow requests from operators, registries and peers."""
 
 from typing import TYPE_CHECKING, Any, Literal
 
@@ -21,14 +21,14 @@
     verb: Literal["amend", "stop", "resume", "list"] = "list"
     amendment: Any = None
     workflow_id: str = ""
-    is_forwarded: bool = False  # by a node that is not the leader
+    is_forwarded: bool = False  # sent on to the leader by another node
 
 
 def decode_request(method: str, body: bytes) -> WorkflowRequest:
-    """Return the request that a body holds.
+    """Return the request in a body; without a body, the request to list all workflows.
 
     Raises:
-        ValueError: it is malformed; the message is one line.
+        ValueError: the body is malformed; the message is one line.
     """
     request = msgspec.json.decode(body, type=WorkflowRequest) if method == "POST" and body else WorkflowRequest()
     if request.verb == "amend" and request.amendment is None:
@@ -39,8 +39,8 @@
 async def handle_request(controller: "WorkflowController", method: str, body: bytes) -> tuple[int, dict[str, Any]]:
     """Return the HTTP status and answer of a request.
 
-    201 for a new workflow, 200 for a known one; 400, 404, 409 or 422: rejected; 429 or 503: retry after the time in
-    the answer.
+    201 for a new workflow, 200 for an existing one; 400, 404, 409 or 422: rejected; 429 or 503: retry after the delay
+    in the answer.
     """
     try:
         request = decode_request(method, body)
--- a/roseweir/workflows/job_progress.py
+++ b/roseweir/workflows/job_progress.py
@@ -1,4 +1,4 @@
-"""What the cluster state shows of a step's job. Pure."""
+"""The progress of a step's job, derived from the cluster state. Pure."""
 
 from roseweir.scheduler.model import JobRun
 
@@ -11,6 +11,8 @@
 def has_started(run: JobRun) -> bool:
     """Return whether any task of the job has started, now or earlier.
 
-    Not the rule of `service_levels.accounting.has_started`, which asks for all tasks of a gang at once.
+    This differs from `service_levels.accounting.has_started`, which requires all tasks of a gang to have started.
     """
-    return run.has_started or run.completed_count > 0 or any(p.phase > 0 for p in run.placements.values())
+    return (
+        run.has_started or run.completed_count > 0 or any(placement.phase > 0 for placement in run.placements.values())
+    )
--- a/roseweir/workflows/model.py
+++ b/roseweir/workflows/model.py
@@ -10,16 +10,16 @@
 
 
 class WorkflowStep(msgspec.Struct, array_like=True):
-    """One step of a workflow: a job, its dependencies, and how it ended."""
+    """One step of a workflow: a job, its dependencies and its outcome. Its number is its index in `Workflow.steps`."""
 
     job_id: str
     job_class: str
     dependencies: list[int]  # numbers of the steps that it depends on
-    lot_numbers: list[int]  # numbers of the workflow's lots that it is for; none: all
-    outcome: str = ""  # done, cancelled, superseded
+    lot_numbers: list[int]  # indexes of the lots in `Workflow.lots` that it processes; empty: all
+    outcome: str = ""  # done, cancelled or superseded; empty until the job has ended
     released_ms: int = 0
     ended_ms: int = 0
-    is_delivery: bool = False  # its end puts its lots into the viewer
+    is_delivery: bool = False  # when it is done, its lots are in the viewer
 
 
 class Workflow(
@@ -37,17 +37,17 @@
     digest: str
     lots: list[str]
     steps: list[WorkflowStep]
-    state: str = "open"  # open, standing, stopped; done, superseded
+    state: str = "open"  # open, standing (blocked) or stopped; final: done or superseded
     reason: str = ""
-    due_ms: int = 0  # when its lots are due in the viewer; 0: it has no delivery deadline
+    due_ms: int = 0  # when its lots are due in the viewer; 0: no delivery deadline
     ended_ms: int = 0
-    late_step_class: str = ""  # the class of the step that made it late
-    # Jobs of older workflows of the same lots: its deliveries wait for their end, however they end.
+    late_step_class: str = ""  # class of the step that made it late
+    # Jobs of older workflows of the same lots: its deliveries wait until these have ended, with any outcome.
     blocking_jobs: list[str] = []
 
     @property
     def is_ended(self) -> bool:
-        """Whether it is in a final state."""
+        """Whether the workflow is in a final state."""
         return self.state in ("done", "superseded")
 
     def dependents(self, number: int) -> Iterable[int]:
@@ -55,7 +55,7 @@
         return (n for n, step in enumerate(self.steps) if number in step.dependencies)
 
     def lots_of(self, step: WorkflowStep) -> list[str]:
-        """Return the lots that a step is for."""
+        """Return the lots that a step processes."""
         return [self.lots[n] for n in step.lot_numbers] if step.lot_numbers else self.lots
 
 
@@ -66,15 +66,15 @@
     settings: WorkflowSettings,
     now_ms: int,
 ) -> Workflow:
-    """Return the workflow of a valid amendment that is accepted at `now_ms`, in milliseconds."""
-    lot_numbers = {lot: n for n, lot in enumerate(amendment.lots)}
-    steps_with_dependents = {n for step_links in dependencies for n in step_links}
+    """Return the workflow of a valid amendment that is accepted at `now_ms`, in milliseconds since the epoch."""
+    lot_number_by_name = {lot: n for n, lot in enumerate(amendment.lots)}
+    steps_with_dependents = {n for step_dependencies in dependencies for n in step_dependencies}
     steps = [
         WorkflowStep(
             spec.id,
             spec.job_class,
             dependencies[n],
-            sorted(lot_numbers[lot] for lot in amendment.steps[n].lots),
+            sorted(lot_number_by_name[lot] for lot in amendment.steps[n].lots),
             is_delivery=spec.job_class == settings.delivery_class
             if settings.delivery_class
             else n not in steps_with_dependents,
@@ -82,8 +82,8 @@
         for n, spec in enumerate(specs)
     ]
     if not any(step.is_delivery for step in steps):
-        for n, step in enumerate(steps):
-            step.is_delivery = n not in steps_with_dependents
+        for step_number, step in enumerate(steps):
+            step.is_delivery = step_number not in steps_with_dependents
     return Workflow(
         id=amendment.id,
         revision=amendment.revision,
--- a/roseweir/workflows/settings.py
+++ b/roseweir/workflows/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(chain ...)`: the default order of steps, and what happens where a workflow cannot go on."""
+"""Settings of workflows, from the operators' form `(chain ...)`: default step order, limits and failure handling."""
 
 from datetime import timedelta
 from typing import Any
@@ -23,24 +23,24 @@
 
     # Classes in the order of their dependencies; those of one group run in parallel.
     step_order: list[list[str]] = msgspec.field(default_factory=list)
-    delivery_class: str = ""  # the class whose end puts the lots into the viewer; "": the last steps are the delivery
-    max_attempts: int = 5  # failures of a step, after which its workflow is blocked
-    on_cancel: str = "stop"  # after a cancelled step: `stop` its dependents, or `skip` it
-    superseded: str = "finish"  # running steps of a superseded workflow: `finish` or `stop` them
-    max_amendments_per_window: float = 60.0  # amendments that may be accepted at once, and
-    intake_window: timedelta = timedelta(seconds=60)  # the time after which as many more may be
-    retention: timedelta = timedelta(days=30)  # ended workflows are kept for so long, if there is room
+    delivery_class: str = ""  # class of the steps that deliver lots to the viewer; "": the last steps do
+    max_attempts: int = 5  # failures of a step after which its workflow is blocked
+    on_cancel: str = "stop"  # when a step is cancelled: `stop` (cancel) its dependents or `skip` the step
+    superseded: str = "finish"  # running steps whose lots are superseded: `finish` or `stop` them
+    max_amendments_per_window: float = 60.0  # size of the token bucket that limits accepted amendments
+    intake_window: timedelta = timedelta(seconds=60)  # time in which the empty bucket refills
+    retention: timedelta = timedelta(days=30)  # how long ended workflows are kept if there is room
 
     def group_index(self, job_class: str) -> int | None:
         """Return the position of a class in `step_order`, or None."""
         return next((n for n, group in enumerate(self.step_order) if job_class in group), None)
 
 
-_CHOICES = {"on-cancel": ("on_cancel", ("stop", "skip")), "superseded": ("superseded", ("finish", "stop"))}
+_CHOICE_FIELDS = {"on-cancel": ("on_cancel", ("stop", "skip")), "superseded": ("superseded", ("finish", "stop"))}
 
 
 def parse_workflow_settings(entries: list[Any]) -> WorkflowSettings:
-    """Read `(chain (order "a" ("b" "c") "d") (delivery "d") (attempts 5) (intake 60 60) (keep-days 30) ...)`.
+    """Parse `(chain (order "a" ("b" "c") "d") (delivery "d") (attempts 5) (intake 60 60) (keep-days 30) ...)`.
 
     Raises:
         SettingsError: the form is malformed.
@@ -52,8 +52,8 @@
             settings.step_order = _parse_step_order(args)
         elif name == "delivery":
             settings.delivery_class = read_string(name, args)
-        elif name in _CHOICES:
-            field, choices = _CHOICES[name]
+        elif name in _CHOICE_FIELDS:
+            field, choices = _CHOICE_FIELDS[name]
             text = read_string(name, args)
             if text not in choices:
                 raise SettingsError(f"`{name}` in `chain` is one of {', '.join(choices)}")
--- a/roseweir/workflows/store.py
+++ b/roseweir/workflows/store.py
@@ -1,10 +1,10 @@
-"""Workflows in the key-value store: many to a page, written on condition of the leader's key and the page's version.
+"""Workflows in the key-value store: many to a page, each write guarded by the leader's key and the page's version.
 
-`chain/NNNN` holds workflows by id. A workflow is written with its jobs' own records when it is accepted, and again when
-its last job has ended. What happens in between is derived from the jobs' records, and written only when the store is
-about to drop the changes since the page was last written (`MAX_PAGE_AGE_REVISIONS`). So a workflow costs at most two
-writes beside those of its jobs, shared with the others on its page. Ended workflows are stored in a few bytes, and the
-oldest are evicted first.
+`chain/NNNN` holds workflows by id. A workflow is written with its jobs' records when it is accepted, and again when its
+last job has ended. The changes in between are derived from the jobs' records. They are written only when the store is
+about to drop its changes since the page was last written (`MAX_PAGE_AGE_REVISIONS`). So a workflow costs at most two
+writes in addition to those of its jobs, shared with the others on its page. Ended workflows take only a few bytes, and
+the oldest are evicted first.
 """
 
 from typing import Any
@@ -18,13 +18,13 @@
 from roseweir.workflows.model import Workflow
 
 PAGE_KEY_PREFIX = "chain/"
-# The part of the largest value that a page may take.
+# Fraction of the largest allowed value that a page may fill.
 MAX_PAGE_FILL = 0.85
-# The most that it takes where the store allows larger values.
+# Size limit of a value that is assumed where the store allows larger ones.
 MAX_PAGE_BYTES = 8 * 1024
-# The key-value store keeps its last 10,000 changes: pages are written again well before they are that old.
+# The key-value store keeps its last 10,000 changes, so pages are written again well before they are that old.
 MAX_PAGE_AGE_REVISIONS = 6000
-# Pages at the most: ended workflows are evicted before there are more.
+# Maximum number of pages: ended workflows are evicted before there are more.
 MAX_PAGES = 2000
 
 
@@ -38,7 +38,7 @@
 
     @property
     def page_capacity(self) -> int:
-        """Return the bytes that a page may take, within the store's limits as they are known now."""
+        """Return the bytes that a page may take within the limits of the store, as currently known to the client."""
         return int(min(self.kv_store.transaction_limits.max_value_bytes, MAX_PAGE_BYTES) * MAX_PAGE_FILL)
 
     async def read_entries(self) -> list[Entry]:
@@ -50,7 +50,7 @@
         """Return the workflows of the pages, by id.
 
         Raises:
-            PageUnreadable: a page cannot be decoded. Without it its workflows would stop unnoticed.
+            PageUnreadable: a page cannot be decoded. If it were skipped, its workflows would stop unnoticed.
         """
         self.load(entries)
         self.page_by_workflow, self.page_sizes = {}, {}
@@ -69,7 +69,7 @@
         return workflows_by_id
 
     def assign_page(self, workflow: Workflow) -> int | None:
-        """The page that the workflow goes to; None: it fits none."""
+        """Assign the workflow to a page if it has none, and return its page; None: it fits no page."""
         size = stored_size(workflow)
         if size > self.page_capacity:
             return None
@@ -87,13 +87,14 @@
         return page_number
 
     def oversized_pages(self) -> set[int]:
-        """Return the pages that were written under a higher limit."""
+        """Return the pages that exceed the capacity, as they were written under a higher limit."""
         return {number for number, used in self.page_sizes.items() if used > self.page_capacity}
 
     def split_oversized_pages(self, workflows: dict[str, Workflow]) -> list[int]:
         """Move workflows off pages that are too large, and return the pages they move to, to be written first.
 
-        A reader that finds a workflow on two pages takes either: they agree until the older page is written.
+        Until the oversized page is written again, both pages hold the moved workflow; a reader may use either, as they
+        agree.
         """
         target_pages: list[int] = []
         for page_number in sorted(self.oversized_pages()):
@@ -117,24 +118,26 @@
         return target_pages
 
     def record_compaction(self, workflow: Workflow, compacted: Workflow) -> None:
-        """Note that an ended workflow takes less of its page from now on."""
+        """Update the size of the page after an ended workflow was compacted."""
         page_number = self.page_by_workflow.get(workflow.id)
         if page_number is not None:
             self.page_sizes[page_number] += stored_size(compacted) - stored_size(workflow)
 
     def release_page_space(self, workflow: Workflow) -> None:
-        """Take a workflow off its page."""
+        """Remove a workflow from its page, and subtract its size from that of the page."""
         page_number = self.page_by_workflow.pop(workflow.id, None)
         if page_number is not None:
             self.page_sizes[page_number] = max(0, self.page_sizes[page_number] - stored_size(workflow))
 
     def encode_page(self, page_number: int, workflows: dict[str, Workflow]) -> dict[str, Any]:
-        """Return the value to store of a page, and measure how full it is."""
+        """Return the value to store for a page, and update the size of the page."""
         workflow_ids = sorted(
-            name for name, page in self.page_by_workflow.items() if page == page_number and name in workflows
+            workflow_id
+            for workflow_id, page in self.page_by_workflow.items()
+            if page == page_number and workflow_id in workflows
         )
-        encoded = {name: msgspec.to_builtins(workflows[name]) for name in workflow_ids}
-        self.page_sizes[page_number] = sum(stored_size(workflows[name]) for name in workflow_ids)
+        encoded = {workflow_id: msgspec.to_builtins(workflows[workflow_id]) for workflow_id in workflow_ids}
+        self.page_sizes[page_number] = sum(stored_size(workflows[workflow_id]) for workflow_id in workflow_ids)
         return {"chains": encoded}
 
     @staticmethod
@@ -143,17 +146,17 @@
         return f"{PAGE_KEY_PREFIX}{page_number:04d}"
 
     def oldest_page_revision(self) -> int:
-        """Return the store revision from which on ends of jobs have to be read: the pages hold those before."""
+        """Return the store revision of the oldest page: the ends of jobs since then have to be read from the store."""
         return min(self.key_versions.values(), default=0)
 
 
 def stored_size(workflow: Workflow) -> int:
-    """Return the bytes that a workflow takes of its page, with what the ends of its steps may still add."""
+    """Return the bytes that a workflow takes of its page, including those that the ends of its steps may add."""
     reserved_growth = 40 * sum(not step.ended_ms for step in workflow.steps)
     return len(orjson.dumps(msgspec.to_builtins(workflow))) + len(workflow.id) + 8 + reserved_growth
 
 
 def compact_ended_workflow(workflow: Workflow) -> Workflow:
-    """Return what is kept of an ended workflow: enough to recognize a repeated request, and to report its outcome."""
+    """Return an ended workflow reduced to what is needed to recognize a repeated request and to report its outcome."""
     steps = [msgspec.structs.replace(step, dependencies=[]) for step in workflow.steps if step.is_delivery]
     return msgspec.structs.replace(workflow, steps=steps, blocking_jobs=[])
--- a/roseweir/workflows/views.py
+++ b/roseweir/workflows/views.py
@@ -1,4 +1,4 @@
-"""Workflows and their steps as operators see them, in the JSON of `/chains`."""
+"""Workflows and their steps as JSON objects, for the answers of `/chains`."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def workflow_view(workflow: Workflow, cluster_state: ClusterState, *, is_brief: bool = False) -> dict[str, Any]:
-    """Return a workflow as operators see it; `is_brief`: without its steps."""
+    """Return a workflow as a JSON object; `is_brief`: without its steps."""
     now_ms = utc_now_ms()
     answer: dict[str, Any] = {
         "id": workflow.id,
@@ -41,9 +41,11 @@
             explanation = explain_job(cluster_state, step.job_id, monotonic_now())
             if explanation is not None and explanation["waits_for"]:
                 return f"step {step.job_id}: {explanation['waits_for']}"
-    unfinished = [step.job_id for step in workflow.steps if not step.outcome]
+    unfinished_jobs = [step.job_id for step in workflow.steps if not step.outcome]
     return (
-        f"steps {', '.join(unfinished[:3])}{' and more' if len(unfinished) > 3 else ''} to end" if unfinished else None
+        f"steps {', '.join(unfinished_jobs[:3])}{' and more' if len(unfinished_jobs) > 3 else ''} to end"
+        if unfinished_jobs
+        else None
     )
 
 
