--- a/roseweir/delivery_deadlines/cli.py
+++ b/roseweir/delivery_deadlines/cli.py
@@ -1,4 +1,4 @@
-"""Command `roseweir promises`: the delivery deadlines, as the leader reports them."""
+"""Command `roseweir promises`: print or draw the delivery deadlines that the leader reports."""
 
 import argparse
 from datetime import date
--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -1,7 +1,8 @@
-"""The leader's delivery deadlines: assigned as amendments are accepted, followed, made urgent when at risk.
+"""Deadline controller of the leader: assigns and tracks delivery deadlines, and makes workflows at risk urgent.
 
-The due time is part of the workflow's own record, durable before the amendment is answered. Everything else is derived
-from workflows; the reports of past nights are kept in one key, with the measured durations of steps by class.
+The due time is part of the workflow's record, which is durable before the amendment is acknowledged. Everything else is
+derived from workflows, except the reports of past nights and the measured durations of steps by class: these are stored
+under one key.
 """
 
 import logging
@@ -41,18 +42,18 @@
 EVALUATION_INTERVAL = timedelta(seconds=2)
 SAVE_INTERVAL = timedelta(seconds=30)
 RETRY_INTERVAL = timedelta(seconds=1)
-# The report of a night stays open for so long after its morning; what is late by then stays so.
+# A report is closed this long after the lots were due; lots that are late by then stay late.
 REPORT_CLOSE_DELAY_MS = 24 * 3600 * 1000
-# Deadlines that one answer lists.
+# Maximum number of deadlines that one answer lists.
 MAX_LISTED_DEADLINES = 200
-# The part of the largest value that the stored reports may take.
+# Fraction of the largest allowed value that the stored record may fill.
 MAX_VALUE_FILL = 0.9
-# The most that they take where the store allows larger values.
+# Size limit of a value that is assumed where the store allows larger ones.
 MAX_VALUE_BYTES = 8 * 1024
 
 
 class DeadlineController:
-    """Assigns and follows the delivery deadlines of workflows, for one term of a leader."""
+    """Assigns and tracks the delivery deadlines of workflows during one term of a leader."""
 
     def __init__(
         self,
@@ -69,8 +70,8 @@
         self.cluster_state = cluster_state
         self.fenced_writer = FencedWriter(kv_store, leader_version, "promises")
         self.step_durations = StepDurations()
-        self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning
-        self.statuses: dict[str, DeadlineStatus] = {}
+        self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning that ends the night
+        self.statuses: dict[str, DeadlineStatus] = {}  # by workflow id
         self.is_loaded = False
         self._may_write = may_write
         self._step_down = step_down
@@ -81,12 +82,12 @@
     # -- workflows ----------------------------------------------------------------------------
 
     def assign_due_ms(self, workflow: Workflow) -> int:
-        """Return when the workflow's lots are due, in milliseconds; 0: its team has no deadline."""
+        """Return when the workflow's lots are due, in milliseconds since the epoch; 0: no deadline."""
         policy = self.settings.policy_for(workflow.team)
         return 0 if policy is None else due_time.compute_due_ms(workflow.landed_ms, policy, self.settings.calendar)
 
     def on_workflow_changed(self, workflow: Workflow) -> None:
-        """Measure the steps that have ended, and update the status of the workflow's deadline."""
+        """Record the durations of steps that have ended, and update the status of the workflow's deadline."""
         for step in workflow.steps:
             if step.outcome == "done" and step.released_ms and step.job_id not in self._measured_jobs:
                 self._measured_jobs.add(step.job_id)
@@ -105,7 +106,7 @@
     # -- control loop -------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Evaluate the deadlines, and save the night reports, at their intervals until cancelled."""
+        """Evaluate the deadlines and save the night reports, each at its interval, until cancelled."""
         last_saved = monotonic_now()
         while True:
             await sleep(EVALUATION_INTERVAL)
@@ -129,14 +130,14 @@
             try:
                 self._restore(entry.value)
             except NightRecordUnreadable as e:
-                # Only the reports of past nights and the first forecasts depend on it.
-                log.warning("night reports unreadable, starting empty ones: error=%r", e.cause)
+                # Only the reports of past nights and the first forecasts depend on this record.
+                log.warning("night reports unreadable, starting with empty ones: error=%r", e.cause)
                 self.closed_reports = {}
         self.is_loaded = True
 
     def _restore(self, value: Any) -> None:
         try:
-            self.closed_reports = {str(n): NightReport.decode(v) for n, v in value["nights"].items()}
+            self.closed_reports = {str(night): NightReport.decode(report) for night, report in value["nights"].items()}
             self.step_durations.decode(value["times"])
         except (KeyError, TypeError, ValueError, AttributeError) as e:
             raise NightRecordUnreadable(e) from e
@@ -146,16 +147,16 @@
         newly_closed: dict[str, NightReport] = {}
         for workflow in self._workflows_with_deadline():
             if workflow.due_ms + REPORT_CLOSE_DELAY_MS < now_ms:
-                name = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
-                if name not in self.closed_reports:
-                    newly_closed.setdefault(name, NightReport()).add(
+                night = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
+                if night not in self.closed_reports:
+                    newly_closed.setdefault(night, NightReport()).add(
                         workflow, self._delaying_step_class(workflow), now_ms
                     )
         self.closed_reports |= newly_closed
-        for name in sorted(self.closed_reports)[: max(0, len(self.closed_reports) - self.settings.max_night_reports)]:
-            del self.closed_reports[name]
+        for night in sorted(self.closed_reports)[: max(0, len(self.closed_reports) - self.settings.max_night_reports)]:
+            del self.closed_reports[night]
         value = {
-            "nights": {n: night.encode() for n, night in sorted(self.closed_reports.items())},
+            "nights": {night: report.encode() for night, report in sorted(self.closed_reports.items())},
             "times": self.step_durations.encode(),
         }
         max_value_bytes = self.fenced_writer.kv_store.transaction_limits.max_value_bytes
@@ -172,7 +173,9 @@
     def _evaluate_deadlines(self) -> None:
         now_ms = utc_now_ms()
         workflow_ids = {workflow.id for workflow in self._workflows_with_deadline()}
-        self.statuses = {name: s for name, s in self.statuses.items() if name in workflow_ids}
+        self.statuses = {
+            workflow_id: status for workflow_id, status in self.statuses.items() if workflow_id in workflow_ids
+        }
         for workflow in self._workflows_with_deadline():
             if not workflow.is_ended or workflow.id not in self.statuses:
                 self._update_status(workflow, now_ms)
@@ -184,12 +187,12 @@
     def _update_status(self, workflow: Workflow, now_ms: int) -> None:
         policy = self.settings.policy_for(workflow.team)
         quantile = DEFAULT_FORECAST_QUANTILE if policy is None else policy.forecast_quantile
-        margin_ms = 0 if policy is None else round(policy.risk_margin.total_seconds() * 1000)
+        risk_margin_ms = 0 if policy is None else round(policy.risk_margin.total_seconds() * 1000)
 
-        def typical_duration(step: WorkflowStep) -> float:
-            known = self.step_durations.quantile(step.job_class, quantile)
-            if known is not None:
-                return known
+        def typical_duration_s(step: WorkflowStep) -> float:
+            measured_s = self.step_durations.quantile(step.job_class, quantile)
+            if measured_s is not None:
+                return measured_s
             run = self.cluster_state.jobs.get(step.job_id)
             return (
                 DEFAULT_STEP_DURATION_S
@@ -198,7 +201,7 @@
             )
 
         previous = self.statuses.get(workflow.id)
-        status = evaluate_deadline(workflow, typical_duration, margin_ms, now_ms)
+        status = evaluate_deadline(workflow, typical_duration_s, risk_margin_ms, now_ms)
         if status.state in (AT_RISK, UNATTAINABLE, LATE):
             status.waits_for = self._waiting_reason(workflow)
         elif (
@@ -207,15 +210,15 @@
             status.slowest_step_class = previous.slowest_step_class
         self.statuses[workflow.id] = status
         if previous is None or previous.state != status.state:
-            slack = f" slack_s={status.slack_ms / 1000:.0f}" if not workflow.is_ended else ""
-            reason = f" waits_for={status.waits_for}" if status.waits_for else ""
+            slack_text = f" slack_s={status.slack_ms / 1000:.0f}" if not workflow.is_ended else ""
+            waits_for_text = f" waits_for={status.waits_for}" if status.waits_for else ""
             log.info(
                 "delivery deadline: workflow=%s lots=%d state=%s%s%s",
                 workflow.id,
                 len(workflow.lots),
                 status.state,
-                slack,
-                reason,
+                slack_text,
+                waits_for_text,
             )
 
     def _waiting_reason(self, workflow: Workflow) -> str | None:
@@ -230,13 +233,13 @@
         return None
 
     def _slowest_step_class(self, workflow: Workflow) -> str:
-        """Return the class of the step that exceeded the median duration of its class by the most."""
-        excess_durations = [
+        """Return the class of the step that exceeded the median duration of its class by the longest time."""
+        excess_s_and_class = [
             ((s.ended_ms - s.released_ms) / 1000 - (self.step_durations.quantile(s.job_class, 0.5) or 0.0), s.job_class)
             for s in workflow.steps
             if s.released_ms and s.ended_ms
         ]
-        return max(excess_durations, default=(0.0, ""))[1]
+        return max(excess_s_and_class, default=(0.0, ""))[1]
 
     def _delaying_step_class(self, workflow: Workflow) -> str:
         if workflow.late_step_class:
@@ -247,28 +250,28 @@
     # -- reports ------------------------------------------------------------------------------
 
     def night_reports(self) -> dict[str, NightReport]:
-        """Return the reports of past nights and, as they stand now, of open ones, by the date of the morning."""
+        """Return the closed reports and the current state of open ones, by the date of the night's morning."""
         reports = dict(self.closed_reports)
         now_ms = utc_now_ms()
         for workflow in self._workflows_with_deadline():
-            name = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
-            if name not in self.closed_reports:
-                reports.setdefault(name, NightReport()).add(workflow, self._delaying_step_class(workflow), now_ms)
+            night = due_time.night_ending_date(workflow.due_ms, self.settings.calendar)
+            if night not in self.closed_reports:
+                reports.setdefault(night, NightReport()).add(workflow, self._delaying_step_class(workflow), now_ms)
         return dict(sorted(reports.items()))
 
     def describe(self, night: str = "") -> dict[str, Any]:
         """Return the answer to `promises`; `night`: only the deadlines of the night that ends on this date."""
-        rows = sorted(self.statuses.values(), key=lambda s: (STATE_SORT_ORDER[s.state], s.slack_ms, s.workflow_id))
+        statuses = sorted(self.statuses.values(), key=lambda s: (STATE_SORT_ORDER[s.state], s.slack_ms, s.workflow_id))
         if night:
-            rows = [s for s in rows if due_time.night_ending_date(s.due_ms, self.settings.calendar) == night]
+            statuses = [s for s in statuses if due_time.night_ending_date(s.due_ms, self.settings.calendar) == night]
         now_ms = utc_now_ms()
         return {
-            "promises": [_deadline_view(s, now_ms) for s in rows[:MAX_LISTED_DEADLINES]],
-            "nights": [_night_view(name, report) for name, report in self.night_reports().items()],
+            "promises": [_deadline_view(s, now_ms) for s in statuses[:MAX_LISTED_DEADLINES]],
+            "nights": [_night_view(night_date, report) for night_date, report in self.night_reports().items()],
         }
 
     def summary(self) -> dict[str, Any]:
-        """Return the part of `status`: the number of deadlines in each state."""
+        """Return what `status` shows: the number of deadlines in each state."""
         counts: dict[str, int] = {}
         for status in self.statuses.values():
             counts[status.state] = counts.get(status.state, 0) + 1
@@ -292,9 +295,9 @@
     }
 
 
-def _night_view(name: str, report: NightReport) -> dict[str, Any]:
+def _night_view(night: str, report: NightReport) -> dict[str, Any]:
     return {
-        "night": name,
+        "night": night,
         "promised": report.due_lots,
         "kept": report.on_time_lots,
         "late": report.late_lots,
--- a/roseweir/delivery_deadlines/critical_path.py
+++ b/roseweir/delivery_deadlines/critical_path.py
@@ -4,38 +4,42 @@
 
 from roseweir.workflows.model import Workflow, WorkflowStep
 
-# A step that has run for longer than its class typically does is given this part of the typical duration again.
+# A released step is expected to take at least this fraction of the typical duration of its class from now on, even if
+# it has already run for longer than that duration.
 MIN_REMAINING_FRACTION = 0.25
 
 
 def remaining_critical_path(
-    workflow: Workflow, typical_duration: Callable[[WorkflowStep], float], now_ms: int
+    workflow: Workflow, typical_duration_s: Callable[[WorkflowStep], float], now_ms: int
 ) -> tuple[float, str]:
-    """Return the seconds left on the critical path to the last delivery, and the class of its longest step.
+    """Return the remaining seconds on the critical path to the last delivery, and the class of its longest step.
 
     Args:
-        workflow: the workflow; ended steps take no more time.
-        typical_duration: the seconds that a step of its class takes from release to end.
-        now_ms: the time of day, in milliseconds.
+        workflow: the workflow; its ended steps take no more time.
+        typical_duration_s: returns the seconds that a step of its class takes from release to end.
+        now_ms: the current time, in milliseconds since the epoch.
     """
-    paths: dict[int, tuple[float, float, str]] = {}
-
-    def path_to(n: int) -> tuple[float, float, str]:
-        known = paths.get(n)
-        if known is not None:
-            return known
-        step = workflow.steps[n]
-        before = max((path_to(m) for m in step.dependencies), default=(0.0, 0.0, ""))
+    # Remaining seconds, those of the longest step, and the class of that step, by step number.
+    path_by_step: dict[int, tuple[float, float, str]] = {}
+
+    def path_to(step_number: int) -> tuple[float, float, str]:
+        cached_path = path_by_step.get(step_number)
+        if cached_path is not None:
+            return cached_path
+        step = workflow.steps[step_number]
+        previous_path = max((path_to(m) for m in step.dependencies), default=(0.0, 0.0, ""))
         if step.outcome:
-            paths[n] = (before[0], before[1], before[2])
-            return paths[n]
-        typical_s = typical_duration(step)
-        left_s = typical_s
+            path_by_step[step_number] = (previous_path[0], previous_path[1], previous_path[2])
+            return path_by_step[step_number]
+        typical_s = typical_duration_s(step)
+        remaining_s = typical_s
         if step.released_ms:
-            left_s = max(typical_s * MIN_REMAINING_FRACTION, typical_s - (now_ms - step.released_ms) / 1000)
-        longest, name = (left_s, step.job_class) if left_s > before[1] else (before[1], before[2])
-        paths[n] = (before[0] + left_s, longest, name)
-        return paths[n]
+            remaining_s = max(typical_s * MIN_REMAINING_FRACTION, typical_s - (now_ms - step.released_ms) / 1000)
+        longest_step_s, longest_step_class = (
+            (remaining_s, step.job_class) if remaining_s > previous_path[1] else (previous_path[1], previous_path[2])
+        )
+        path_by_step[step_number] = (previous_path[0] + remaining_s, longest_step_s, longest_step_class)
+        return path_by_step[step_number]
 
     longest_path = max(
         (path_to(n) for n, step in enumerate(workflow.steps) if step.is_delivery), default=(0.0, 0.0, "")
--- a/roseweir/delivery_deadlines/deadline_status.py
+++ b/roseweir/delivery_deadlines/deadline_status.py
@@ -1,8 +1,8 @@
-"""The status of delivery deadlines: where each workflow is, when it should be delivered, what is at risk. Pure.
+"""The status of delivery deadlines: the stage of each workflow, its expected delivery and whether it is at risk. Pure.
 
-The forecast follows the critical path through the steps that are left: for each step the time that its class has taken
-from release to end, at a stated quantile, less the time that has passed. Whether a deadline was met or missed depends
-on durable ends and the clock alone, never on a forecast.
+The forecast is the length of the critical path through the unfinished steps. Each step counts with the time that its
+class takes from release to end, at the quantile in the settings, less the time since its release. Whether a deadline
+was met or missed depends on durable ends and the clock alone, never on a forecast.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,7 +19,7 @@
 ON_TRACK = "on course"
 AT_RISK = "at risk"
 UNATTAINABLE = "cannot be kept any more"
-# The order in which states are listed: what needs an operator first.
+# The order in which states are listed: those that need an operator first.
 STATE_SORT_ORDER = {AT_RISK: 0, UNATTAINABLE: 1, LATE: 2, ON_TRACK: 3, DELIVERED_LATE: 4, MET: 5, SUPERSEDED: 6}
 
 
@@ -32,8 +32,8 @@
     due_ms: int
     state: str
     stage: str  # the class of its current step, "in the viewer", "not delivered" or "superseded"
-    expected_ms: int  # when its last lot should be in the viewer, or was
-    slack_ms: int  # time to spare until it is due; below 0: it will be late
+    expected_ms: int  # forecast or actual time of the last lot's delivery
+    slack_ms: int  # time from `expected_ms` to the due time; below 0: late
     lot_count: int
     delivered_lot_count: int
     waits_for: str | None = None
@@ -41,22 +41,22 @@
 
 
 def evaluate_deadline(
-    workflow: Workflow, typical_duration: Callable[[WorkflowStep], float], margin_ms: int, now_ms: int
+    workflow: Workflow, typical_duration_s: Callable[[WorkflowStep], float], risk_margin_ms: int, now_ms: int
 ) -> DeadlineStatus:
-    """Return the present status of a workflow's deadline.
+    """Return the current status of a workflow's deadline.
 
     Args:
         workflow: a workflow with a deadline.
-        typical_duration: the seconds that a step of its class takes from release to end.
-        margin_ms: with less slack than this, in milliseconds, it is at risk.
-        now_ms: the time of day, in milliseconds.
+        typical_duration_s: returns the seconds that a step of its class takes from release to end.
+        risk_margin_ms: with less slack than this, in milliseconds, the deadline is at risk.
+        now_ms: the current time, in milliseconds since the epoch.
     """
     delivered_lot_count = len(delivered_lots(workflow))
-    left_s, slowest_step_class = remaining_critical_path(workflow, typical_duration, now_ms)
-    expected_ms = now_ms + round(left_s * 1000)
+    remaining_s, slowest_step_class = remaining_critical_path(workflow, typical_duration_s, now_ms)
+    expected_ms = now_ms + round(remaining_s * 1000)
     delivered_ms = last_delivery_ms(workflow)
-    current = next((s.job_class for s in workflow.steps if not s.outcome and s.released_ms), "")
-    stage = current or next((s.job_class for s in workflow.steps if not s.outcome), "in the viewer")
+    current_step_class = next((s.job_class for s in workflow.steps if not s.outcome and s.released_ms), "")
+    stage = current_step_class or next((s.job_class for s in workflow.steps if not s.outcome), "in the viewer")
     if workflow.state == "superseded":
         state, stage, expected_ms = SUPERSEDED, "superseded", workflow.ended_ms
     elif delivered_lot_count == len(workflow.lots):
@@ -66,9 +66,9 @@
         state = LATE
     elif workflow.is_ended:
         state, stage = LATE, "not delivered"
-    elif now_ms + left_s * 1000 * MIN_REMAINING_FRACTION > workflow.due_ms:
+    elif now_ms + remaining_s * 1000 * MIN_REMAINING_FRACTION > workflow.due_ms:
         state = UNATTAINABLE
-    elif expected_ms + margin_ms > workflow.due_ms or workflow.state != "open":
+    elif expected_ms + risk_margin_ms > workflow.due_ms or workflow.state != "open":
         state = AT_RISK
     else:
         state = ON_TRACK
@@ -90,8 +90,8 @@
 def urgent_job_slack(statuses: Iterable[DeadlineStatus], workflows: Mapping[str, Workflow]) -> dict[str, int]:
     """Return the slack, in milliseconds by job id, of the urgent jobs: released steps of workflows at risk.
 
-    They come first among their team's jobs. A deadline that cannot be met any more must not delay those that can, and
-    one that is on track needs no help.
+    Urgent jobs are scheduled first among their team's jobs. Workflows that can no longer be on time are left out, as
+    they must not delay those that can, and so are workflows that are on track.
     """
     slack_by_job: dict[str, int] = {}
     for status in statuses:
--- a/roseweir/delivery_deadlines/due_time.py
+++ b/roseweir/delivery_deadlines/due_time.py
@@ -1,8 +1,8 @@
-"""When the lots of a workflow are due. Pure.
+"""The due time of the lots of a workflow. Pure.
 
-They are due at a set local time of a business day, a day that is neither closed nor a holiday. What landed before the
-cut-off of a business day is due on it; what landed later, on the next one. The due time is computed once, as the
-amendment is accepted, and stored in milliseconds: no restart, clock or change of settings moves it.
+Lots are due at a set local time of a business day, a day that is neither closed nor a holiday. Lots that landed before
+the cut-off of a business day are due on that day, later ones on the next business day. The due time is computed once,
+when the amendment is accepted, and stored in milliseconds, so no restart, clock or change of settings moves it.
 
 Where daylight saving skips the local time, lots are due at the instant of the clock change; where it occurs twice, at
 its first occurrence.
@@ -13,14 +13,14 @@
 from roseweir.calendars import Calendar
 from roseweir.delivery_deadlines.settings import DeadlinePolicy
 
-# The search for a business day ends after so many days.
+# Number of days that are searched for a business day.
 MAX_DAYS_SEARCHED = 400
 
 
 def compute_due_ms(landed_ms: int, policy: DeadlinePolicy, calendar: Calendar) -> int:
     """Return when lots that landed at `landed_ms` are due; both in milliseconds since the epoch.
 
-    0: there is no business day within `MAX_DAYS_SEARCHED`.
+    Returns 0 if there is no business day within `MAX_DAYS_SEARCHED`.
     """
     landed = datetime.fromtimestamp(landed_ms / 1000, UTC)
     zone = calendar.zone
@@ -43,13 +43,13 @@
     return local_instant(day, policy.cutoff_time, zone)
 
 
-def local_instant(day: date, at: time, zone: tzinfo) -> datetime:
-    """Return a local time of a day, in UTC; for one that daylight saving skips, the instant of the clock change."""
-    local = datetime.combine(day, at, zone)
+def local_instant(day: date, local_time: time, zone: tzinfo) -> datetime:
+    """Return the UTC time of a local time; for one that daylight saving skips, the instant of the clock change."""
+    local = datetime.combine(day, local_time, zone)
     utc_time = local.astimezone(UTC)
     if utc_time.astimezone(zone).replace(tzinfo=None) == local.replace(tzinfo=None):
         return utc_time
-    # Skipped: between the last moment before the change and the first after it.
+    # The local time is skipped: bisect to the first second after the clock change.
     low, high = utc_time - timedelta(hours=3), utc_time + timedelta(hours=3)
     offset_before = low.astimezone(zone).utcoffset()
     while high - low > timedelta(seconds=1):
@@ -62,5 +62,5 @@
 
 
 def night_ending_date(due_ms: int, calendar: Calendar) -> str:
-    """Return the date (ISO 8601) of the morning on which lots are due: it names the night before it."""
+    """Return the local date (ISO 8601) on which lots are due: it identifies the night that ends on that morning."""
     return datetime.fromtimestamp(due_ms / 1000, UTC).astimezone(calendar.zone).date().isoformat()
--- a/roseweir/delivery_deadlines/errors.py
+++ b/roseweir/delivery_deadlines/errors.py
@@ -6,10 +6,10 @@
 
 
 class NightRecordUnreadable(DeliveryDeadlineError):
-    """The stored night reports or step durations have not the form that this version writes.
+    """The stored night reports or step durations do not have the form that this version writes.
 
     Attributes:
-        cause: the error met while decoding.
+        cause: the decoding error.
     """
 
     def __init__(self, cause: Exception) -> None:
--- a/roseweir/delivery_deadlines/handlers.py
+++ b/roseweir/delivery_deadlines/handlers.py
@@ -1,4 +1,4 @@
-"""Handler of `/promises`: requests about delivery deadlines, of operators and of peers."""
+"""Handler of `/promises`: requests of operators and peers about delivery deadlines."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -14,7 +14,7 @@
     """The body of a POST; `night`: the date of the morning that ends a night, or empty for all deadlines."""
 
     night: str = ""
-    is_forwarded: bool = False
+    is_forwarded: bool = False  # sent on to the leader by another node
 
 
 async def handle_request(
--- a/roseweir/delivery_deadlines/lot_deliveries.py
+++ b/roseweir/delivery_deadlines/lot_deliveries.py
@@ -1,14 +1,14 @@
-"""Which lots of a workflow have been delivered to the viewer. Pure: durable ends alone, no forecast."""
+"""The lots of a workflow that are delivered to the viewer. Pure: from durable ends alone, never from a forecast."""
 
 from roseweir.workflows.model import Workflow
 
 
 def delivered_lots(workflow: Workflow, by_ms: int | None = None) -> list[str]:
-    """Return the lots all of whose deliveries were done, in the workflow's order.
+    """Return the lots whose delivery steps are all done, in the workflow's order.
 
     Args:
         workflow: the workflow.
-        by_ms: count only what was done by this time of day, in milliseconds; None: whenever it was done.
+        by_ms: count only steps done by this time, in milliseconds since the epoch; None: all done steps.
     """
     undelivered: set[str] = set()
     lots_with_delivery: set[str] = set()
@@ -23,5 +23,5 @@
 
 
 def last_delivery_ms(workflow: Workflow) -> int:
-    """Return the time of day, in milliseconds, of the last delivery that was done; 0: there was none."""
+    """Return the end, in milliseconds since the epoch, of the last delivery step that is done; 0: there is none."""
     return max((s.ended_ms for s in workflow.steps if s.is_delivery and s.outcome == "done"), default=0)
--- a/roseweir/delivery_deadlines/night_report.py
+++ b/roseweir/delivery_deadlines/night_report.py
@@ -1,4 +1,4 @@
-"""The report of one night: how many lots were due on its morning, and how many were on time. Pure."""
+"""The report of one night: how many lots were due on the morning that ends it, and how many were on time. Pure."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -20,7 +20,7 @@
     late_lots_by_step_class: dict[str, int] = field(default_factory=dict)
 
     def add(self, workflow: Workflow, late_step_class: str, now_ms: int) -> None:
-        """Add the lots of a workflow, as they stand at `now_ms`; `late_step_class`: the step class that delayed it."""
+        """Add the lots of a workflow, as delivered or not at `now_ms`; `late_step_class`: the class that delayed it."""
         lot_count = len(workflow.lots)
         self.due_lots += lot_count
         if workflow.state == "superseded":
@@ -50,10 +50,10 @@
 
     @classmethod
     def decode(cls, value: Any) -> "NightReport":
-        """Read what `encode` wrote.
+        """Return the report in a value that `encode` returned.
 
         Raises:
-            AttributeError, TypeError, ValueError: the value has not that form.
+            AttributeError, TypeError, ValueError: the value does not have that form.
         """
         *counts, late_lots_by_step_class = value
         due_lots, on_time_lots, late_lots, superseded_lots, max_lateness_s = map(int, counts)
@@ -63,5 +63,5 @@
             late_lots,
             superseded_lots,
             max_lateness_s,
-            {str(name): int(n) for name, n in late_lots_by_step_class.items()},
+            {str(step_class): int(n) for step_class, n in late_lots_by_step_class.items()},
         )
--- a/roseweir/delivery_deadlines/settings.py
+++ b/roseweir/delivery_deadlines/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(promise ...)`: the delivery deadlines of amended lots, by team."""
+"""Settings of delivery deadlines, from the operators' form `(promise ...)`: one policy for each team."""
 
 from datetime import time, timedelta
 from typing import Any
@@ -22,26 +22,26 @@
         "forecast_quantile": "quantile",
     },
 ):
-    """The deadlines of one team, or of every team without a form of its own; defaults: docs/promises.md."""
+    """The deadline policy of one team, or of all teams without a policy; defaults: docs/promises.md."""
 
-    team: str | None = None
+    team: str | None = None  # None: all teams without a policy
     due_time: time = time(8)  # local time of a business day
-    cutoff_time: time | None = None  # what lands after it is due a business day later; None: the due time itself
-    # Weekdays that are no business days; Monday is 0.
+    cutoff_time: time | None = None  # lots that land later are due a business day later; None: the due time
+    # Weekdays that are not business days; Monday is 0.
     closed_weekdays: list[int] = msgspec.field(default_factory=lambda: [5, 6])
     risk_margin: timedelta = timedelta(minutes=20)  # with less slack than this a deadline is at risk
-    forecast_quantile: float = DEFAULT_FORECAST_QUANTILE  # of a class's measured durations
+    forecast_quantile: float = DEFAULT_FORECAST_QUANTILE  # quantile of a class's measured durations
 
 
 class DeadlineSettings(msgspec.Struct, rename={"policies": "promises", "max_night_reports": "nights"}):
-    """All policies, the calendar of holidays, and how many reports of past nights are kept."""
+    """All policies, the calendar of holidays, and the number of reports of past nights to keep."""
 
     policies: list[DeadlinePolicy] = msgspec.field(default_factory=list)
     calendar: Calendar = msgspec.field(default_factory=Calendar)
     max_night_reports: int = 30  # reports of past nights that are kept
 
     def policy_for(self, team: str) -> DeadlinePolicy | None:
-        """Return the policy of a team: its own, else that of every team; None: it has no deadlines."""
+        """Return the policy of a team, else the one for all teams; None: the team has no deadlines."""
         team_policy = next((p for p in self.policies if p.team == team), None)
         return team_policy or next((p for p in self.policies if p.team is None), None)
 
@@ -50,7 +50,7 @@
     """Add the policy of one `(promise (team "t") (by "08:00") (cut-off "05:30") (closed "saturday") (margin 1200))`.
 
     Raises:
-        SettingsError: the form is malformed, or its team has one already.
+        SettingsError: the form is malformed, or its team has a policy already.
     """
     policy = DeadlinePolicy()
     for entry in entries:
@@ -81,12 +81,12 @@
 def _parse_time(name: str, args: list[Any]) -> time:
     text = read_string(name, args)
     try:
-        at = time.fromisoformat(text)
+        local_time = time.fromisoformat(text)
     except ValueError:
         raise SettingsError(f"`{name}` in `promise`: `{text}` is not a time like 08:00") from None
-    if at.tzinfo is not None:
+    if local_time.tzinfo is not None:
         raise SettingsError(f"`{name}` in `promise` is local time and takes no offset")
-    return at
+    return local_time
 
 
 def _parse_weekday(arg: Any) -> int:
--- a/roseweir/delivery_deadlines/step_durations.py
+++ b/roseweir/delivery_deadlines/step_durations.py
@@ -1,13 +1,13 @@
-"""Measured durations of steps, by class of jobs. Pure."""
+"""Measured durations of steps, by job class. Pure."""
 
 from collections import deque
 from collections.abc import Mapping
 from typing import Any
 
-# The latest ends that are kept of each class, and those of them that are stored.
+# Number of latest durations of each class that are kept in memory, and that are stored.
 MAX_DURATION_SAMPLES = 64
 MAX_STORED_SAMPLES = 16
-# Assumed, in seconds, for a class of which nothing is measured.
+# Assumed for a class without measured durations.
 DEFAULT_STEP_DURATION_S = 60.0
 
 
@@ -22,19 +22,24 @@
         self.samples_by_class.setdefault(job_class, deque(maxlen=MAX_DURATION_SAMPLES)).append(round(seconds, 1))
 
     def quantile(self, job_class: str, fraction: float) -> float | None:
-        """Return the duration in seconds at a quantile (0 to 1), or None if nothing is measured of the class."""
+        """Return the duration in seconds at a quantile (0 to 1), or None if the class has no measured durations."""
         durations = sorted(self.samples_by_class.get(job_class, ()))
         return durations[min(len(durations) - 1, int(len(durations) * fraction))] if durations else None
 
     def encode(self) -> dict[str, list[float]]:
-        """Return the value to store: the latest samples of each class, in the classes' order."""
-        return {name: list(times)[-MAX_STORED_SAMPLES:] for name, times in sorted(self.samples_by_class.items())}
+        """Return the value to store: the latest durations of each class, sorted by class."""
+        return {
+            job_class: list(samples)[-MAX_STORED_SAMPLES:]
+            for job_class, samples in sorted(self.samples_by_class.items())
+        }
 
     def decode(self, value: Mapping[str, Any]) -> None:
-        """Read what `encode` wrote.
+        """Load a value that `encode` returned.
 
         Raises:
-            AttributeError, TypeError, ValueError: the value has not that form.
+            AttributeError, TypeError, ValueError: the value does not have that form.
         """
-        for name, times in value.items():
-            self.samples_by_class[str(name)] = deque((float(t) for t in times), maxlen=MAX_DURATION_SAMPLES)
+        for job_class, samples in value.items():
+            self.samples_by_class[str(job_class)] = deque(
+                (float(sample) for sample in samples), maxlen=MAX_DURATION_SAMPLES
+            )
