--- a/roseweir/delivery_deadlines/cli.py
+++ b/roseweir/delivery_deadlines/cli.py
@@ -40,17 +40,20 @@
         print_json(answer)
         return 0
     for row in answer["promises"]:
-        due = f"due in {row['due_in_s']} s" if row["due_in_s"] >= 0 else f"due {-row['due_in_s']} s ago"
-        lots = f"{row['lots_in_viewer']}/{row['lots']} lots there"
-        why = f"; {row['waits_for']}" if row["waits_for"] else ""
-        print(f"{row['chain']:24} {row['state']:24} {row['stage']:16} {due}, slack {row['slack_s']} s, {lots}{why}")
+        due_text = f"due in {row['due_in_s']} s" if row["due_in_s"] >= 0 else f"due {-row['due_in_s']} s ago"
+        lots_text = f"{row['lots_in_viewer']}/{row['lots']} lots there"
+        waiting_text = f"; {row['waits_for']}" if row["waits_for"] else ""
+        print(
+            f"{row['chain']:24} {row['state']:24} {row['stage']:16} "
+            f"{due_text}, slack {row['slack_s']} s, {lots_text}{waiting_text}"
+        )
     for night in answer["nights"]:
         if args.night in ("", night["night"]):
             delaying_steps = ", ".join(f"{n} by {step}" for step, n in night["late_by_step"].items())
-            worst = f", the worst by {night['worst_late_s']} s" if night["late"] else ""
+            worst_text = f", the worst by {night['worst_late_s']} s" if night["late"] else ""
             print(
                 f"night to {night['night']}: {night['promised']} lots promised, {night['kept']} kept, "
-                f"{night['late']} late{worst}{f' ({delaying_steps})' if delaying_steps else ''}, "
+                f"{night['late']} late{worst_text}{f' ({delaying_steps})' if delaying_steps else ''}, "
                 f"{night['superseded']} superseded"
             )
     return 0
--- a/roseweir/workflows/cli.py
+++ b/roseweir/workflows/cli.py
@@ -126,6 +126,6 @@
     if row["waits_for"]:
         print(f"  waits for              {row['waits_for']}")
     for step in row.get("detail", ()):
-        follows = f" after {', '.join(step['follows'])}" if step["follows"] else ""
-        tasks = f", {step['tasks_done']}/{step['tasks']} tasks" if step["tasks"] is not None else ""
-        print(f"  {step['job']:22} {step['class']}: {step['state']}{tasks}{follows}")
+        dependencies_text = f" after {', '.join(step['follows'])}" if step["follows"] else ""
+        tasks_text = f", {step['tasks_done']}/{step['tasks']} tasks" if step["tasks"] is not None else ""
+        print(f"  {step['job']:22} {step['class']}: {step['state']}{tasks_text}{dependencies_text}")
