--- a/roseweir/admin_client.py
+++ b/roseweir/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the controllers' admin API, for the command line: one command, repeated until a controller answers."""
+"""Client of the controllers' admin API for the command line: sends one command with retries."""
 
 import asyncio
 import sys
@@ -11,10 +11,10 @@
 from roseweir.sexp import SettingsError
 
 REQUEST_TIMEOUT = timedelta(seconds=6)
-# Commands carry a request ID and are idempotent, so that they can be repeated.
+# Commands carry a request ID and are idempotent, so that they can be retried.
 MAX_ATTEMPTS = 8
 RETRY_INTERVAL_S = 1.0
-# A controller may ask for a longer pause before the next attempt, up to this one.
+# A controller may ask for a longer delay before the next attempt, but gets no more than this.
 MAX_RETRY_AFTER_S = 30.0
 SUCCESS_STATUSES = (200, 201)
 REFUSED_STATUSES = (400, 404, 409, 422)
@@ -33,10 +33,10 @@
 
 
 def validate_address(address: str) -> str:
-    """The address as it is, if it reads HOST:PORT.
+    """Return the address unchanged if it has the form HOST:PORT.
 
     Raises:
-        SettingsError: It does not.
+        SettingsError: It has another form.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -47,7 +47,7 @@
 def post_command(
     controller_address: str, path: str, command: dict[str, Any], max_attempts: int = MAX_ATTEMPTS
 ) -> dict[str, Any]:
-    """Send a command to a controller, and repeat it while no answer comes or the controller is not ready.
+    """Send a command to a controller, and retry while the controller does not answer or is not ready.
 
     Returns:
         The controller's answer, decoded from JSON.
--- a/roseweir/calendars.py
+++ b/roseweir/calendars.py
@@ -13,7 +13,7 @@
 ):
     """A known event, in local time, with a multiple of the typical demand.
 
-    The demand seen during an event does not count for the typical weeks.
+    The demand during an event is left out when typical weeks are computed.
 
     Attributes:
         name: Shown to operators.
@@ -41,12 +41,12 @@
         """The time zone.
 
         Raises:
-            KeyError, ValueError, OSError: The machine's list of time zones has none of this name.
+            KeyError, ValueError, OSError: The machine's time zone database has no zone of this name.
         """
-        # A machine without a list of time zones still knows this one.
+        # UTC needs no time zone database, which a machine may lack.
         if self.time_zone == "UTC":
             return UTC
-        # Loaded only where it is used: controllers have little memory.
+        # Imported only when needed: controllers have little memory.
         from zoneinfo import ZoneInfo
 
         return ZoneInfo(self.time_zone)
@@ -74,7 +74,7 @@
             calendar.time_zone = read_string(name, args)
             try:
                 _ = calendar.zone
-            except (KeyError, ValueError, OSError):  # a name that is not found is a KeyError
+            except (KeyError, ValueError, OSError):  # ZoneInfo raises KeyError for an unknown name
                 raise SettingsError(f"unknown time zone `{calendar.time_zone}` in `calendar`") from None
         elif name == "holiday":
             calendar.holidays |= {_parse_holiday(read_string(name, [arg])) for arg in args}
@@ -88,7 +88,7 @@
 def _parse_holiday(text: str) -> tuple[int | None, int, int]:
     try:
         if len(text) == 5:
-            # A leap year, so that 02-29 passes.
+            # A leap year, so that 02-29 is valid.
             day = date.fromisoformat(f"2000-{text}")
             return None, day.month, day.day
         day = date.fromisoformat(text)
--- a/roseweir/cli.py
+++ b/roseweir/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `roseweir serve`, `check-config`, `status` and the operators' verbs of each package."""
+"""The command line: `roseweir serve`, `check-config`, `status` and the operators' commands of each package."""
 
 import argparse
 import asyncio
@@ -26,13 +26,13 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command line; the process's exit status: 0 success, 1 no answer, 2 a wrong setting, 130 interrupted."""
+    """Run the command line and return the exit status: 0 success, 1 no answer, 2 invalid settings, 130 interrupted."""
     args = _build_parser().parse_args(drain_cli.expand_start_shorthand(sys.argv[1:] if argv is None else argv))
     try:
         result: int = args.run(args)
         return result
-    except SettingsError as e:
-        print(f"roseweir: {e}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"roseweir: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 130
@@ -61,10 +61,10 @@
     add_config_arguments(check)
     check.set_defaults(run=_check_config)
 
-    def add_query_arguments(ask: argparse.ArgumentParser, what: str) -> None:
-        ask.add_argument("--at", required=True, metavar="HOST:PORT", help="a controller's own address (`back`)")
-        ask.add_argument("--json", action="store_true", help="print the answer as it came")
-        ask.set_defaults(run=_query_controller, what=what, job=None)
+    def add_query_arguments(command: argparse.ArgumentParser, query: str) -> None:
+        command.add_argument("--at", required=True, metavar="HOST:PORT", help="a controller's own address (`back`)")
+        command.add_argument("--json", action="store_true", help="print the answer as it came")
+        command.set_defaults(run=_query_controller, query=query, job=None)
 
     add_query_arguments(commands.add_parser("limits", help="show the startup limits in force"), "limits")
     status = commands.add_parser("status", help="show what a controller knows")
@@ -76,7 +76,7 @@
     drain_cli.add_commands(commands)
     workflow_cli.add_commands(commands)
     delivery_deadline_cli.add_commands(commands)
-    forecast_cli.add_commands(commands, lambda ask: add_query_arguments(ask, "forecast"))
+    forecast_cli.add_commands(commands, lambda command: add_query_arguments(command, "forecast"))
     return parser
 
 
@@ -95,13 +95,13 @@
     logging.basicConfig(
         stream=sys.stderr, level=LOG_LEVELS[log_level], format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
-    # Imported here alone: the other commands are quick to start.
+    # Imported only for this command, so that the others start quickly.
     from roseweir.service import serve
 
     try:
         serve(settings, operator_config)
-    except OSError as e:
-        print(f"roseweir: cannot serve: {e}", file=sys.stderr)
+    except OSError as error:
+        print(f"roseweir: cannot serve: {error}", file=sys.stderr)
         return 1
     return 0
 
@@ -128,13 +128,13 @@
     validate_address(args.at)
 
     async def fetch() -> Any:
-        path = f"/job/{args.job}" if args.job else f"/{args.what}"
+        path = f"/job/{args.job}" if args.job else f"/{args.query}"
         return (await Client(args.at, pool_size=0).request("GET", path, timeout=REQUEST_TIMEOUT)).json()
 
     try:
         answer = asyncio.run(fetch())
-    except Unreachable as e:
-        print(f"roseweir: no answer: {e}", file=sys.stderr)
+    except Unreachable as error:
+        print(f"roseweir: no answer: {error}", file=sys.stderr)
         return 1
     if "error" in answer and not args.json:
         print(f"roseweir: {answer['error']}; the leader is {answer['leader'] or 'not known'}", file=sys.stderr)
@@ -142,7 +142,7 @@
     if args.json:
         print_json(answer)
     else:
-        ANSWER_PRINTERS[args.what](answer)
+        ANSWER_PRINTERS[args.query](answer)
     return 0
 
 
@@ -188,7 +188,7 @@
     _print_table([columns, *(tuple(str(limit[c]) for c in columns) for limit in answer["limits"])])
 
 
-# By the query's name, how its answer is printed.
+# Functions that print the answer of each query, by query name.
 ANSWER_PRINTERS: dict[str, Callable[[dict[str, Any]], None]] = {
     "limits": _print_limits,
     "status": _print_status,
--- a/roseweir/clock.py
+++ b/roseweir/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic instants and wall-clock time, both as the standard library's types."""
+"""Monotonic and wall-clock time, both as `datetime` and `timedelta`."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,12 +8,12 @@
 ZERO = timedelta(0)
 NEVER = datetime(1970, 1, 1)
 FOREVER = datetime(9000, 1, 1)
-# A wait that took longer than it should by at least this shows that the process was paused meanwhile.
+# A wait that ends this much later than planned, or more, means that the process was paused meanwhile.
 PROCESS_PAUSE_THRESHOLD = timedelta(seconds=1.5)
 
 
 def monotonic_now() -> datetime:
-    """The running loop's monotonic clock, as a naive instant that means nothing outside this process."""
+    """The event loop's monotonic time, as a naive `datetime` that is comparable within this process only."""
     return MONOTONIC_ORIGIN + timedelta(seconds=asyncio.get_running_loop().time())
 
 
@@ -33,7 +33,7 @@
 
 
 async def wait_at_most(timeout: timedelta, awaitable: Awaitable[object]) -> None:
-    """Wait for an awaitable, which is cancelled after `timeout`; its result is dropped."""
+    """Wait for an awaitable, which is cancelled after `timeout`; its result is discarded."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             await awaitable
--- a/roseweir/notifier.py
+++ b/roseweir/notifier.py
@@ -1,7 +1,7 @@
-"""Notification of those who wait for a topic now; unlike an event, a notification does not stay set.
+"""Wakes the tasks that wait for a topic; unlike an `asyncio.Event`, a notification does not stay set.
 
-With one event for all, each commit of the log woke the pending responses of hundreds of idle machines for nothing.
-Hundreds of responses wait at any time, so a wait is one future and one timer.
+Each topic has its own waiters: with one event for all, each commit of the log woke the pending responses of hundreds
+of idle machines needlessly. Hundreds of responses wait at any time, so a wait costs only one future and one timer.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
         self._waiters: dict[str, set[asyncio.Future[None]]] = {}
 
     def notify(self, topics: Iterable[str]) -> None:
-        """Wake all that wait for one of the topics."""
+        """Wake all tasks that wait for one of the topics."""
         for topic in topics:
             for future in self._waiters.pop(topic, ()):
                 _resolve(future)
--- a/roseweir/operator_config.py
+++ b/roseweir/operator_config.py
@@ -1,4 +1,4 @@
-"""Operators' own settings (S-expressions), gathered from the packages that declare their forms."""
+"""Operators' own settings (S-expressions): each package parses its forms, this module combines them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,29 +29,29 @@
         "delivery_deadline": "promise",
     },
 ):
-    """All that operators set; what they leave out has its default."""
+    """All settings of the operators; a setting that is left out has its default."""
 
-    # Predictive scaling; None: off, and nothing of it is loaded.
+    # Predictive scaling; None: off, and its modules are not imported.
     predictive_scaling: "PredictiveScalingSettings | None" = None
-    # Where tasks with GPUs go, and whether replicas are moved for large ones.
+    # Placement of tasks with GPUs, and whether replicas are moved to make room for large tasks.
     rebalancing: RebalancingSettings = msgspec.field(default_factory=RebalancingSettings)
     # Workflows; None: amendments are accepted with the defaults.
     workflow: "WorkflowSettings | None" = None
-    # Delivery deadlines; None: there are none.
+    # Delivery deadlines; None: off.
     delivery_deadline: "DeadlineSettings | None" = None
-    # Disruption budgets and automatic replacement of machines; None: operators' drains alone, with the defaults.
+    # Disruption budgets and automatic replacement of machines; None: only operators' drains, with the defaults.
     drain: "DrainSettings | None" = None
 
 
 @dataclass
 class _ConfigBuilder:
-    """What the forms read so far have set."""
+    """The configuration and calendar set by the forms that have been read so far."""
 
     config: OperatorConfig
     calendar: "Calendar | None" = None
 
 
-# Parsers import their package only when its form is there: controllers have little memory.
+# A parser imports its package only when the file has its form: controllers have little memory.
 
 
 def _parse_startup_limits(builder: _ConfigBuilder, form_args: list[Any]) -> None:
@@ -101,7 +101,7 @@
     parse_deadline_policy(builder.config.delivery_deadline, form_args)
 
 
-# The forms by their names, in the order in which the error for an unknown name lists them.
+# Parsers by form name, in the order in which the error for an unknown form lists the names.
 FORM_PARSERS: dict[str, Callable[[_ConfigBuilder, list[Any]], None]] = {
     "startup-limits": _parse_startup_limits,
     "renting-ahead": _parse_predictive_scaling,
@@ -156,7 +156,7 @@
 
 
 def _apply_calendar(config: OperatorConfig, calendar: "Calendar") -> None:
-    """Hand the calendar to all features that use one, wherever its form stands in the file."""
+    """Set the calendar of all features that use one, independent of the order of the forms in the file."""
     if config.predictive_scaling is None and config.drain is None and config.delivery_deadline is None:
         raise SettingsError("`calendar` says nothing without `renting-ahead`, `disruption` or `promise`")
     for section in (config.predictive_scaling, config.drain, config.delivery_deadline):
--- a/roseweir/service.py
+++ b/roseweir/service.py
@@ -1,4 +1,4 @@
-"""The `serve` command: run one controller process until it is ended.
+"""The `serve` command: run one controller process until it is terminated.
 
 The deployment's build step imports this module, so that all of a controller's bytecode is compiled before its start.
 """
@@ -13,10 +13,10 @@
 
 
 def serve(settings: Settings, operator_config: OperatorConfig) -> None:
-    """Serve until the process is ended.
+    """Serve until the process is terminated.
 
     Raises:
-        OSError: a listening address can't be had.
+        OSError: A listening address cannot be bound.
     """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(ControllerProcess(settings, operator_config).run())
--- a/roseweir/settings.py
+++ b/roseweir/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings (JSON). What operators set themselves is in `roseweir.operator_config`."""
+"""The platform's settings (JSON). The operators' own settings are in `roseweir.operator_config`."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -59,7 +59,7 @@
     Attributes:
         objective_type: What is measured: `wait`, `finished`, `deadline` or `guarantee`.
         target_share: The share that has to meet the threshold, between 0 and 1.
-        job_class: The class of jobs that it holds for; None: not of one class.
+        job_class: The class of jobs that it applies to; None: it is not limited to one class.
         threshold_s: Bound in seconds, where the type has one.
         times: Bound of `deadline`, as a multiple.
     """
@@ -111,18 +111,18 @@
 
     @property
     def gang_peer_timeout(self) -> timedelta:
-        """The time within which the tasks of a running gang notice that one of them is gone."""
+        """The time within which the tasks of a running gang detect that one of them has ended."""
         return seconds(self.gang_peer_timeout_s)
 
     @property
     def cancel_timeout(self) -> timedelta:
-        """The time within which all tasks of a cancelled job have to be gone."""
+        """The time within which all tasks of a cancelled job must have ended."""
         return seconds(self.cancel_timeout_s)
 
 
-# A machine with 30 different jobs on it has to fit a value.
+# The record of a machine that runs 30 different jobs has to fit into one value.
 MIN_VALUE_KIB = 2
-# A job's end and the leader's election take two operations in one transaction, and a batch a delta beside them.
+# A job's end and a leader election take two operations in one transaction, and a batch adds a delta to these.
 MIN_TXN_OPS = 4
 ValueKib = Annotated[float, Meta(ge=MIN_VALUE_KIB)]
 TxnOps = Annotated[int, Meta(ge=MIN_TXN_OPS)]
@@ -137,7 +137,7 @@
         "max_txn_ops": "txn_ops",
     },
 ):
-    """Limits that the store will have from some later moment, without notice; None: as now."""
+    """Limits that the store will have from some later time on, without further notice; None: unchanged."""
 
     max_requests_per_s: Positive | None = None
     max_writes_per_s: Positive | None = None
@@ -157,7 +157,7 @@
 ):
     """Limits of the store: requests and writes a second, KiB of a value, operations of a transaction.
 
-    Once read, each is the lower of the limit in force and the announced one: what is written always fits both.
+    After loading, each is the lower of the current and the announced limit, so that every write satisfies both.
     """
 
     max_requests_per_s: Positive
@@ -190,12 +190,12 @@
 
     @property
     def listing_lag(self) -> timedelta:
-        """How old the cloud's listing of machines typically is at most; at times it is twice as old."""
+        """The typical maximum age of the cloud's listing of machines; at times it is twice as old."""
         return seconds(self.listing_lag_s)
 
 
 class ProcessLimits(msgspec.Struct, rename={"cpus": "cpu", "memory_mb": "ram_mb", "max_sockets": "sockets"}):
-    """What one controller process may use: CPUs, memory in MB, open sockets."""
+    """Resource limits of one controller process: CPUs, memory in MB, open sockets."""
 
     cpus: Positive = 1.0
     memory_mb: Positive = 256.0
@@ -205,7 +205,7 @@
 class ClusterParameters(
     msgspec.Struct, rename={"kv_store": "state", "process_limits": "limits", "max_clock_skew_ms": "skew_ms"}
 ):
-    """What the platform sets for the whole cluster."""
+    """The platform's settings for the whole cluster."""
 
     zones: list[str]
     teams: list[Team]
@@ -227,7 +227,7 @@
         "peers": "known",
     },
 ):
-    """What the platform sets for one controller: its name, zone and addresses, and the cluster that it belongs to."""
+    """The platform's settings for one controller: its name, zone and addresses, and those of its cluster."""
 
     name: str
     zone: str
@@ -246,16 +246,16 @@
     """
     try:
         raw = path.read_bytes()
-    except OSError as e:
-        raise SettingsError(f"{path}: {e.strerror or e}") from e
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror or error}") from error
     try:
         value = orjson.loads(raw)
-    except orjson.JSONDecodeError as e:
-        raise SettingsError(f"{path}: not JSON: {e}") from e
+    except orjson.JSONDecodeError as error:
+        raise SettingsError(f"{path}: not JSON: {error}") from error
     try:
         settings = msgspec.convert(value, Settings)
-    except msgspec.ValidationError as e:
-        raise SettingsError(f"{path}: {e}") from e
+    except msgspec.ValidationError as error:
+        raise SettingsError(f"{path}: {error}") from error
     for field, address in (("public_addr", settings.public_address), ("back", settings.peer_address)):
         if int(address.rpartition(":")[2]) > MAX_PORT:
             raise SettingsError(f"{path}: port out of range - at `$.{field}`")
--- a/roseweir/sexp.py
+++ b/roseweir/sexp.py
@@ -1,6 +1,6 @@
-"""S-expressions that operators write: what a form looks like, and how its parts are read.
+"""Parsing helpers for the operators' S-expressions: they split a form and validate its values.
 
-Each package declares its own forms with these; `roseweir.operator_config` gathers them.
+Each package parses its own forms with them; `roseweir.operator_config` combines the packages' parsers.
 """
 
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class SettingsError(Exception):
-    """Settings or arguments are not valid; the message is one line for the operator that says what is wrong."""
+    """Settings or arguments are not valid; the message is one line that tells the operator the fault."""
 
 
 def read_form(value: Any) -> tuple[str, list[Any]]:
--- a/run.py
+++ b/run.py
@@ -1,7 +1,7 @@
 """Start roseweir from a checkout: `python3 run.py serve --config FILE`.
 
-The build puts pinned libraries under target/deps and bytecode under
-target/pycache, since a controller can write nothing itself.
+The build installs the pinned libraries in target/deps and the bytecode in
+target/pycache, because a running controller cannot write files.
 """
 
 import sys
