--- a/roseweir/service_levels/accounting.py
+++ b/roseweir/service_levels/accounting.py
@@ -1,11 +1,11 @@
 """The leader's account of service levels, by team and class of jobs. Pure: no I/O, no clock.
 
-Live jobs are counted from the cluster state, ended jobs from a tally. An end is counted when the watch on live jobs
-reports it, and never before: so the tally holds exactly the ends up to the watch's revision, and that revision is
-stored with it. The next leader reads the tally and the ends since that revision, and so has all of them: none lost,
-none counted twice. It cannot know whether a job that was cancelled meanwhile had started. The outcome of a job is the
-one on durable record: a job that is complete here may have been cancelled before its end was recorded, so an end that
-the watch reports first is looked up in the store.
+Live jobs are counted from the cluster state, ended jobs in stored counters. An end is counted only when the watch on
+live jobs reports it, so the counters hold exactly the ends up to the watch's revision, which is stored with them. The
+next leader reads the counters and the ends since that revision, so that no end is lost or counted twice; whether a job
+that was cancelled in between had started is not recorded. The outcome of a job is always the durable one: a job that is
+complete in the cluster state may have been cancelled before its end was recorded, so an end that the watch reports
+first is looked up in the store.
 """
 
 from collections.abc import Iterable, Mapping
@@ -37,13 +37,13 @@
 
     team_and_class: TeamAndClass
     is_started: bool = False
-    outcome: str = ""  # done or cancelled, once known
+    outcome: str = ""  # done or cancelled; empty: not known yet
     size_bucket: int | None = None  # bucket of its size; None: it ended before this leader's term
     accepted_ms: int = 0
-    wait_s: float = 0.0  # seconds from its acceptance until it started, or so far
+    wait_s: float = 0.0  # seconds from its acceptance until its start, or until now
     is_inherited: bool = False  # from an earlier leader
-    is_held: bool = False  # it waits for its dependencies, or cannot be decoded: it could not be served
-    has_known_start: bool = True  # its start time is known
+    is_held: bool = False  # waits for its dependencies or cannot be decoded, so it cannot start
+    is_start_time_known: bool = True
 
 
 @dataclass
@@ -53,18 +53,18 @@
     ended_counts: dict[TeamAndClass, EndedJobCounts] = field(default_factory=dict)
     live_jobs: dict[str, _LiveJob] = field(default_factory=dict)
     has_unsaved_changes: bool = False
-    # Times that ends were lost: the stored account was older than the store's history, or could not be decoded.
+    # How often ends were lost because the stored account was older than the store's history or could not be decoded.
     gap_count: int = 0
     # Ended jobs whose outcome is not known yet.
     jobs_with_unknown_outcome: dict[str, _LiveJob] = field(default_factory=dict)
     # Ended jobs by class and size; `largest_job_counts` adds the live ones.
     counts_by_size: dict[ClassAndBucket, SizeCounts] = field(default_factory=dict)
-    # Ends known from the completed-job records alone, or from the watch alone: see `apply_missed_ends`.
+    # Ends that only the completed-job records have shown, or only the watch: see `apply_missed_ends`.
     _ends_awaiting_watch: dict[str, CompletedJob] = field(default_factory=dict)
     _watched_ends_of_unknown_jobs: set[str] = field(default_factory=set)
 
     def counts_for(self, row: TeamAndClass) -> EndedJobCounts:
-        """Return the row of a team and class in order to change it: the account has unsaved changes from here on."""
+        """Return the row of a team and class for modification; marks the account as having unsaved changes."""
         self.has_unsaved_changes = True
         return self.ended_counts.setdefault(row, EndedJobCounts())
 
@@ -80,7 +80,7 @@
             )
 
     def record_outcome(self, job_id: str, outcome: str) -> None:
-        """Note the durable outcome (`done` or `cancelled`) of a job; its end is counted when the watch reports it."""
+        """Record the durable outcome (`done` or `cancelled`) of a job; its end is counted when the watch reports it."""
         if job_id in self.jobs_with_unknown_outcome:
             self._count_end(self.jobs_with_unknown_outcome.pop(job_id), outcome)
         elif job_id in self.live_jobs:
@@ -103,8 +103,8 @@
     def apply_missed_ends(self, ends: Iterable[tuple[str, CompletedJob, int]], revision: int) -> None:
         """Count ends since the account was stored, of jobs that are not live any more.
 
-        An end after `revision` is reported by the watch on live jobs as well: as the end of a job that this account
-        counts as live, or of one that ended between that revision and the read of its page, which only this read has.
+        An end after `revision` is also reported by the watch on live jobs. Its job either is live in this account, or
+        ended after that revision and before its page of live jobs was read; only `ends` holds the record of the latter.
 
         Args:
             ends: id, record and store revision of each completed job.
@@ -127,16 +127,16 @@
             counts.cancelled += 1
             counts.cancelled_after_start += job.is_started
         if job.size_bucket is not None and not job.is_held:
-            size = self.counts_by_size.setdefault((job.team_and_class[1], job.size_bucket), SizeCounts())
-            size.accepted += 1
-            size.done += outcome == "done"
-            size.cancelled += outcome != "done"
+            size_counts = self.counts_by_size.setdefault((job.team_and_class[1], job.size_bucket), SizeCounts())
+            size_counts.accepted += 1
+            size_counts.done += outcome == "done"
+            size_counts.cancelled += outcome != "done"
             if job.is_started or outcome == "done":
-                size.begun += 1
-                if job.has_known_start:
-                    size.in_time += job.wait_s <= MAX_START_DELAY_S
-                    size.late += job.wait_s > MAX_START_DELAY_S
-                    size.longest_s = max(size.longest_s, round(job.wait_s))
+                size_counts.begun += 1
+                if job.is_start_time_known:
+                    size_counts.in_time += job.wait_s <= MAX_START_DELAY_S
+                    size_counts.late += job.wait_s > MAX_START_DELAY_S
+                    size_counts.longest_s = max(size_counts.longest_s, round(job.wait_s))
 
     def add_rejected_requests(self, counts: Mapping[TeamAndClass, int]) -> None:
         """Add newly rejected requests; counts of 0 or below are ignored."""
@@ -145,13 +145,13 @@
                 self.counts_for(row).rejected_requests += count
 
     def update_started(self, runs: Mapping[str, JobRun], now_ms: int, is_settled: bool = True) -> None:
-        """Note which live jobs have started: of an array one task, of a gang or service all tasks at once.
+        """Mark the live jobs that have started: of an array one task runs, of a gang or service all tasks at once.
 
         Args:
             runs: the cluster state's jobs by id.
             now_ms: the time of day, in milliseconds.
-            is_settled: machines have had time to send heartbeats to this leader. Before that, a running job may have
-                started long ago, so its start time counts as unknown.
+            is_settled: whether machines have had time to send heartbeats to this leader. Before that, a running job
+                may have started long ago, so its start time counts as unknown.
         """
         for job_id, job in self.live_jobs.items():
             run = runs.get(job_id)
@@ -162,22 +162,22 @@
                 job.wait_s = max(0.0, (now_ms - job.accepted_ms) / 1000)
                 job.is_started = run is not None and has_started(run)
                 if job.is_started and job.is_inherited and not is_settled and job.wait_s > MAX_START_DELAY_S:
-                    job.has_known_start = False
+                    job.is_start_time_known = False
 
     def largest_job_counts(self) -> dict[str, SizeCounts]:
         """Return for each class the counts of its largest jobs, waiting ones included."""
         rows: dict[ClassAndBucket, SizeCounts] = {}
-        for key, size in self.counts_by_size.items():
-            rows.setdefault(key, SizeCounts()).add(size)
+        for key, size_counts in self.counts_by_size.items():
+            rows.setdefault(key, SizeCounts()).add(size_counts)
         for job in (self.live_jobs | self.jobs_with_unknown_outcome).values():
             if job.size_bucket is None or job.is_held:
                 continue
             row = rows.setdefault((job.team_and_class[1], job.size_bucket), SizeCounts())
-            if not job.has_known_start:
+            if not job.is_start_time_known:
                 row.add(SizeCounts(accepted=1, begun=int(job.is_started)))
                 continue
             overdue = job.wait_s > MAX_START_DELAY_S
-            # A job that waits and may still start in time counts as neither.
+            # A waiting job that may still start in time counts neither as in time nor as late.
             in_time = job.is_started and not overdue
             row.add(
                 SizeCounts(
@@ -223,15 +223,18 @@
     def encode(self, revision: int, max_bytes: int) -> dict[str, Any]:
         """Return the value to store, of at most `max_bytes` as JSON: the smallest rows are merged until it fits.
 
-        `revision`: up to which the watch on live jobs has reported.
+        `revision`: the store revision up to which the watch on live jobs has reported.
         """
-        sizes = encode_counts(self.counts_by_size, max_bytes // 3)
+        size_rows = encode_counts(self.counts_by_size, max_bytes // 3)
         rows = sorted(self.ended_counts.items(), key=lambda item: (item[1].done + item[1].cancelled, item[0]))
         overflow = EndedJobCounts()
         while True:
-            kept = [[*row, t.done, t.cancelled, t.cancelled_after_start, t.rejected_requests] for row, t in rows]
+            encoded_rows = [
+                [*row, counts.done, counts.cancelled, counts.cancelled_after_start, counts.rejected_requests]
+                for row, counts in rows
+            ]
             if overflow != EndedJobCounts():
-                kept.append(
+                encoded_rows.append(
                     [
                         OTHER_ROW,
                         OTHER_ROW,
@@ -241,7 +244,7 @@
                         overflow.rejected_requests,
                     ]
                 )
-            value = {"through": revision, "gaps": self.gap_count, "rows": kept, "sizes": sizes}
+            value = {"through": revision, "gaps": self.gap_count, "rows": encoded_rows, "sizes": size_rows}
             if not rows or len(orjson.dumps(value)) <= max_bytes:
                 return value
             overflow.add(rows.pop(0)[1])
@@ -250,12 +253,12 @@
         """Add a stored account to this one, and return the store revision up to which it holds the ends.
 
         Raises:
-            AccountUnreadable: the value has not the form that `encode` gives it.
+            AccountUnreadable: the value does not have the form that `encode` writes.
         """
         try:
             return self._add_stored(value)
-        except (KeyError, TypeError, ValueError) as e:
-            raise AccountUnreadable(e) from e
+        except (KeyError, TypeError, ValueError) as error:
+            raise AccountUnreadable(error) from error
 
     def _add_stored(self, value: Any) -> int:
         self.gap_count = int(value["gaps"])
@@ -263,8 +266,8 @@
             self.ended_counts.setdefault((str(team), str(job_class)), EndedJobCounts()).add(
                 EndedJobCounts(*map(int, counts))
             )
-        for key, size in decode_counts(value.get("sizes", ())).items():
-            self.counts_by_size.setdefault(key, SizeCounts()).add(size)
+        for key, size_counts in decode_counts(value.get("sizes", ())).items():
+            self.counts_by_size.setdefault(key, SizeCounts()).add(size_counts)
         return int(value["through"])
 
 
@@ -274,14 +277,14 @@
         (end.team, end.job_class),
         end.state == "done",
         size_bucket=size_bucket(end.total_resource_units) if end.total_resource_units else None,
-        has_known_start=False,
+        is_start_time_known=False,
     )
 
 
 def has_started(run: JobRun) -> bool:
     """Return whether a job has started, as far as the cluster state shows.
 
-    Of an array one running task is enough; of a gang or service all tasks have to run at once.
+    One running task of an array is enough; of a gang or service all tasks have to run at once.
     """
     if run.completed_count > 0:
         return True
--- a/roseweir/service_levels/controller.py
+++ b/roseweir/service_levels/controller.py
@@ -1,4 +1,4 @@
-"""The leader's service level account: restored at failover, saved, fed with other nodes' rejected requests, logged."""
+"""Runs the leader's service level account: restores it at failover, adds rejected requests, saves and logs it."""
 
 import asyncio
 import logging
@@ -32,11 +32,11 @@
 log = logging.getLogger(__name__)
 
 ACCOUNT_KEY = "served/account"
-# The part of the largest value that the stored account may take.
+# The fraction of the store's maximum value size that the stored account may use.
 MAX_VALUE_FILL = 0.9
-# The most that it takes where the store allows larger values.
+# Upper bound for the stored account where the store allows larger values.
 MAX_VALUE_BYTES = 8 * 1024
-# The key-value store keeps its last 10,000 changes: the account is written again long before it is that old.
+# The key-value store keeps its last 10,000 changes: the account is saved again long before it is that old.
 MAX_RECORD_AGE_REVISIONS = 2000
 EVALUATION_INTERVAL = timedelta(seconds=1)
 SAVE_INTERVAL = timedelta(seconds=10)
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a new leader reads: the stored account, and the ends since (None: the store does not keep them any more)."""
+    """The stored account, and the ends since it was saved (None: the store no longer has them)."""
 
     record: Entry | None
     ends: list[WatchEvent] | None
 
 
-# Asks all nodes for their rejected requests, by node name.
+# Fetches the rejected requests of all nodes, by node name.
 GatherRejectedRequests = Callable[[], Awaitable[dict[str, RejectedRequests]]]
 
 
@@ -74,7 +74,7 @@
         self._step_down = step_down
         self._gather_rejected_requests = gather_rejected
         self._record_version = 0
-        self._seen_rejected_requests: dict[tuple[str, str], dict[TeamAndClass, int]] = {}
+        self._last_rejected_requests: dict[tuple[str, str], dict[TeamAndClass, int]] = {}
         self._started_at = monotonic_now()
         self._saved_revision = 0
         self.watched_revision = 0  # store revision up to which the watch on live jobs has reported
@@ -96,37 +96,37 @@
             try:
                 self._restore(await self._read_record(), first_revision)
                 return
-            except (StoreError, Unreachable) as e:
-                log.debug("service level account not read: error=%s", e)
+            except (StoreError, Unreachable) as error:
+                log.debug("service level account not read: error=%s", error)
             await sleep(EVALUATION_INTERVAL)
 
     async def _read_record(self) -> "LoadResult":
         """Read the stored account, and the ends since it was stored."""
         entry = await self.kv_store.get(ACCOUNT_KEY)
-        # Without one, none was stored yet: the store's history has all ends, or the deployment is older than it.
+        # Without a stored account all ends are read from the store's history, unless it does not reach back that far.
         through = 0 if entry is None else int(entry.value.get("through", 0))
         changes = await self.kv_store.watch(COMPLETED_JOB_PREFIX, through, ZERO)
         return LoadResult(entry, None if changes is None else changes[0])
 
     def _restore(self, loaded: "LoadResult", revision: int) -> None:
-        """Add what was read to the account; `revision`: from which the watch on live jobs continued."""
+        """Add the loaded account and ends; the watch on live jobs continued from `revision`."""
         if loaded.record is not None:
             self._record_version = loaded.record.version
-        ends = [item for item in loaded.ends or () if item.value is not None]
+        end_events = [event for event in loaded.ends or () if event.value is not None]
         try:
             if loaded.record is not None:
                 self.account.decode(loaded.record.value)
             ended_jobs = [
-                (item.key.removeprefix(COMPLETED_JOB_PREFIX), decode_completed_job(item.value), item.version)
-                for item in ends
+                (event.key.removeprefix(COMPLETED_JOB_PREFIX), decode_completed_job(event.value), event.version)
+                for event in end_events
             ]
             self.account.apply_missed_ends(ended_jobs, revision)
-        except (ServiceLevelError, msgspec.ValidationError, KeyError, TypeError, ValueError) as e:
-            # Only reports to operators depend on the account: the leader continues without it.
-            log.warning("service level account unreadable, starting an empty one: error=%r", e)
+        except (ServiceLevelError, msgspec.ValidationError, KeyError, TypeError, ValueError) as error:
+            # Only reports to operators depend on the account, so the leader continues without it.
+            log.warning("service level account unreadable, starting an empty one: error=%r", error)
             self.account.gap_count += 1
         if loaded.ends is None:
-            log.warning("service level account incomplete: ends since it was last written are not kept any more")
+            log.warning("service level account incomplete: the store no longer has the ends since the last save")
             self.account.gap_count += 1
 
     # -- the term -----------------------------------------------------------------------------
@@ -168,11 +168,13 @@
     async def _count_rejected_requests(self) -> None:
         for node, rejected in (await self._gather_rejected_requests()).items():
             counts = rejected.counts_by_team_and_class()
-            previous = self._seen_rejected_requests.get((node, rejected.instance_id))
+            previous = self._last_rejected_requests.get((node, rejected.instance_id))
             if previous is None and rejected.uptime_s > (monotonic_now() - self._started_at).total_seconds():
-                previous = counts  # an earlier leader has counted these
-            self._seen_rejected_requests[node, rejected.instance_id] = counts
-            self.account.add_rejected_requests({row: n - (previous or {}).get(row, 0) for row, n in counts.items()})
+                previous = counts  # already counted by an earlier leader
+            self._last_rejected_requests[node, rejected.instance_id] = counts
+            self.account.add_rejected_requests(
+                {row: count - (previous or {}).get(row, 0) for row, count in counts.items()}
+            )
 
     async def _save(self) -> None:
         self.account.has_unsaved_changes = False
@@ -185,15 +187,15 @@
             guards = [(LEADER_KEY, self._leader_version), (ACCOUNT_KEY, self._record_version)]
             self._record_version = await self.kv_store.compare_and_swap(guards, [put(ACCOUNT_KEY, value)])
             return
-        except CompareFailed as e:
-            if LEADER_KEY in e.failed_keys:
+        except CompareFailed as error:
+            if LEADER_KEY in error.failed_keys:
                 self._step_down("the leader's key has changed")
                 return
-        except (StoreError, Unreachable) as e:
-            log.debug("service level account not written: error=%s", e)
+        except (StoreError, Unreachable) as error:
+            log.debug("service level account not written: error=%s", error)
         self.account.has_unsaved_changes = True
         try:
-            # Only this leader's own write, whose answer was lost, can be there.
+            # A newer stored value can only be this leader's own write whose response was lost.
             entry = await self.kv_store.get(ACCOUNT_KEY)
             self._record_version = 0 if entry is None else entry.version
         except (StoreError, Unreachable):
@@ -215,14 +217,14 @@
         )
 
     def summary(self) -> dict[str, Any]:
-        """Return the part of `status`: a line for each class, and the teams of which less than half is served."""
+        """Return this part of `status`: a line for each class, and the teams of which less than half is served."""
         levels = self.account.service_levels(self.cluster_state.jobs)
         classes = [format_service_level(name, level) for name, level in sum_by_class(levels).items()]
-        classes += [format_largest(name, size) for name, size in self.account.largest_job_counts().items()]
+        classes += [format_largest(name, counts) for name, counts in self.account.largest_job_counts().items()]
         return {
             "served": classes,
             "teams_under_half": [
-                n for n, level in sum_by_team(levels).items() if level.served_fraction < MIN_SERVED_FRACTION
+                team for team, level in sum_by_team(levels).items() if level.served_fraction < MIN_SERVED_FRACTION
             ],
         }
 
@@ -231,8 +233,8 @@
         levels = self.account.service_levels(self.cluster_state.jobs)
         for name, level in sum_by_class(levels).items():
             log.info("service level: class %s", format_service_level(name, level))
-        for name, size in self.account.largest_job_counts().items():
-            log.info("service level: class %s", format_largest(name, size))
+        for name, counts in self.account.largest_job_counts().items():
+            log.info("service level: class %s", format_largest(name, counts))
         for name, level in sum_by_team(levels).items():
             if level.served_fraction < MIN_SERVED_FRACTION:
                 log.info("service level: team %s", format_service_level(name, level))
@@ -241,17 +243,17 @@
 async def gather_rejected_requests(
     requests_by_node: dict[str, Callable[[], Awaitable[Any]]],
 ) -> dict[str, RejectedRequests]:
-    """Ask every node for its rejected requests.
+    """Fetch the rejected requests of every node.
 
-    Returns the answers by node name; a node that does not answer is left out, and asked again the next time.
+    Returns the answers by node name; a node that does not answer is left out until the next call.
     """
     responses: dict[str, RejectedRequests] = {}
 
-    async def ask(name: str, each: Callable[[], Awaitable[Any]]) -> None:
+    async def fetch(name: str, request: Callable[[], Awaitable[Any]]) -> None:
         try:
-            responses[name] = msgspec.convert(await each(), RejectedRequests)
-        except (Unreachable, msgspec.ValidationError) as e:
-            log.debug("rejected requests unknown: node=%s error=%s", name, e)
+            responses[name] = msgspec.convert(await request(), RejectedRequests)
+        except (Unreachable, msgspec.ValidationError) as error:
+            log.debug("rejected requests not fetched: node=%s error=%s", name, error)
 
-    await asyncio.gather(*(ask(name, request) for name, request in requests_by_node.items()))
+    await asyncio.gather(*(fetch(name, request) for name, request in requests_by_node.items()))
     return responses
--- a/roseweir/service_levels/errors.py
+++ b/roseweir/service_levels/errors.py
@@ -6,10 +6,10 @@
 
 
 class AccountUnreadable(ServiceLevelError):
-    """The stored account has not the form that this version writes.
+    """The stored account does not have the form that this version writes.
 
     Attributes:
-        cause: the error met while decoding.
+        cause: the error that occurred while decoding.
     """
 
     def __init__(self, cause: Exception) -> None:
--- a/roseweir/service_levels/messages.py
+++ b/roseweir/service_levels/messages.py
@@ -22,16 +22,16 @@
         return {(team, job_class): count for team, job_class, count in self.rows}
 
 
-def encode_rejected_requests(instance: str, up_s: float, counts: Mapping[TeamAndClass, int]) -> dict[str, Any]:
-    """Return `RejectedRequests` as JSON; `instance` names the process, `up_s` is its age in seconds."""
+def encode_rejected_requests(instance_id: str, uptime_s: float, counts: Mapping[TeamAndClass, int]) -> dict[str, Any]:
+    """Return `RejectedRequests` as JSON; `instance_id` identifies the process, `uptime_s` is its age in seconds."""
     rows = [(team, job_class, count) for (team, job_class), count in sorted(counts.items())]
-    return {"instance": instance, "up_s": up_s, "rows": rows}
+    return {"instance": instance_id, "up_s": uptime_s, "rows": rows}
 
 
 def service_level_view(
-    levels: Mapping[TeamAndClass, ServiceLevel], gap_count: int, sizes: Mapping[str, SizeCounts]
+    levels: Mapping[TeamAndClass, ServiceLevel], gap_count: int, largest_jobs: Mapping[str, SizeCounts]
 ) -> dict[str, Any]:
-    """Return the answer to `served`: service levels by team, by class and by both, the largest jobs, and the gaps.
+    """Return the answer to `served`: service levels by team, by class and by both, largest jobs and gaps.
 
     Its shape: {"teams": {name: level}, "classes": {name: level}, "rows": [level], "largest": {class: counts},
     "gaps": number of times that ends were lost}.
@@ -40,7 +40,7 @@
         "teams": {name: _level_view(level) for name, level in sum_by_team(levels).items()},
         "classes": {name: _level_view(level) for name, level in sum_by_class(levels).items()},
         "rows": [{"team": row[0], "class": row[1]} | _level_view(level) for row, level in sorted(levels.items())],
-        "largest": {name: asdict(size) for name, size in sizes.items()},
+        "largest": {job_class: asdict(counts) for job_class, counts in largest_jobs.items()},
         "gaps": gap_count,
     }
 
--- a/roseweir/service_levels/service_level.py
+++ b/roseweir/service_levels/service_level.py
@@ -1,4 +1,4 @@
-"""The service level of one team or one class of jobs: counts of its jobs, and the part of them that is served. Pure."""
+"""The service level of one team or one class of jobs: its job counts, and the fraction that is served. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, fields
@@ -15,18 +15,18 @@
 
     done: int = 0
     cancelled: int = 0
-    cancelled_after_start: int = 0  # of those cancelled
+    cancelled_after_start: int = 0  # part of `cancelled`
     rejected_requests: int = 0
 
     def add(self, other: "EndedJobCounts") -> None:
         """Add the counts of another row to this one."""
-        for each in fields(self):
-            setattr(self, each.name, getattr(self, each.name) + getattr(other, each.name))
+        for counter in fields(self):
+            setattr(self, counter.name, getattr(self, counter.name) + getattr(other, counter.name))
 
 
 @dataclass(slots=True)
 class ServiceLevel:
-    """Service level of a team or class. Numbers of jobs, unless the name says tasks, replicas or requests."""
+    """Service level of a team or class. The counts are of jobs, unless a field's name or comment says otherwise."""
 
     accepted: int = 0
     started: int = 0
@@ -43,32 +43,32 @@
 
     def add(self, other: "ServiceLevel") -> None:
         """Add the counts of another row to this one."""
-        for each in fields(self):
-            setattr(self, each.name, getattr(self, each.name) + getattr(other, each.name))
+        for counter in fields(self):
+            setattr(self, counter.name, getattr(self, counter.name) + getattr(other, counter.name))
 
     @property
     def served_fraction(self) -> float:
-        """Return the least of the fractions (0 to 1) of requests not rejected, jobs started and replicas up.
+        """Return the lowest of the fractions (0 to 1) of requests not rejected, jobs started and replicas up.
 
-        Jobs in progress count as started, whether or not they will be done.
+        Jobs in progress count as started, whether or not they will complete.
         """
-        shares = [1.0]
+        fractions = [1.0]
         if self.accepted + self.turned_away:
-            shares.append(self.accepted / (self.accepted + self.turned_away))
+            fractions.append(self.accepted / (self.accepted + self.turned_away))
         if self.accepted - self.cancelled > 0:
-            shares.append(min(1.0, self.started / (self.accepted - self.cancelled)))
+            fractions.append(min(1.0, self.started / (self.accepted - self.cancelled)))
         if self.replicas:
-            shares.append(self.replicas_up / self.replicas)
-        return min(shares)
+            fractions.append(self.replicas_up / self.replicas)
+        return min(fractions)
 
 
 def sum_by_team(levels: Mapping[TeamAndClass, ServiceLevel]) -> dict[str, ServiceLevel]:
-    """Return the service level of each team, all its classes added up, in the teams' order."""
+    """Return the service level of each team, summed over its classes, sorted by team."""
     return _sum_by_name({row: row[0] for row in levels}, levels)
 
 
 def sum_by_class(levels: Mapping[TeamAndClass, ServiceLevel]) -> dict[str, ServiceLevel]:
-    """Return the service level of each class, all teams added up, in the classes' order."""
+    """Return the service level of each class, summed over all teams, sorted by class."""
     return _sum_by_name({row: row[1] for row in levels}, levels)
 
 
