--- a/roseweir/rebalancing/__init__.py
+++ b/roseweir/rebalancing/__init__.py
@@ -1,1 +1,1 @@
-"""GPUs left over in pieces: where tasks go so that large ones fit, and which replicas move where they do not."""
+"""GPU fragmentation: placement that keeps room for large tasks, and moves of replicas that make room for them."""
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -1,9 +1,9 @@
-"""The leader's side of moving replicas: beside the drains' steps, within their one budget, in their record.
+"""The leader's moves of replicas: planned and evicted together with drains, within the same disruption budget.
 
-A plan is an intention in the record (`drain/moves`), written in the same transaction as the ledger's entries for whom
-it stops, before anybody is. A new leader reads it with the drains, holds the places that it names and goes on with what
-is still as it says, or lets it go: a move whose replica has left its machine is over, whoever stopped it. So nothing is
-moved twice, and no room is kept for longer than `PLAN_LIFETIME`.
+Plans are stored (`drain/moves`) in the same transaction as the disruption account's entries for the replicas to evict,
+before any of these is stopped. A new leader restores the plans with the drains, reserves the machines that they name,
+and continues those that still apply or discards them: a move is over once its replica has left its machine, whatever
+stopped it. So no replica is moved twice, and no machine is reserved for longer than `PLAN_LIFETIME`.
 """
 
 import logging
@@ -38,9 +38,9 @@
 
 log = logging.getLogger(__name__)
 
-# Plans at once, and moves that are remembered.
+# Maximum number of concurrent plans, and of moved replicas that are remembered.
 MAX_PLANS, MAX_MOVED_REPLICAS = 2, 40
-# Jobs that are looked at in one step: each looks at the whole fleet.
+# Jobs that are evaluated in one step: each evaluation searches all machines.
 MAX_EVALUATED_JOBS = 3
 LOG_INTERVAL = timedelta(seconds=60)
 
@@ -51,16 +51,16 @@
         self.cluster_state = cluster_state
         self.scorer = scorer
         self.plans: list[MovePlan] = []
-        self.moved_at_ms: dict[str, int] = {}  # replica: when, by the wall clock
-        self.move_count = 0  # under this leader
+        self.moved_at_ms: dict[str, int] = {}  # time of the last move by replica, wall clock
+        self.move_count = 0  # in this leader's term
         self.wait_reason = ""
         self.fragmentation_reports: list[FragmentationReport] = []
         self._logged_at = NEVER
 
-    # -- the record ---------------------------------------------------------------------------
+    # -- stored state -------------------------------------------------------------------------
 
     def restore(self, stored: Any) -> None:
-        """What earlier leaders meant to do. KeyError, TypeError or ValueError if it can't be read."""
+        """Restore the plans of earlier leaders. KeyError, TypeError or ValueError if they cannot be decoded."""
         self.plans = [MovePlan.decode(plan) for plan in stored.get("plans", ())]
         self.moved_at_ms = {str(name): int(at) for name, at in stored.get("moved", {}).items()}
         self._update_reservations()
@@ -82,7 +82,7 @@
         now: datetime,
         wall_ms: int,
     ) -> dict[str, Any]:
-        """Add who is to stop to the decision, each with its place in the account; what is to be recorded with it."""
+        """Add evictions to the decision, within the disruption budget; return the state to store with the decision."""
         cluster_state = self.cluster_state
         machines = schedulable_machines(cluster_state, now)
         if cluster_state.active_placement_policy is None:
@@ -107,7 +107,7 @@
         if now - self._logged_at >= LOG_INTERVAL and any(report.waiting_tasks for report in self.fragmentation_reports):
             self._logged_at = now
             for report in self.fragmentation_reports:
-                log.info("pieces: %s", format_report(report))
+                log.info("fragmentation: %s", format_report(report))
 
     def _discard_finished_plans(self, now: datetime, wall_ms: int) -> None:
         cluster_state = self.cluster_state
@@ -116,24 +116,26 @@
             machine = cluster_state.machines.get(plan.machine)
             outcome = ""
             if wall_ms >= plan.expires_at_ms:
-                outcome = "its time is over"
+                outcome = "expired"
             elif plan.for_job_id and (run is None or run.final_state or not run.pending_count):
-                outcome = "done" if run is not None and run.placements else "nobody waits for it"
+                outcome = "done" if run is not None and run.placements else "job no longer waiting"
             elif (
                 machine is None
                 or machine.is_marked_for_release
                 or machine.spot_reclaim_at is not None
                 or machine.is_suspected
             ):
-                outcome = "the machine goes"
+                outcome = "machine leaving"
             elif not plan.for_job_id and not any(self._placement_to_move(plan, move) for move in plan.moves):
                 outcome = "done"
             if outcome:
-                log.info("moves for %s on %s: %s", plan.for_job_id or "processors of GPUs", plan.machine, outcome)
+                log.info(
+                    "move plan ended: job=%s machine=%s outcome=%s", plan.for_job_id or "none", plan.machine, outcome
+                )
                 self.plans.remove(plan)
 
     def _placement_to_move(self, plan: MovePlan, move: Move) -> Placement | None:
-        """Whom the move is about, if still there."""
+        """The placement that the move evicts; None if it is not on the plan's machine any more."""
         run = self.cluster_state.jobs.get(move.job_id)
         if run is None or run.final_state:
             return None
@@ -210,8 +212,8 @@
 
     def _accept_plan(self, plan: MovePlan, context: PlanningContext) -> None:
         self.plans.append(plan)
-        names = ", ".join(f"{move.name} to {move.target_machine or 'elsewhere'}" for move in plan.moves)
-        log.info("moves for %s on %s: %s", plan.for_job_id or "processors of GPUs", plan.machine, names)
+        moves = ", ".join(f"{move.name} to {move.target_machine or 'elsewhere'}" for move in plan.moves)
+        log.info("move plan accepted: job=%s machine=%s moves=%s", plan.for_job_id or "none", plan.machine, moves)
         for move in plan.moves:
             run = self.cluster_state.jobs.get(move.job_id)
             if run is not None and move.target_machine:
@@ -241,11 +243,11 @@
                 if run is not None and move.target_machine and self._placement_to_move(plan, move) is not None:
                     planned_tasks.setdefault(move.target_machine, []).append(run.spec)
         moving_names = {move.name for plan in self.plans for move in plan.moves}
-        moving_services = {move.job_id for plan in self.plans for move in plan.moves}
+        moving_job_ids = {move.job_id for plan in self.plans for move in plan.moves}
 
-        def is_pinned(job: str, index: int) -> bool:
-            name = f"{job}/{index}"
-            return name in self.moved_at_ms or name in moving_names or job in moving_services
+        def is_pinned(job_id: str, index: int) -> bool:
+            name = f"{job_id}/{index}"
+            return name in self.moved_at_ms or name in moving_names or job_id in moving_job_ids
 
         reservations = {name: set(jobs) for name, jobs in self.cluster_state.reserved_machines.items()}
         return PlanningContext(
@@ -260,7 +262,7 @@
         now: datetime,
         wall_ms: int,
     ) -> None:
-        """Those whose place is free now, as far as the budget goes."""
+        """Evict the replicas whose target machine has room now, as far as the disruption budget allows."""
         in_flight = sum(
             placement.stop_requested_at is not None
             for plan in self.plans
@@ -306,10 +308,10 @@
             self.cluster_state.reserved_machines = reservations
             self.cluster_state.needs_scheduling = True
 
-    # -- told ---------------------------------------------------------------------------------
+    # -- status -------------------------------------------------------------------------------
 
     def summary(self) -> dict[str, Any]:
-        """For `status`."""
+        """Return this part of `status`: fragmentation, planned moves, and what they wait for."""
         return {
             "pieces": [format_report(each) for each in self.fragmentation_reports],
             "moves": self.move_count,
--- a/roseweir/rebalancing/fragmentation.py
+++ b/roseweir/rebalancing/fragmentation.py
@@ -1,9 +1,9 @@
-"""How much of what is free is free in pieces. Pure.
+"""Measures how much of the free GPU capacity is lost to fragmentation. Pure.
 
-For each size of GPU task that was asked for lately: the places that exist for it, and those that would if what is free
-on all machines were together. The difference is what is lost to pieces: 11 GPUs free on 6 machines are no place for
-a task of 8. Sizes are forgotten when nobody has asked for them for a while, so that one odd job does not make
-everybody's places precious.
+For each size of GPU task that was requested recently, it counts the slots that exist, and those that would exist if
+the free capacity of all machines were consolidated. The difference is lost to fragmentation: 11 GPUs free on 6 machines
+may hold no task of 8. A size expires when it has not been requested for a while, so that a single unusual job does not
+make slots scarce for all others.
 """
 
 from collections.abc import Iterable
@@ -14,35 +14,35 @@
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.submissions.jobs import JobSpec, MachineType
 
-# For how long a size counts as asked for, and how many are told apart: the ones asked for last.
+# How long a size counts as requested, and how many sizes are tracked: the most recently requested ones.
 DEMAND_WINDOW, MAX_TRACKED_SIZES = timedelta(minutes=5), 8
-# What is counted on within that time, of the arrivals of the last `DEMAND_WINDOW`.
+# Time for which arrivals are expected, at the rate of the last `DEMAND_WINDOW`.
 DEMAND_HORIZON = timedelta(minutes=1)
 
 
 @dataclass(slots=True)
 class SizeDemand:
-    """A size of GPU task, as jobs have asked for it."""
+    """Recent demand for one size of GPU task."""
 
     last_requested_at: datetime
-    arrivals: list[tuple[datetime, int]] = field(default_factory=list)  # tasks that were asked for, and when
+    arrivals: list[tuple[datetime, int]] = field(default_factory=list)  # time and number of requested tasks
 
     def expected_arrivals(self, now: datetime) -> float:
-        """Tasks of this size that may come within AHEAD."""
+        """Number of tasks of this size expected to arrive within `DEMAND_HORIZON`."""
         self.arrivals = [(at, tasks) for at, tasks in self.arrivals if now - at < DEMAND_WINDOW]
         return sum(tasks for _, tasks in self.arrivals) * (DEMAND_HORIZON / DEMAND_WINDOW)
 
 
 @dataclass(slots=True)
 class FragmentationReport:
-    """For operators."""
+    """Free slots of one task size, with and without fragmentation, for operators."""
 
     gpus: float
     cpus: float
     memory_gb: float
     free_slots: int  # tasks of this size that fit now
-    slots_if_defragmented: int  # that would if what is free were on as few machines as it could be
-    waiting_tasks: int  # that wait for a place
+    slots_if_defragmented: int  # that would fit if the free capacity were consolidated on as few machines as possible
+    waiting_tasks: int  # that wait for a slot
 
 
 class RequestedSizes:
@@ -51,7 +51,7 @@
         self._observed_jobs: dict[str, None] = {}
 
     def observe_jobs(self, runs: Iterable[JobRun], now: datetime) -> None:
-        """Jobs with GPUs that are there; each counts once, as it is first seen."""
+        """Update the demand from the present jobs with GPUs; a job counts as an arrival only once, when it is new."""
         present_jobs: dict[str, None] = {}
         for run in runs:
             spec = run.spec
@@ -84,37 +84,43 @@
 
 
 def slots_when_empty(machine_type: MachineType, size: TaskSize) -> int:
-    """How many tasks of this size an empty machine of the type holds."""
+    """Number of tasks of this size that an empty machine of the type holds."""
     capacity = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-    return min(int((have + 1e-6) / need) for have, need in zip(capacity, size, strict=True) if need > 0)
+    return min(int((available + 1e-6) / need) for available, need in zip(capacity, size, strict=True) if need > 0)
 
 
 def measure_fragmentation(
     machines: Iterable[Machine], waiting_jobs: Iterable[tuple[JobSpec, int]], sizes: Iterable[TaskSize]
 ) -> list[FragmentationReport]:
-    """For each size, in ascending order of GPUs. `waiting`: jobs and how many of their tasks have no place."""
-    with_gpus = [m for m in machines if m.machine_type.gpus > 0]
+    """Return a report for each size, in ascending order of GPUs.
+
+    Args:
+        machines: The machines whose free capacity counts.
+        waiting_jobs: Jobs, each with the number of its tasks that are not placed.
+        sizes: The task sizes to report.
+    """
+    gpu_machines = [m for m in machines if m.machine_type.gpus > 0]
     waiting_by_size: dict[TaskSize, int] = {}
     for spec, tasks in waiting_jobs:
         if spec.gpus > 0:
             waiting_by_size[task_size(spec)] = waiting_by_size.get(task_size(spec), 0) + tasks
     reports = []
     for size in sorted(sizes, key=lambda s: (s[1], s)):
-        current_slots = sum(free_slots(m, size) for m in with_gpus if slots_when_empty(m.machine_type, size) > 0)
+        current_slots = sum(free_slots(m, size) for m in gpu_machines if slots_when_empty(m.machine_type, size) > 0)
         defragmented_slots = 0
-        for machine_type in {m.machine_type.name: m.machine_type for m in with_gpus}.values():
-            same_type = [m for m in with_gpus if m.machine_type.name == machine_type.name]
+        for machine_type in {m.machine_type.name: m.machine_type for m in gpu_machines}.values():
+            same_type = [m for m in gpu_machines if m.machine_type.name == machine_type.name]
             slots_per_machine = slots_when_empty(machine_type, size)
             if slots_per_machine == 0:
                 continue
-            # As if the free parts of machines of one type were moved together: no machine holds more than it can.
+            # As if the free capacity of all machines of a type were consolidated, limited to what they hold when empty.
             free_totals = (
                 sum(m.free_cpus for m in same_type),
                 sum(m.free_gpus for m in same_type),
                 sum(m.free_memory for m in same_type),
             )
             pooled_slots = min(
-                int((have + 1e-6) / need) for have, need in zip(free_totals, size, strict=True) if need > 0
+                int((available + 1e-6) / need) for available, need in zip(free_totals, size, strict=True) if need > 0
             )
             defragmented_slots += min(pooled_slots, slots_per_machine * len(same_type))
         cpus, gpus, memory = size
@@ -127,7 +133,7 @@
 
 
 def total_free_gpus(spec: JobSpec, machines: Iterable[Machine]) -> tuple[float, int]:
-    """GPUs free on machines that the job allows, and on how many machines."""
+    """Number of GPUs that are free on machines allowed by the job, and the number of these machines."""
     free_machines = [
         m for m in machines if m.free_gpus > 1e-6 and allows_machine(spec, m) and spec.fits_machine_type(m.machine_type)
     ]
@@ -135,7 +141,7 @@
 
 
 def format_report(report: FragmentationReport) -> str:
-    """For `status` and the log."""
+    """Format a report as one line, for `status` and the log."""
     text = f"{report.gpus:g} GPUs, {report.cpus:g} CPUs: {report.free_slots} places"
     text += f", {report.slots_if_defragmented} if together"
     return text + (f", {report.waiting_tasks} wait" if report.waiting_tasks else "")
--- a/roseweir/rebalancing/fragmentation_scoring.py
+++ b/roseweir/rebalancing/fragmentation_scoring.py
@@ -1,9 +1,9 @@
-"""Where a task with GPUs goes so that the fewest large places are broken. Pure.
+"""Scores machines for a task with GPUs so that the fewest slots of larger tasks are lost. Pure.
 
-A place that nobody will want is worth nothing, so places count only as far as they are scarce: a size of which more
-places are free than wait for one, or may within a minute, is no reason to pass by a machine with the image at hand.
-What counts then comes before the image: a fetch takes seconds, and a broken place is gone until replicas end, which
-they do not by themselves.
+Only slots of scarce sizes count: if a size has more free slots than tasks that wait or are expected within a minute,
+losing one is no reason to avoid a machine that has the image cached. The loss of scarce slots takes precedence over
+cached images: fetching an image takes seconds, but a lost slot is gone until replicas end, which they do not do by
+themselves.
 """
 
 from collections.abc import Iterable
@@ -14,12 +14,12 @@
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.submissions.jobs import SERVICE, JobSpec
 
-# Places beyond those wanted that make a size plentiful.
+# Free slots beyond the demand for a size from which on it is not scarce.
 SPARE_SLOTS = 2
 
 
 class FragmentationScorer:
-    """What the planner asks within one pass (`scheduler/placement_policy.py`)."""
+    """The placement policy of a scheduling pass (see `scheduler/placement_policy.py`) that limits fragmentation."""
 
     def __init__(self) -> None:
         self.requested_sizes = RequestedSizes()
@@ -27,7 +27,7 @@
         self._cost_cache: dict[tuple[str, TaskSize], tuple[int, float]] = {}
 
     def begin_pass(self, runs: Iterable[JobRun], machines: list[Machine], now: datetime) -> None:
-        """At the beginning of a pass: which sizes there are few places for."""
+        """Start a pass: determine the sizes of which slots are scarce."""
         runs = list(runs)
         self.requested_sizes.observe_jobs(runs, now)
         self._scarce_sizes = set()
@@ -40,20 +40,20 @@
         for run in runs:
             if run.spec.gpus > min_gpus and run.pending_count > 0 and not run.final_state and not run.is_crash_looping:
                 waiting[task_size(run.spec)] = waiting.get(task_size(run.spec), 0.0) + run.pending_count
-        with_gpus = [m for m in machines if m.machine_type.gpus > 0 and m.free_gpus > 1e-6]
+        gpu_machines = [m for m in machines if m.machine_type.gpus > 0 and m.free_gpus > 1e-6]
         for size, demand in demand_by_size.items():
             if size[1] <= min_gpus:
                 continue
             available_slots = sum(
                 free_slots(m, size)
-                for m in with_gpus
+                for m in gpu_machines
                 if m.free_gpus >= size[1] - 1e-6 and slots_when_empty(m.machine_type, size) > 0
             )
             if available_slots < waiting.get(size, 0.0) + demand.expected_arrivals(now) + SPARE_SLOTS:
                 self._scarce_sizes.add(size)
 
     def fragmentation_cost(self, machine: Machine, spec: JobSpec) -> float:
-        """GPUs of scarce larger places that a task of the job would take from the machine, beyond its own."""
+        """GPUs of scarce slots of larger tasks that are lost if a task of the job is placed on the machine."""
         if not self._scarce_sizes:
             return 0.0
         key = (machine.name, task_size(spec))
@@ -65,8 +65,8 @@
             if size[1] <= spec.gpus + 1e-6 or machine.free_gpus < size[1] - 1e-6:
                 continue
             slots_after = min(
-                int((free - took + 1e-6) / need)
-                for free, took, need in zip(
+                int((free - used + 1e-6) / need)
+                for free, used, need in zip(
                     (machine.free_cpus, machine.free_gpus, machine.free_memory), task_size(spec), size, strict=True
                 )
                 if need > 0
@@ -76,7 +76,7 @@
         return lost_gpus
 
     def lifetime_mismatch(self, machine: Machine, spec: JobSpec) -> float:
-        """1.0 where a task that ends by itself would sit among ones that do not, or the other way round."""
+        """1.0 if the task would share the machine's GPUs with services but ends by itself, or the reverse; else 0.0."""
         if machine.gpu_task_count == 0:
             return 0.0
         is_service = spec.job_type == SERVICE
--- a/roseweir/rebalancing/move_planning.py
+++ b/roseweir/rebalancing/move_planning.py
@@ -1,18 +1,20 @@
-"""Which replicas move where, so that a large task fits that fits only in total. Pure.
+"""Plans moves of replicas that make room for a large task that fits the free capacity only in total. Pure.
 
-| who moves | when | what it costs |
+| moved | condition | cost |
 | --- | --- | --- |
-| replicas of services | a job of no lower priority has waited `after` and fits nowhere | the gap, weights not at hand |
+| replicas of services | a job of no lower priority has waited `after` and fits nowhere | downtime, with image fetch |
 | replicas without GPUs, off GPU machines | a job with GPUs waits | the same |
-| a gang, whole | the job is starving (`scheduler/starvation.py`), no replicas do, and it fits elsewhere | saving |
-| tasks of arrays | never: they end | |
+| a whole gang | the job is starving (`scheduler/starvation.py`), no replicas can move, it fits elsewhere | lost work |
+| tasks of arrays | never: they end by themselves | |
 
-A task can't run twice, so its replacement can't be up first; the gap is kept short instead: the place that it goes to
-is held for it before it is stopped, with its weights where any place has them, and it is stopped at once. What makes
-the room is held for whom it is made. Among the ways to make it the one that costs the least is taken, by service time
-lost times GPUs; none that costs more than it brings, and none where renting costs less and comes in time.
+A task must not run twice, so its replacement cannot start before it has stopped. To keep the downtime short, the target
+machine is reserved before the replica is stopped, one that has the image cached is preferred, and the replica is
+stopped immediately. The room that a plan makes is reserved for the plan's job. Of the possible plans the cheapest is
+chosen, by downtime times GPUs; a plan is rejected if it costs more than it gains, or if renting a machine costs less
+and the machine is ready in time.
 
-Nothing goes round in circles: who was moved stays for `again`, and a place is not made by taking one of its own kind.
+Moves cannot cycle: a moved replica is not moved again for `again`, and no replica that needs as many GPUs as the task,
+or more, is moved for it.
 """
 
 from collections.abc import Callable
@@ -29,24 +31,24 @@
 from roseweir.submissions.jobs import ARRAY, GANG, SERVICE, JobSpec, MachineType
 from roseweir.workers import messages as wire
 
-# Seconds from the halt to the next start where the weights are at hand: two reports at the most.
+# Downtime of a move where the image is cached, in heartbeat intervals: at most two from the stop to the next start.
 DOWNTIME_HEARTBEATS = 2.0
-# What a job gains for which room is made, at the most: so long it would have waited.
+# Upper bound of what a job gains from moves, in seconds: the time that it would have waited otherwise.
 MAX_GAIN_S = 240.0
 # A rental is charged for a minute at least.
 MIN_BILLED_S = 60.0
-# A replica without GPUs weighs like this part of a GPU.
+# Weight of a replica without GPUs in the cost of moves, as a fraction of one GPU.
 CPU_ONLY_WEIGHT = 0.05
-# A plan is let go after so long.
+# A plan is discarded after this time.
 PLAN_LIFETIME = timedelta(seconds=90)
 MAX_MOVES_PER_PLAN = 8
-# Machines that are looked at for one job: those that lack the least.
+# Machines that are evaluated for one job: those that lack the fewest GPUs.
 MAX_CANDIDATE_MACHINES = 16
 
 
 @dataclass(slots=True)
 class Move:
-    """A replica, or (index -1) a whole gang, that leaves the machine for the other ("": wherever it fits)."""
+    """A replica, or (index -1) a whole gang, that moves to the target machine ("": wherever it fits)."""
 
     job_id: str
     index: int
@@ -59,9 +61,9 @@
 
 @dataclass(slots=True)
 class MovePlan:
-    """An intention: it is durable before anybody is stopped for it."""
+    """Moves off one machine that make room for a job; stored before any replica is stopped for them."""
 
-    for_job_id: str  # the job that room is made for; "": GPUs' processors, for whoever needs them
+    for_job_id: str  # the job that room is made for; "": none, CPUs are freed for GPUs of the machine
     machine: str
     expires_at_ms: int  # by the wall clock
     moves: list[Move] = field(default_factory=list)
@@ -85,15 +87,15 @@
 
 @dataclass(slots=True)
 class PlanningContext:
-    """What a plan is made on: a moment of the board."""
+    """The cluster state and reservations on which plans are based."""
 
     cluster_state: ClusterState
-    machines: list[Machine]  # that tasks may be started on
+    machines: list[Machine]  # on which tasks may be started
     now: datetime
-    is_pinned: Callable[[str, int], bool]  # moved a while ago, or about to be
-    reservations: dict[str, set[str]]  # machines that are kept, and for which jobs
+    is_pinned: Callable[[str, int], bool]  # moved recently, or part of a plan
+    reservations: dict[str, set[str]]  # machine name -> jobs that it is reserved for
     fragmentation_cost: Callable[[Machine, JobSpec], float]
-    planned_tasks: dict[str, list[JobSpec]] = field(default_factory=dict)  # what earlier moves will take
+    planned_tasks: dict[str, list[JobSpec]] = field(default_factory=dict)  # machine name -> tasks of planned moves
 
     def is_reserved_for_others(self, machine: Machine, spec: JobSpec) -> bool:
         reserved_for = self.reservations.get(machine.name)
@@ -109,7 +111,7 @@
 
 
 def move_downtime_s(cluster_state: ClusterState, spec: JobSpec, target_machine: Machine) -> float:
-    """Seconds of service that a replica's move costs."""
+    """Downtime of a replica that moves to the target machine, in seconds."""
     fetch_s = (
         0.0
         if target_machine.has_image(spec.image)
@@ -123,7 +125,7 @@
 
 
 def _is_movable(context: PlanningContext, placement: Placement, priority: int | None) -> bool:
-    """`priority`: of the job that room is made for; None: it moves for its own machine's sake."""
+    """Whether a replica may be moved. `priority`: that of the job that room is made for; None: for no job."""
     run = placement.run
     return (
         run.spec.job_type == SERVICE
@@ -139,16 +141,16 @@
 
 
 def _zone_allows(run: JobRun, placement: Placement, zone: str) -> bool:
-    """Whether the replica may be in this zone beside the others, which stay."""
+    """Whether the job's zone constraints allow the replica in this zone while its other replicas stay."""
     spec = run.spec
     others = [p.machine.zone for p in run.placements.values() if p is not placement]
-    if spec.requires_single_zone and any(each != zone for each in others):
+    if spec.requires_single_zone and any(other_zone != zone for other_zone in others):
         return False
     return not spec.spread_across_zones or others.count(zone) < (spec.task_count + 1) // 2
 
 
 def choose_target(context: PlanningContext, placement: Placement) -> tuple[float, Machine] | None:
-    """Where a replica would go, and seconds of service lost: no large place broken, weights at hand, tightest fit."""
+    """Downtime in seconds and target machine: least fragmentation first, then shortest downtime, then tightest fit."""
     spec, cluster_state = placement.run.spec, context.cluster_state
     best: tuple[tuple[float, float, float, str], float, Machine] | None = None
     for machine in context.machines:
@@ -175,7 +177,7 @@
 
 
 def plan_replica_moves(context: PlanningContext, run: JobRun, expires_at_ms: int) -> MovePlan | None:
-    """The cheapest moves after which one task of the job fits on some machine; None: there are none worth it."""
+    """The cheapest moves after which one task of the job fits on a machine; None if there are none worth their cost."""
     spec = run.spec
     best: MovePlan | None = None
     candidates = [
@@ -209,68 +211,68 @@
     spec = run.spec
     cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory
     candidates: list[tuple[float, str, Placement]] = []
-    moved_services: set[str] = set()
-    # One that takes as much would want a place of the same kind.
+    moved_job_ids: set[str] = set()
+    # A replica with as many GPUs would need a slot of the same size itself.
     movable = [
         p
         for p in machine.placements.values()
         if p.run is not run and p.run.spec.gpus < spec.gpus and _is_movable(context, p, run.priority)
     ]
-    potential = [
-        free + sum(getattr(p.run.spec, what) for p in movable)
-        for free, what in ((cpus, "cpus"), (gpus, "gpus"), (memory, "memory_gb"))
+    freeable = [
+        free + sum(getattr(p.run.spec, resource) for p in movable)
+        for free, resource in ((cpus, "cpus"), (gpus, "gpus"), (memory, "memory_gb"))
     ]
-    if max_fitting_tasks(spec, *potential) < 1:
+    if max_fitting_tasks(spec, *freeable) < 1:
         return None
     for placement in movable:
-        found = choose_target(context, placement)
-        if found is not None:
-            candidates.append((found[0] * gpu_weight(placement.run.spec), placement.task_name, placement))
-    candidates.sort(key=lambda each: each[:2])
+        target = choose_target(context, placement)
+        if target is not None:
+            candidates.append((target[0] * gpu_weight(placement.run.spec), placement.task_name, placement))
+    candidates.sort(key=lambda candidate: candidate[:2])
     chosen: list[tuple[float, Placement, Machine]] = []
     planned_tasks: dict[str, list[JobSpec]] = {}
     for _, _, placement in candidates:
         shortages = (spec.cpus - cpus > 1e-6, spec.gpus - gpus > 1e-6, spec.memory_gb - memory > 1e-6)
         if not any(shortages):
             break
-        moved = placement.run.spec
+        moved_spec = placement.run.spec
         if (
-            not (shortages[1] and moved.gpus > 0)
-            and not (shortages[0] and moved.cpus > 0)
-            and not (shortages[2] and moved.memory_gb > 0)
+            not (shortages[1] and moved_spec.gpus > 0)
+            and not (shortages[0] and moved_spec.cpus > 0)
+            and not (shortages[2] and moved_spec.memory_gb > 0)
         ):
             continue
-        if moved.id in moved_services or len(chosen) >= MAX_MOVES_PER_PLAN:
+        if moved_spec.id in moved_job_ids or len(chosen) >= MAX_MOVES_PER_PLAN:
             continue  # one replica of a service at a time
-        # Again, beside those chosen before.
+        # The target is chosen again, with the moves chosen so far taken into account.
         combined_tasks = {
-            n: [*context.planned_tasks.get(n, ()), *planned_tasks.get(n, ())]
-            for n in context.planned_tasks.keys() | planned_tasks.keys()
+            name: [*context.planned_tasks.get(name, ()), *planned_tasks.get(name, ())]
+            for name in context.planned_tasks.keys() | planned_tasks.keys()
         }
-        inner_context = replace(context, planned_tasks=combined_tasks)
-        found = choose_target(inner_context, placement)
-        if found is None:
+        updated_context = replace(context, planned_tasks=combined_tasks)
+        target = choose_target(updated_context, placement)
+        if target is None:
             continue
-        moved_services.add(moved.id)
-        chosen.append((found[0] * gpu_weight(moved), placement, found[1]))
-        planned_tasks.setdefault(found[1].name, []).append(moved)
-        cpus, gpus, memory = cpus + moved.cpus, gpus + moved.gpus, memory + moved.memory_gb
+        moved_job_ids.add(moved_spec.id)
+        chosen.append((target[0] * gpu_weight(moved_spec), placement, target[1]))
+        planned_tasks.setdefault(target[1].name, []).append(moved_spec)
+        cpus, gpus, memory = cpus + moved_spec.cpus, gpus + moved_spec.gpus, memory + moved_spec.memory_gb
     if max_fitting_tasks(spec, cpus, gpus, memory) < 1 or not chosen:
         return None
-    # The dearest first: who turned out not to be needed stays.
-    for each in sorted(chosen, key=lambda entry: -entry[0]):
-        moved = each[1].run.spec
-        if max_fitting_tasks(spec, cpus - moved.cpus, gpus - moved.gpus, memory - moved.memory_gb) >= 1:
-            chosen.remove(each)
-            cpus, gpus, memory = cpus - moved.cpus, gpus - moved.gpus, memory - moved.memory_gb
-    moves = [Move(p.run.spec.id, p.index, target.name) for _, p, target in chosen]
+    # Drops moves that are not needed after all, the most expensive first.
+    for chosen_move in sorted(chosen, key=lambda entry: -entry[0]):
+        moved_spec = chosen_move[1].run.spec
+        if max_fitting_tasks(spec, cpus - moved_spec.cpus, gpus - moved_spec.gpus, memory - moved_spec.memory_gb) >= 1:
+            chosen.remove(chosen_move)
+            cpus, gpus, memory = cpus - moved_spec.cpus, gpus - moved_spec.gpus, memory - moved_spec.memory_gb
+    moves = [Move(p.run.spec.id, p.index, target_machine.name) for _, p, target_machine in chosen]
     return MovePlan(spec.id, machine.name, expires_at_ms, moves, sum(cost for cost, _, _ in chosen))
 
 
 def plan_gang_move(
     context: PlanningContext, run: JobRun, expires_at_ms: int, fits_elsewhere: Callable[[Placement], bool]
 ) -> MovePlan | None:
-    """Last of all: a gang that can save leaves a machine to a job that has waited long, and fits elsewhere whole."""
+    """Last resort: a gang that can save a checkpoint and fits elsewhere as a whole makes room for a starving job."""
     spec = run.spec
     if run.starvation_level == NOT_STARVING:
         return None
@@ -285,8 +287,8 @@
             continue
         gangs = {p.run.spec.id: p.run for p in machine.placements.values() if p.run.spec.job_type == GANG}
         for gang in gangs.values():
-            on_machine = [p for p in gang.placements.values() if p.machine is machine]
-            first = on_machine[0]
+            tasks_on_machine = [p for p in gang.placements.values() if p.machine is machine]
+            first_task = tasks_on_machine[0]
             if (
                 gang.final_state
                 or gang.is_gang_stopping
@@ -298,18 +300,21 @@
                 or context.is_pinned(gang.spec.id, -1)
             ):
                 continue
-            freed = (
-                gang.spec.cpus * len(on_machine),
-                gang.spec.gpus * len(on_machine),
-                gang.spec.memory_gb * len(on_machine),
+            freed_resources = (
+                gang.spec.cpus * len(tasks_on_machine),
+                gang.spec.gpus * len(tasks_on_machine),
+                gang.spec.memory_gb * len(tasks_on_machine),
             )
             slots_after_move = max_fitting_tasks(
-                spec, machine.free_cpus + freed[0], machine.free_gpus + freed[1], machine.free_memory + freed[2]
+                spec,
+                machine.free_cpus + freed_resources[0],
+                machine.free_gpus + freed_resources[1],
+                machine.free_memory + freed_resources[2],
             )
-            if slots_after_move < 1 or not fits_elsewhere(first):
+            if slots_after_move < 1 or not fits_elsewhere(first_task):
                 continue
             since_checkpoint_s = (
-                context.now - (first.running_since or NEVER)
+                context.now - (first_task.running_since or NEVER)
             ).total_seconds() % gang.spec.checkpoint_interval_s
             candidates.append(
                 (
@@ -320,14 +325,14 @@
             )
     if not candidates:
         return None
-    cost, name, gang = min(candidates, key=lambda each: each[:2])
-    return MovePlan(spec.id, name, expires_at_ms, [Move(gang.spec.id, -1, "")], cost)
+    cost, machine_name, gang = min(candidates, key=lambda candidate: candidate[:2])
+    return MovePlan(spec.id, machine_name, expires_at_ms, [Move(gang.spec.id, -1, "")], cost)
 
 
 def plan_cpu_only_moves(context: PlanningContext, expires_at_ms: int, max_moves: int) -> MovePlan | None:
-    """Replicas without GPUs that hold the processors of GPUs somebody waits for, and have a place elsewhere.
+    """Moves of replicas without GPUs that use the CPUs needed for a machine's free GPUs, and that fit elsewhere.
 
-    One machine at a time, the one that would then have the most GPUs with their processors.
+    Covers one machine at a time: of those where moves are possible, the one with the most free GPUs.
     """
     cluster_state = context.cluster_state
     best: tuple[tuple[float, str], MovePlan] | None = None
@@ -340,23 +345,23 @@
         if missing_cpus <= 1e-6:
             continue
         moves: list[Move] = []
-        moved_services: set[str] = set()
+        moved_job_ids: set[str] = set()
         planned_tasks = {name: list(specs) for name, specs in context.planned_tasks.items()}
-        inner_context = replace(context, planned_tasks=planned_tasks)
+        updated_context = replace(context, planned_tasks=planned_tasks)
         for placement in machine.placements.values():
             spec = placement.run.spec
             if len(moves) >= max_moves or missing_cpus <= 1e-6:
                 break
-            if spec.gpus > 0 or spec.id in moved_services or not _is_movable(context, placement, None):
+            if spec.gpus > 0 or spec.id in moved_job_ids or not _is_movable(context, placement, None):
                 continue
-            found = choose_target(inner_context, placement)
-            target = choose_target_freeing_soonest(inner_context, placement) if found is None else found[1]
-            if target is None:
+            target = choose_target(updated_context, placement)
+            target_machine = choose_target_freeing_soonest(updated_context, placement) if target is None else target[1]
+            if target_machine is None:
                 continue
-            moved_services.add(spec.id)
-            planned_tasks.setdefault(target.name, []).append(spec)
+            moved_job_ids.add(spec.id)
+            planned_tasks.setdefault(target_machine.name, []).append(spec)
             missing_cpus -= spec.cpus
-            moves.append(Move(spec.id, placement.index, target.name))
+            moves.append(Move(spec.id, placement.index, target_machine.name))
         if moves:
             key = (-machine.free_gpus, machine.name)
             if best is None or key < best[0]:
@@ -365,10 +370,10 @@
 
 
 def choose_target_freeing_soonest(context: PlanningContext, placement: Placement) -> Machine | None:
-    """An ordinary machine where tasks of arrays of lower rank will leave room for the replica the soonest.
+    """The machine without GPUs on which array tasks of lower priority will free room for the replica the soonest.
 
-    Such work fills every room as it comes free, and a replica that runs elsewhere waits for none: the machine has to be
-    held for it before the room is there.
+    Array tasks use all room as it becomes free, and a replica that runs elsewhere is not in the queue for it, so the
+    machine has to be reserved for the replica before the room is free.
     """
     spec, cluster_state, now = placement.run.spec, context.cluster_state, context.now
     best: tuple[datetime, str, Machine] | None = None
@@ -381,20 +386,20 @@
         ):
             continue
         if machine.name in context.reservations and machine.name not in context.planned_tasks:
-            continue  # for something else
+            continue  # reserved for another purpose
         if machine.name in placement.run.failed_machines or not _zone_allows(placement.run, placement, machine.zone):
             continue
-        lower_priority = [p for p in machine.placements.values() if _is_lower_array(p.run, placement.run)]
-        ends = [
+        lower_priority = [p for p in machine.placements.values() if _is_lower_priority_array(p.run, placement.run)]
+        expected_ends = [
             (p.expected_end(now, cluster_state.estimate_runtime(p.run.spec)), n, p.run.spec)
             for n, p in enumerate(lower_priority)
         ]
-        ends.sort(key=lambda each: each[:2])
-        incoming = context.planned_tasks.get(machine.name, ())
-        cpus = machine.free_cpus - sum(each.cpus for each in incoming)
-        memory = machine.free_memory - sum(each.memory_gb for each in incoming)
-        for end, _, leaving in ends:
-            cpus, memory = cpus + leaving.cpus, memory + leaving.memory_gb
+        expected_ends.sort(key=lambda expected_end: expected_end[:2])
+        planned_specs = context.planned_tasks.get(machine.name, ())
+        cpus = machine.free_cpus - sum(planned.cpus for planned in planned_specs)
+        memory = machine.free_memory - sum(planned.memory_gb for planned in planned_specs)
+        for end, _, ending_spec in expected_ends:
+            cpus, memory = cpus + ending_spec.cpus, memory + ending_spec.memory_gb
             if cpus >= spec.cpus - 1e-6 and memory >= spec.memory_gb - 1e-6:
                 if best is None or (end, machine.name) < best[:2]:
                     best = (end, machine.name, machine)
@@ -402,12 +407,12 @@
     return None if best is None else best[2]
 
 
-def _is_lower_array(run: JobRun, other: JobRun) -> bool:
+def _is_lower_priority_array(run: JobRun, other: JobRun) -> bool:
     return run.spec.job_type == ARRAY and run.priority > other.priority
 
 
 def is_blocked_by_fragmentation(run: JobRun, machines: list[Machine]) -> bool:
-    """The job's task would fit on what is free on all machines together."""
+    """Whether a task of the job would fit into the free GPUs of all machines together."""
     spec = run.spec
     if spec.gpus <= 0 or run.final_state or run.is_crash_looping or (spec.job_type == GANG and run.placements):
         return False
@@ -418,12 +423,12 @@
 def cheaper_to_rent(
     cost: float, machine_type: MachineType, can_be_rented: bool, waiting_time_so_far: timedelta
 ) -> bool:
-    """Whether a machine is better bought than made clear: by the GPU-seconds that either costs.
+    """Whether renting a machine costs less than the moves, compared in GPU-seconds.
 
-    What is bought comes after its boot, and costs its boot and a minute at least; what is moved comes within seconds.
+    A rented machine is ready after its boot, and costs its boot and at least a minute; moves take only seconds.
     """
     if not can_be_rented:
         return False
     if waiting_time_so_far.total_seconds() + machine_type.boot_s > MAX_GAIN_S / 2:
-        return False  # it would come late
+        return False  # the machine would be ready too late
     return cost > machine_type.gpus * (machine_type.boot_s + MIN_BILLED_S)
--- a/roseweir/rebalancing/settings.py
+++ b/roseweir/rebalancing/settings.py
@@ -9,15 +9,15 @@
 
 
 class RebalancingSettings(msgspec.Struct):
-    """docs/packing.md gives the reason for each default."""
+    """Settings of placement and moves against fragmentation; docs/packing.md gives the reason for each default."""
 
-    # Places of large tasks are spared as tasks are placed, and replicas are moved where large tasks fit nowhere: "on",
-    # "off", or "auto": from the first service on that takes GPUs.
+    # `choose`: placement keeps room for large tasks; `move`: replicas are moved where large tasks fit nowhere.
+    # "on", "off", or "auto": on from the first service that needs GPUs.
     choose: str = "auto"
     move: str = "auto"
-    after: timedelta = timedelta(seconds=10)  # how long a job waits before others are moved for it
-    again: timedelta = timedelta(minutes=5)  # a replica that was moved stays for so long
-    max_concurrent_moves: int = 8  # replicas that may be on their way
+    after: timedelta = timedelta(seconds=10)  # how long a job waits before replicas are moved for it
+    again: timedelta = timedelta(minutes=5)  # how long a moved replica is not moved again
+    max_concurrent_moves: int = 8  # replicas that may be stopped for a move at the same time
 
 
 def parse_rebalancing(entries: list[Any]) -> RebalancingSettings:
