--- a/roseweir/rebalancing/move_planning.py
+++ b/roseweir/rebalancing/move_planning.py
@@ -4,7 +4,7 @@
 | --- | --- | --- |
 | replicas of services | a job of no lower priority has waited `after` and fits nowhere | downtime, with image fetch |
 | replicas without GPUs, off GPU machines | a job with GPUs waits | the same |
-| a whole gang | the job is starving (`scheduler/starvation.py`), no replicas can move, it fits elsewhere | lost work |
+| a whole gang | it fits elsewhere, no replicas can move, the job is starving (`scheduler/starvation.py`) | checkpoint |
 | tasks of arrays | never: they end by themselves | |
 
 A task must not run twice, so its replacement cannot start before it has stopped. To keep the downtime short, the target
