--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -1,4 +1,4 @@
-"""The leader's control loops over the cloud: catalog, machine list, scale out and in, probes of silent machines."""
+"""The leader's control loops for cloud machines: catalog, machine list, scale-out, scale-in, and probes."""
 
 import asyncio
 import logging
@@ -24,24 +24,25 @@
 DECISION_INTERVAL = timedelta(seconds=1)
 PROBE_CHECK_INTERVAL = DECISION_INTERVAL / 2
 CATALOG_REFRESH_INTERVAL = timedelta(seconds=60)
-# The machine list is read twice within the time by which it lags, but no more often than this.
+# The machine list is read twice per listing lag, but no more often than this.
 MIN_LIST_INTERVAL = seconds(2)
-# A new leader decides on scaling after a heartbeat interval, but no sooner than this.
+# A new leader makes its first scaling decision after a heartbeat interval, but no sooner than this.
 MIN_FIRST_DECISION_DELAY = seconds(3)
-# How long CPU-only work may use idle GPUs' CPUs after no machines could be had for it.
+# How long CPU-only work may use the CPUs of idle GPU machines after the offers for it were exhausted.
 OVERFLOW_DURATION = timedelta(seconds=30)
-# A machine is released with its tasks on it only for these reasons: it is lost, and the release proves its tasks gone.
+# Only lost machines are released while tasks are placed on them: the release proves that the tasks are gone.
 LOSS_REASONS = (ReleaseReason.SILENT, ReleaseReason.UNREACHABLE)
 
 
-# What to rent beside these requests, and which machines to keep ready: names and why.
+# Arguments: the requests so far, until when each offer counts as refused, and the current instant. Returns additional
+# requests, and the names of idle machines to retain, with reasons.
 CapacityPlanner = Callable[
     [list[MachineRequest], dict[MachineOffer, datetime], datetime], tuple[list[MachineRequest], dict[str, str]]
 ]
 
 
 class CloudController:
-    """Keeps the fleet at the size that the jobs need, for as long as its leader may act."""
+    """Scales the fleet to what the jobs need; rents and releases only while this node's leader lease is valid."""
 
     def __init__(
         self,
@@ -54,9 +55,10 @@
         self.cloud_client = cloud_client
         self.cluster_state = cluster_state
         self.inventory = MachineInventory(cluster_state)
-        self.list_read_at = NEVER  # when the last machine list that was answered had been requested
+        self.list_read_at = NEVER  # when the newest machine list that was received had been requested
         self.last_scheduling_pass = SchedulingPassResult()
-        self._may_act = may_act  # otherwise another may lead, and machines silent to this node report to that one
+        # Whether this node surely leads; if not, silent machines may send heartbeats to another leader.
+        self._may_act = may_act
         self._capacity_planners = list(capacity_planners)
         self._rental = MachineRental(cloud_client, cluster_state, self.inventory, may_act)
         self._prober = MachineProber(cluster_state, connect)
@@ -64,19 +66,22 @@
 
     @property
     def refused_until(self) -> dict[MachineOffer, datetime]:
-        """Until when each offer counts as refused. To be read only; see `allow_offer`."""
+        """Until when each offer counts as refused; for reading only, see `allow_offer`."""
         return self._rental.refused_until
 
     def allow_offer(self, offer: MachineOffer) -> None:
-        """Forget that an offer was refused: a machine of its kind has just been released."""
+        """Forget that an offer was refused, since a machine of that offer has just been released."""
         self._rental.allow(offer)
 
     def record_scheduling_pass(self, result: SchedulingPassResult) -> None:
-        """Take over what the last scheduling pass could not place: scaling decisions start from it."""
+        """Record the result of the last scheduling pass: scaling decisions start from what it could not place."""
         self.last_scheduling_pass = result
 
     def pause_for_heartbeats(self) -> None:
-        """After a pause of this process: machines that it has not heard meanwhile need not be silent."""
+        """Suspend scaling and probes after a pause of this process.
+
+        Heartbeats were not received during the pause, so their absence does not show that machines are silent.
+        """
         self._paused_until = (
             monotonic_now()
             + self.cluster_state.settings.params.workers.heartbeat_interval * 2
@@ -99,7 +104,7 @@
                 for machine_type in await self.cloud_client.read_catalog():
                     self.cluster_state.catalog[machine_type.name] = machine_type
             except (StoreError, Unreachable) as e:
-                log.info("catalog not read: %s", e)
+                log.info("catalog request failed: error=%s", e)
 
     async def _poll_machine_list(self) -> None:
         list_lag = self.cluster_state.settings.params.cloud.listing_lag
@@ -109,11 +114,11 @@
                 self.inventory.reconcile(await self.cloud_client.list_machines(), monotonic_now())
                 self.list_read_at = sent_at
             except (StoreError, Unreachable, NoCapacity) as e:
-                log.info("machine list not read: %s", e)
+                log.info("machine list request failed: error=%s", e)
             await sleep(max(MIN_LIST_INTERVAL, list_lag / 2))
 
     async def _run_scaling(self, group: asyncio.TaskGroup) -> None:
-        # A new leader first receives heartbeats, and so learns which machines are there.
+        # A new leader learns from the first heartbeats which machines are running.
         await sleep(max(MIN_FIRST_DECISION_DELAY, self.cluster_state.settings.params.workers.heartbeat_interval))
         while True:
             now = monotonic_now()
@@ -129,17 +134,17 @@
                 self._prober.start_probes(group)
 
     def _scale_out(self, group: asyncio.TaskGroup, now: datetime) -> dict[str, str]:
-        """Start the rentals that are needed now; returns the idle machines to keep, and why."""
-        machine_requests, is_cpu_exhausted = plan_scale_out(
+        """Start the rentals that are needed now; return the names of idle machines to retain, with reasons."""
+        machine_requests, are_cpu_offers_exhausted = plan_scale_out(
             self.cluster_state, self.last_scheduling_pass, self.refused_until, utc_now_ms(), now
         )
-        if is_cpu_exhausted:
+        if are_cpu_offers_exhausted:
             self.cluster_state.overflow_until = now + OVERFLOW_DURATION
         retained: dict[str, str] = {}
         for plan_capacity in self._capacity_planners:
-            more_requests, more_retained = plan_capacity(machine_requests, self.refused_until, now)
-            machine_requests += more_requests
-            retained |= more_retained
+            additional_requests, additional_retained = plan_capacity(machine_requests, self.refused_until, now)
+            machine_requests += additional_requests
+            retained |= additional_retained
         self._rental.start_rentals(machine_requests, group)
         return retained
 
@@ -157,7 +162,7 @@
         try:
             await self.cloud_client.release_machines(machine_names, self._may_act)
         except (StoreError, Unreachable, NoCapacity) as e:
-            log.info("release failed: %s", e)
+            log.info("machine release failed: error=%s", e)
             return
         for name in machine_names:
             self.cluster_state.forget_machine(name, monotonic_now(), "released")
@@ -174,7 +179,7 @@
                 reason,
             )
             if reason is ReleaseReason.BOOT_FAILED:
-                # Another of the kind may not come up either: for a while others go first.
+                # Other machines of this offer may fail to boot too, so other offers are preferred for a while.
                 offer = MachineOffer(machine_type.name, machine.zone, machine.is_spot)
                 self._rental.refuse(offer, now + machine_type.boot_duration)
         machine.is_marked_for_release = True
--- a/roseweir/cloud/scale_out.py
+++ b/roseweir/cloud/scale_out.py
@@ -1,8 +1,9 @@
-"""Which machines to rent. Pure.
+"""Decides which machines to rent. Pure: no I/O, and the current instant is always an argument.
 
-There are two pools: machines' GPUs for jobs that need them, and CPUs for the rest. Going through the
-queue in order, the work up to each job divided by the time that its service-level objectives leave gives
-the capacity that the pool should have. What it lacks is rented where a task costs least.
+Capacity is planned for two pools: GPUs, for the jobs that need them, and CPUs, for all other jobs. For each job in
+queue order, the work of all jobs up to and including it is divided by the job's time budget, which follows from its
+service-level objectives (SLOs). The largest quotient is the capacity that the pool needs. The shortage is rented from
+the offers with the lowest price per task.
 """
 
 from collections.abc import Iterable
@@ -21,30 +22,31 @@
 from roseweir.settings import ServiceLevelObjective
 from roseweir.submissions.jobs import GANG, SERVICE, JobSpec
 
-# The fraction of the remaining time that is planned for: runtime estimates are often wrong by half.
+# Fraction of the remaining time that work is planned to take: runtime estimates are often wrong by half.
 TIME_BUDGET_FRACTION = 0.6
 WORK_DONE_WHILE_BOOTING_FRACTION = 0.5
 DEFAULT_TIME_BUDGET = timedelta(seconds=60)
 
 
-def time_budget(cluster_state: ClusterState, run: JobRun, age: timedelta) -> timedelta:
-    """How long the job's work may take by its delivery deadline, or by the SLOs of its class.
+def time_budget(cluster_state: ClusterState, run: JobRun, time_since_eligible: timedelta) -> timedelta:
+    """Time that the work may take to meet the job's delivery deadline, or the SLOs of its class.
 
-    `age` is the time since the job became eligible.
+    `time_since_eligible`: how long ago the job became eligible to run.
     """
     spec = run.spec
     objectives = cluster_state.settings.params.objectives
     slack_ms = cluster_state.slack_ms_by_job.get(spec.id)
     if slack_ms is not None:
-        # Its delivery deadline is at risk: what is left is its slack, and the time that it takes.
+        # The delivery deadline is at risk: the budget is a fraction of the slack, which leaves out the job's runtime.
+        # Callers raise the budget to the estimated runtime at least.
         return max(ZERO, timedelta(milliseconds=slack_ms)) * TIME_BUDGET_FRACTION
     budget = DEFAULT_TIME_BUDGET
     for objective in objectives:
         if _objective_applies(objective, run):
-            budget = min(budget, _time_budget_by_objective(objective, age))
+            budget = min(budget, _time_budget_by_objective(objective, time_since_eligible))
     if spec.deadline_s is not None and not _has_wait_or_finish_slo(objectives, spec):
-        waited = timedelta(milliseconds=run.eligible_from_ms - run.deadline_base_ms)
-        budget = (seconds(spec.deadline_s) - age - waited) * TIME_BUDGET_FRACTION
+        time_before_eligible = timedelta(milliseconds=run.eligible_from_ms - run.deadline_base_ms)
+        budget = (seconds(spec.deadline_s) - time_since_eligible - time_before_eligible) * TIME_BUDGET_FRACTION
     return budget
 
 
@@ -58,19 +60,19 @@
     return objective.job_class == run.spec.job_class
 
 
-def _time_budget_by_objective(objective: ServiceLevelObjective, age: timedelta) -> timedelta:
+def _time_budget_by_objective(objective: ServiceLevelObjective, time_since_eligible: timedelta) -> timedelta:
     if objective.objective_type in ("wait", "guarantee"):
         return ZERO
     if objective.objective_type == "finished":
-        return ((objective.threshold or ZERO) - age) * TIME_BUDGET_FRACTION
+        return ((objective.threshold or ZERO) - time_since_eligible) * TIME_BUDGET_FRACTION
     return DEFAULT_TIME_BUDGET
 
 
 class ScaleOutPlan(NamedTuple):
-    """What to rent, and whether CPU-only work lacks machines that cannot be had."""
+    """What to rent, and whether CPU-only work needs more machines than the offers provide."""
 
     machine_requests: list[MachineRequest]
-    is_cpu_exhausted: bool
+    are_cpu_offers_exhausted: bool
 
 
 def plan_scale_out(
@@ -80,44 +82,47 @@
     wall_ms: int,
     now: datetime,
 ) -> ScaleOutPlan:
-    """What to rent now for the jobs that the last scheduling pass could not place."""
-    is_cpu_exhausted = False
+    """Plan the rentals for the jobs that the last scheduling pass could not place."""
+    are_cpu_offers_exhausted = False
     machine_requests: list[MachineRequest] = []
-    # Listed once: with hundreds of jobs waiting, each of them used to scan the whole fleet again.
+    # Listed once per call: a scan of the whole fleet for each of hundreds of waiting jobs would take too long.
     machines = list(available_machines(cluster_state, now))
-    for gpu_pool in (True, False):
-        waiting = [
-            (run, count)
-            for run, count in scheduling_pass.unplaced
-            if (run.spec.gpus > 0) == gpu_pool and not run.final_state
+    for is_gpu_pool in (True, False):
+        waiting_runs = [
+            (run, unplaced_count)
+            for run, unplaced_count in scheduling_pass.unplaced
+            if (run.spec.gpus > 0) == is_gpu_pool and not run.final_state
         ]
-        if not waiting:
+        if not waiting_runs:
             continue
-        missing_units = _capacity_shortage(cluster_state, machines, gpu_pool, wall_ms, now)
-        for run, count in waiting:
+        missing_units = _capacity_shortage(cluster_state, machines, is_gpu_pool, wall_ms, now)
+        for run, unplaced_count in waiting_runs:
             spec = run.spec
-            missing_units = max(missing_units, _unplaceable_units(cluster_state, run, count, machines))
+            missing_units = max(missing_units, _unplaceable_units(cluster_state, run, unplaced_count, machines))
             requested_units = max(
-                min(missing_units, count * max(units_per_task(spec), MIN_UNITS)),
-                _starvation_units(run, count, machines),
+                min(missing_units, unplaced_count * max(units_per_task(spec), MIN_UNITS)),
+                _starvation_units(run, unplaced_count, machines),
             )
             if requested_units <= UNIT_TOLERANCE:
                 continue
             obtained_units = choose_offers(cluster_state, spec, requested_units, refused_until, machine_requests, now)
             missing_units -= obtained_units
-            is_cpu_exhausted = is_cpu_exhausted or (not gpu_pool and obtained_units < requested_units - UNIT_TOLERANCE)
-    return ScaleOutPlan(machine_requests, is_cpu_exhausted)
+            are_cpu_offers_exhausted = are_cpu_offers_exhausted or (
+                not is_gpu_pool and obtained_units < requested_units - UNIT_TOLERANCE
+            )
+    return ScaleOutPlan(machine_requests, are_cpu_offers_exhausted)
 
 
-def _unplaceable_units(cluster_state: ClusterState, run: JobRun, count: int, machines: list[Machine]) -> float:
-    """Units to rent for tasks that would find no place if the machines that suit them were empty: sums over all zones
-    and types may come out even without these.
+def _unplaceable_units(cluster_state: ClusterState, run: JobRun, unplaced_count: int, machines: list[Machine]) -> float:
+    """Units to rent for tasks that would not fit even if all machines that the job may use were empty.
 
-    Of jobs other than gangs it is one task, and only if none has a place. Where a gang's tasks have to be in the same
-    zone, or in several, is left out: it counts as if any zone that it may use would do.
+    The capacity shortage may miss these tasks, since it sums over all zones and machine types. For a gang, all its
+    tasks have to fit; for any other job, one task. Rules that a gang's tasks share a zone, or spread over several, are
+    ignored: the machines in all zones that the job may use are counted together.
     """
     spec = run.spec
-    # A GPU machine whose CPUs are kept for its GPUs is no place for work without GPUs, though it suits.
+    # Counted per machine type: a GPU machine that the job may use has no room for CPU-only tasks if all its CPUs are
+    # reserved for its GPUs.
     tasks_by_type = {
         machine_type.name: tasks_per_machine(cluster_state, spec, machine_type)
         for machine_type in cluster_state.catalog.values()
@@ -128,30 +133,31 @@
             missing_tasks -= tasks_by_type.get(machine.machine_type.name, 0)
         if missing_tasks <= 0:
             return 0.0
-    return min(missing_tasks, count) * units_per_task(spec)
+    return min(missing_tasks, unplaced_count) * units_per_task(spec)
 
 
-def _starvation_units(run: JobRun, count: int, machines: list[Machine]) -> float:
-    """Units to rent for a job that has waited long, whatever the sums say: there may be enough in pieces.
+def _starvation_units(run: JobRun, unplaced_count: int, machines: list[Machine]) -> float:
+    """Units to rent for a starving job whose tasks are admitted together, even if total capacity suffices.
 
-    What boots already counts for it, so that it is asked for once.
+    The free capacity may be fragmented over machines. Booting machines that the job may use are subtracted, so that
+    machines are not rented twice for it.
     """
     spec = run.spec
     if run.starvation_level == NOT_STARVING or not spec.is_admitted_as_unit:
         return 0.0
     booting_tasks = sum(m.count_fitting_tasks(spec, 0.0) for m in machines if m.is_booting and allows_machine(spec, m))
-    return max(0, count - booting_tasks) * units_per_task(spec)
+    return max(0, unplaced_count - booting_tasks) * units_per_task(spec)
 
 
 def _capacity_shortage(
     cluster_state: ClusterState, machines: list[Machine], is_gpu_pool: bool, wall_ms: int, now: datetime
 ) -> float:
-    """Units that should be rented now: known work over the time that its SLOs leave, less available capacity.
+    """Units to rent now: unfinished work divided by its time budget, less the available capacity.
 
-    Work that gets done while a machine boots is subtracted. Tasks that wait for their team's quota need no machine.
+    Work that will be done while a machine boots is subtracted. Tasks that wait for their team's quota are left out.
     """
     available_units = sum(pool_capacity(m.machine_type, is_gpu_pool, cluster_state.max_cpus_per_gpu) for m in machines)
-    # Replicas of a service do not end: what they hold, and what those that wait need, is there for nothing else.
+    # Replicas of a service do not end, so the units of running and waiting replicas are not available to other work.
     service_units = 0.0
     boot_durations = [t.boot_duration for t in cluster_state.catalog.values() if (t.gpus > 0) == is_gpu_pool]
     min_boot_duration = min(boot_durations, default=ZERO)
@@ -162,30 +168,29 @@
         spec = run.spec
         estimate = max(cluster_state.estimate_runtime(spec), seconds(1))
         task_units = units_per_task(spec)
-        pending = min(run.pending_count, max_concurrent_tasks(cluster_state, spec) - len(run.placements))
-        if pending <= 0 and not run.placements:
+        pending_count = min(run.pending_count, max_concurrent_tasks(cluster_state, spec) - len(run.placements))
+        if pending_count <= 0 and not run.placements:
             continue
         if spec.job_type == SERVICE:
-            service_units += task_units * (max(0, pending) + len(run.placements))
-            if pending > 0:
+            service_units += task_units * (max(0, pending_count) + len(run.placements))
+            if pending_count > 0:
                 needed_units = max(needed_units, service_units)
             continue
-        work_unit_seconds += max(0, pending) * task_units * estimate.total_seconds()
+        work_unit_seconds += max(0, pending_count) * task_units * estimate.total_seconds()
         for placement in run.placements.values():
             work_unit_seconds += task_units * max(0.0, (placement.expected_end(now, estimate) - now).total_seconds())
-        if pending > 0:
-            age = timedelta(milliseconds=max(0, wall_ms - run.eligible_from_ms))
-            budget = max(time_budget(cluster_state, run, age + min_boot_duration), estimate)
-            done_meanwhile = _work_done_while_booting(available_units - service_units, min_boot_duration)
-            needed_units = max(
-                needed_units, service_units + (work_unit_seconds - done_meanwhile) / budget.total_seconds()
-            )
+        if pending_count > 0:
+            time_since_eligible = timedelta(milliseconds=max(0, wall_ms - run.eligible_from_ms))
+            budget = max(time_budget(cluster_state, run, time_since_eligible + min_boot_duration), estimate)
+            work_done = _work_done_while_booting(available_units - service_units, min_boot_duration)
+            needed_units = max(needed_units, service_units + (work_unit_seconds - work_done) / budget.total_seconds())
     return needed_units - available_units
 
 
 def _work_done_while_booting(free_units: float, boot_duration: timedelta) -> float:
-    """Unit seconds that count as done while a machine boots: half of them, since work arrives meanwhile too.
+    """Unit seconds of work that count as done while a machine boots: half of them, since new work arrives meanwhile.
 
-    With all of them subtracted, bursts were rented for too late; with none, one GPU machine in five was never used.
+    If all of them are counted, machines for bursts are rented too late; if none are, one GPU machine in five is never
+    used.
     """
     return max(0.0, free_units) * boot_duration.total_seconds() * WORK_DONE_WHILE_BOOTING_FRACTION
