--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -1,4 +1,4 @@
-"""Which machines to release to the cloud, and why. Pure."""
+"""Decides which machines to release to the cloud, and why. Pure: no I/O, and the current instant is an argument."""
 
 from collections.abc import Container
 from datetime import datetime, timedelta
@@ -14,21 +14,21 @@
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult
 from roseweir.submissions.jobs import JobSpec, MachineType
 
-# The cloud charges a machine for a minute at least.
+# The cloud charges for at least a minute of each machine.
 MIN_CHARGED_DURATION = timedelta(seconds=60)
-# Machines of an offer that no leader on record has been able to rent are kept this many times longer.
+# Factor on the idle timeout of machines whose offer has no recorded rental: a replacement may not be available.
 UNCERTAIN_OFFER_FACTOR = 3
-# An idle machine is kept this many times as long as another takes to boot, and for the shortest time at least.
+# The idle timeout is this many times the boot duration of the machine type, but at least MIN_IDLE_TIMEOUT.
 IDLE_BOOT_FACTOR = 1.5
 MIN_IDLE_TIMEOUT = seconds(20)
-# Added to the time after which a boot has failed.
+# Added to the time after which a boot counts as failed.
 FAILED_BOOT_GRACE = seconds(10)
-# Added to two heartbeat intervals, after which a spot instance that is being reclaimed counts as gone.
+# A spot instance being reclaimed counts as gone this long after two heartbeat intervals without a heartbeat.
 RECLAIM_SILENCE_GRACE = seconds(1)
 
 
 class ReleaseReason(StrEnum):
-    """Why a machine is released; the values stand in the log."""
+    """Why a machine is released; the values are logged."""
 
     ALREADY_RELEASING = "leaving"
     BOOT_FAILED = "never came up"
@@ -46,20 +46,23 @@
 
 
 def idle_timeout(machine_type: MachineType) -> timedelta:
-    """Keeping an idle machine as long as it takes to boot another costs at most twice the best choice."""
+    """Return how long an idle machine is kept before it is released.
+
+    Keeping it for as long as another takes to boot costs at most twice as much as the best choice in hindsight.
+    """
     return max(machine_type.boot_duration * IDLE_BOOT_FACTOR, MIN_IDLE_TIMEOUT)
 
 
-def _update_zone_contact(cluster_state: ClusterState, silent_by_zone: dict[str, list[bool]], now: datetime) -> None:
-    """Record since when most machines of each zone, and of all zones, have been heard.
+def _update_responsive_zones(cluster_state: ClusterState, silent_by_zone: dict[str, list[bool]], now: datetime) -> None:
+    """Record since when each zone has been responsive: at most half of it, and a third of all machines, are silent.
 
-    While most of a zone is silent it may only be partitioned from this node, and its tasks go on. Once the zone is
-    heard again, or after a failover, the last workers to send a heartbeat are not at fault either: 276 machines were
-    released so within seconds of the end of a partition and a failover (measured, see the journal).
+    While most of a zone is silent, it may only be partitioned from this node while its tasks continue. After the
+    partition ends, and after a failover, healthy workers need time to send a heartbeat: releasing silent machines at
+    once cost 276 machines within seconds of the end of a partition and a failover.
     """
-    all_silent = [silent for zones in silent_by_zone.values() for silent in zones]
-    for zone, silent in silent_by_zone.items():
-        if sum(silent) * 2 <= max(len(silent), 2) and sum(all_silent) * 3 <= max(len(all_silent), 3):
+    all_flags = [is_silent for zone_flags in silent_by_zone.values() for is_silent in zone_flags]
+    for zone, zone_flags in silent_by_zone.items():
+        if sum(zone_flags) * 2 <= max(len(zone_flags), 2) and sum(all_flags) * 3 <= max(len(all_flags), 3):
             cluster_state.zone_responsive_since.setdefault(zone, now)
         else:
             cluster_state.zone_responsive_since.pop(zone, None)
@@ -68,7 +71,7 @@
 def _has_idle_gpus(
     cluster_state: ClusterState, machine: Machine, waiting_specs: list[JobSpec], idle_limit: timedelta, now: datetime
 ) -> bool:
-    """CPU-only work on a GPU machine must not keep it: the machine is paid for its GPUs."""
+    """Whether a GPU machine is released for its idle GPUs, even if CPU-only tasks run on it: its GPUs set its price."""
     return (
         machine.machine_type.gpus > 0
         and machine.gpu_task_count == 0
@@ -90,11 +93,11 @@
     now: datetime,
     retained: Container[str] = frozenset(),
 ) -> list[MachineRelease]:
-    """Machines to release, and why. Those named in `retained` are kept for expected work though they are idle.
+    """Return the machines to release, with reasons. Idle machines named in `retained` are kept for expected work.
 
-    Also updates since when the machines of each zone have been heard (`cluster_state.zone_responsive_since`).
+    Also updates since when each zone has been responsive (`cluster_state.zone_responsive_since`).
     """
-    _update_zone_contact(cluster_state, _silence_by_zone(cluster_state, now), now)
+    _update_responsive_zones(cluster_state, _silence_by_zone(cluster_state, now), now)
     slowdown = boot_slowdown(cluster_state, now)
     waiting_specs = [run.spec for run, _ in scheduling_pass.unplaced]
     idle_limits = {machine_type.name: idle_timeout(machine_type) for machine_type in cluster_state.catalog.values()}
@@ -118,11 +121,11 @@
 
 
 def _silence_by_zone(cluster_state: ClusterState, now: datetime) -> dict[str, list[bool]]:
-    """For each machine that is not booting, by zone: whether it has been silent for too long."""
+    """By zone, for each machine that is not booting: whether its last heartbeat is too long ago."""
     silent_by_zone: dict[str, list[bool]] = {}
     for machine in cluster_state.machines.values():
         if not machine.is_booting:
-            # A machine that accepts connections is hung, and shows that the network path to it is up.
+            # A hung machine accepts connections, which proves that the network path to it is up.
             silent_by_zone.setdefault(machine.zone, []).append(
                 not machine.is_hung
                 and cluster_state.time_since_heartbeat(machine, now) > cluster_state.max_heartbeat_age
@@ -131,7 +134,8 @@
 
 
 def _has_failed_to_boot(machine: Machine, slowdown: float, silence_limit: timedelta, now: datetime) -> bool:
-    # One that this leader found in the list may be up for long, and not have sent it a heartbeat yet.
+    # A machine that this leader learned of from the list may have booted long ago, and not have sent this leader a
+    # heartbeat yet.
     boot_deadline = machine.machine_type.boot_duration * FAILED_BOOT_FACTOR * slowdown + FAILED_BOOT_GRACE
     return now > max(machine.scaled_out_at + boot_deadline, machine.known_since + silence_limit)
 
@@ -139,20 +143,20 @@
 def _loss_reason(
     cluster_state: ClusterState, machine: Machine, silence_limit: timedelta, now: datetime
 ) -> ReleaseReason | None:
-    """Why a machine that had booted counts as lost, or None."""
+    """Return why a machine that has booted counts as lost, or None."""
     heartbeat_interval = cluster_state.settings.params.workers.heartbeat_interval
     if (
         machine.spot_reclaim_at is not None
         and cluster_state.time_since_heartbeat(machine, now) > heartbeat_interval * 2 + RECLAIM_SILENCE_GRACE
     ):
-        # The cloud announced that it would reclaim it, and it has fallen silent.
+        # The cloud announced that it would reclaim the machine, and the heartbeats have stopped.
         return ReleaseReason.SILENT
     if machine.is_unreachable and is_lost(cluster_state, machine, now):
         return ReleaseReason.UNREACHABLE
     responsive_since = cluster_state.zone_responsive_since.get(machine.zone, now)
     if now - responsive_since > silence_limit and is_lost(cluster_state, machine, now):
-        # Once the release is answered, everything on the machine is proven gone. That is sooner
-        # than its lease, and much sooner than the leases that an earlier leader may have renewed.
+        # The answer to the release proves that the machine's tasks are gone, before its lease expires, and well before
+        # leases expire that an earlier leader may have renewed.
         return ReleaseReason.SILENT
     return None
 
@@ -160,9 +164,9 @@
 def _idle_reason(
     cluster_state: ClusterState, machine: Machine, waiting_specs: list[JobSpec], idle_limit: timedelta, now: datetime
 ) -> ReleaseReason | None:
-    """Why a machine that runs is not worth its price, or None."""
+    """Return why a running machine is released although it is not lost, or None."""
     if (machine.machine_type.name, machine.zone, machine.is_spot) not in cluster_state.obtained_instance_pools:
-        # Nobody knows whether another like it can be had.
+        # A replacement from the same offer may not be available.
         idle_limit *= UNCERTAIN_OFFER_FACTOR
     if _has_idle_gpus(cluster_state, machine, waiting_specs, idle_limit, now):
         return ReleaseReason.GPUS_IDLE
