--- a/roseweir/cloud/liveness.py
+++ b/roseweir/cloud/liveness.py
@@ -1,15 +1,16 @@
-"""Which silent machines are hung and will go on, and which are lost. Pure.
-
-On a machine without power, or behind a network partition, a connection attempt times out. A hung machine's operating
-system still accepts the connection, and only its worker does not answer. So a silent machine is probed: one that
-accepts the connection is waited for, one that does not is released sooner than `silence_timeout` alone would allow.
-Before, 200 machines that hung for less than their lease were released after two missed heartbeats, and others booted
-for 50 s in their place (simulated day, mass-fall at 1.8 times the size).
-
-Bounds: a hung machine is waited for MAX_HUNG_LEASES leases from its last heartbeat. One that accepts no connection is
-lost once its heartbeat is overdue and MIN_FAILED_PROBES probes have failed, if most of its zone is heard: what holds
-for it alone is not a partition, and its release proves its tasks gone. One that could not be probed is lost after
-`silence_timeout`.
+"""Decides which silent machines are hung and will recover, and which are lost. Pure: no I/O, and no clock.
+
+A connection attempt to a machine that is powered off, or behind a network partition, times out. The operating system of
+a hung machine still accepts the connection, but its worker does not answer. So silent machines are probed: one that
+accepts the connection is kept, one that does not is released sooner than after `silence_timeout`. Without probes, 200
+machines that hung for less than their lease were released after two missed heartbeats, and their replacements took 50 s
+to boot (simulated day, a failure of many machines at once at 1.8 times the size).
+
+- A hung machine is lost MAX_HUNG_LEASES leases after its last heartbeat.
+- A machine that accepts no connection is lost once its heartbeat is overdue and MIN_FAILED_PROBES probes have failed,
+  provided that most of its zone sends heartbeats: a partition would silence the zone, not a single machine. The release
+  proves that its tasks are gone.
+- A machine that could not be probed is lost after `silence_timeout`.
 """
 
 import logging
@@ -22,20 +23,18 @@
 
 log = logging.getLogger(__name__)
 
-# A heartbeat comes a quarter of its interval late at most, and its response may have been held: with this added to the
-# interval and the quarter, it is overdue.
+# A heartbeat is at most a quarter of its interval late. The grace covers a response that was held, which delays the
+# next heartbeat.
 LATEST_HEARTBEAT_FACTOR = 1.25
 HEARTBEAT_OVERDUE_GRACE = timedelta(seconds=2.5)
-# How often a silent machine is probed, how long a probe may take, and how many must fail.
 PROBE_INTERVAL = timedelta(seconds=1)
 PROBE_TIMEOUT = timedelta(milliseconds=500)
 MIN_FAILED_PROBES = 2
-# A hung machine is lost after this many leases without a heartbeat.
 MAX_HUNG_LEASES = 2
 
 
 def silence_timeout(cluster_state: ClusterState) -> timedelta:
-    """How long a machine of which nothing else is known may be silent before it is lost."""
+    """How long a machine that could not be probed may send no heartbeat before it is lost."""
     return min(
         cluster_state.settings.params.workers.heartbeat_interval * 2 + LEADER_SEARCH_TOLERANCE,
         cluster_state.max_lease_duration,
@@ -49,7 +48,7 @@
 
 
 def machines_to_probe(cluster_state: ClusterState, now: datetime) -> list[Machine]:
-    """Silent machines to probe now, those silent for the shortest first: their tasks can still be saved."""
+    """Return the silent machines to probe now, most recent heartbeat first: their tasks can still be saved."""
     overdue_after = heartbeat_overdue_after(cluster_state)
     silent_machines = [
         m
@@ -69,9 +68,9 @@
 ) -> None:
     """Record whether a probe's connection was accepted.
 
-    A probe that timed out late says more about this node than about the machine, and is not counted. A heartbeat since
-    the probe proves that a silent machine is alive, and nothing about one that is suspected of a one-way partition:
-    heartbeats come from it all the time.
+    A failed probe that took much longer than its timeout is not counted: this node was probably overloaded. A heartbeat
+    since the probe proves that a silent machine is alive, but proves nothing about a machine that is suspected of a
+    one-way partition: such a machine keeps sending heartbeats.
     """
     if machine.last_heartbeat_at >= probed_at and not machine.is_suspected:
         return
@@ -87,7 +86,7 @@
 
 
 def is_lost(cluster_state: ClusterState, machine: Machine, now: datetime) -> bool:
-    """Whether the machine should be released: it has been silent or unreachable for longer than it is waited for."""
+    """Whether the machine has been silent or unreachable for too long, and should be released."""
     if machine.is_unreachable:
         return now - machine.unreachable_since > cluster_state.max_lease_duration
     silent_for = cluster_state.time_since_heartbeat(machine, now)
@@ -99,7 +98,7 @@
 
 
 def counts_as_capacity(cluster_state: ClusterState, machine: Machine, now: datetime) -> bool:
-    """Whether the machine counts as capacity: it runs, or is hung and expected to go on."""
+    """Whether the machine counts as capacity: it is running, or hung and expected to recover."""
     return cluster_state.time_since_heartbeat(machine, now) <= cluster_state.max_lease_duration * (
         MAX_HUNG_LEASES if machine.is_hung else 1
     )
