--- a/roseweir/cloud/capacity.py
+++ b/roseweir/cloud/capacity.py
@@ -1,4 +1,4 @@
-"""What machines add to the GPU and CPU pools, and which machines count. Pure."""
+"""Capacity of machines in the GPU and CPU pools, and which machines count as available. Pure: no I/O, and no clock."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -11,22 +11,19 @@
 
 
 def units_per_task(spec: JobSpec) -> float:
-    """What one task takes of its pool: GPUs if the job needs any, else CPUs."""
+    """Return the units that one task takes from its pool: GPUs if the job needs any, else CPUs."""
     return spec.gpus if spec.gpus > 0 else spec.cpus
 
 
-def pool_capacity(machine_type: MachineType, is_gpu_pool: bool, gpu_cpus: float) -> float:
-    """What a machine of the type adds to a pool: its GPUs, or the CPUs that are not reserved for its GPUs.
-
-    `gpu_cpus` is the number of CPUs reserved for each GPU.
-    """
+def pool_capacity(machine_type: MachineType, is_gpu_pool: bool, cpus_reserved_per_gpu: float) -> float:
+    """Return what a machine of the type adds to a pool: its GPUs, or the CPUs that are not reserved for its GPUs."""
     if is_gpu_pool:
         return machine_type.gpus
-    return max(0.0, machine_type.cpus - machine_type.gpus * gpu_cpus)
+    return max(0.0, machine_type.cpus - machine_type.gpus * cpus_reserved_per_gpu)
 
 
 def tasks_per_machine(cluster_state: ClusterState, spec: JobSpec, machine_type: MachineType) -> int:
-    """How many of the job's tasks an empty machine of the type takes, beside the CPUs that are kept for its GPUs."""
+    """Return how many of the job's tasks fit on an empty machine of the type, beside the CPUs reserved for its GPUs."""
     return (
         Machine("", machine_type, "", False).count_fitting_tasks(spec, cluster_state.max_cpus_per_gpu)
         if spec.fits_machine_type(machine_type)
@@ -35,7 +32,7 @@
 
 
 def available_machines(cluster_state: ClusterState, now: datetime) -> Iterable[Machine]:
-    """Machines that run, or that boot and are not late; cordoned, draining and lost ones are left out."""
+    """Yield running machines, and booting ones that are not late; cordoned, draining and lost ones are left out."""
     slowdown = boot_slowdown(cluster_state, now)
     for machine in cluster_state.machines.values():
         if (
--- a/roseweir/cloud/offers.py
+++ b/roseweir/cloud/offers.py
@@ -1,4 +1,4 @@
-"""What the cloud has on offer, and which offers are the cheapest for a job. Pure."""
+"""Machine offers of the cloud, and the choice of the cheapest ones for a job. Pure: no I/O, and no clock."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,17 +11,18 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.submissions.jobs import JobSpec, MachineType
 
-# After a refusal the same type, zone and pricing is requested again this much later.
+# How long after a refusal the same type, zone and pricing may be requested again.
 OFFER_RETRY_INTERVAL = timedelta(seconds=12)
 MAX_MACHINES_PER_REQUEST = 10
 # Differences between sums of units below this are rounding errors.
 UNIT_TOLERANCE = 1e-6
-# Tasks that need less of their pool count as this much, so that no machine takes endlessly many.
+# Units counted at least for each task, and for the tasks on a machine: tasks may need almost none, and the number of
+# machines to rent is a quotient by these units.
 MIN_UNITS = 1e-3
 
 
 class MachineOffer(NamedTuple):
-    """Machines of one type in one zone, as spot instances or at the full price."""
+    """Machines of one type in one zone, as spot instances or at the regular price."""
 
     type_name: str
     zone: str
@@ -30,26 +31,26 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineRequest:
-    """How many machines of one offer to rent, and what for."""
+    """How many machines of one offer to rent, and for which purpose."""
 
     type_name: str
     zone: str
     is_spot: bool
     count: int
-    is_forecast: bool = False  # for demand that is only expected
-    is_surge: bool = False  # to take the place of one that is drained
+    is_forecast: bool = False  # for forecast demand
+    is_surge: bool = False  # to replace a machine that is drained
 
     @property
     def offer(self) -> MachineOffer:
-        """The offer that the request is for."""
+        """The offer from which the machines are requested."""
         return MachineOffer(self.type_name, self.zone, self.is_spot)
 
 
 class _RankedOffer(NamedTuple):
-    """An offer that a job may use. The first three fields give the order: cheapest, fewest machines, zone name."""
+    """An offer that a job may use. Sorted by the first three fields: price, machines in the zone, zone name."""
 
     price_per_task: float
-    machine_count: int  # of the type that are in the zone already
+    machine_count: int  # machines of the type that are already in the zone
     zone: str
     offer: MachineOffer
     tasks_per_machine: int
@@ -63,9 +64,9 @@
     machine_requests: list[MachineRequest],
     now: datetime,
 ) -> float:
-    """Add requests for a job's missing units to `machine_requests`, the cheapest offer for a task first.
+    """Add requests for a job's missing units to `machine_requests`, lowest price per task first.
 
-    Returns the units that the added requests bring: fewer than requested if the offers do not suffice.
+    Returns the units that the added requests provide: fewer than requested if the offers do not suffice.
     """
     requested_offers = {request.offer for request in machine_requests}
     offers: list[_RankedOffer] = []
@@ -92,11 +93,11 @@
     requested_offers: set[MachineOffer],
     now: datetime,
 ) -> Iterable[_RankedOffer]:
-    """The offers of one machine type that the job may use, and that are neither refused nor requested already."""
+    """Yield the offers of a machine type that the job may use, and that are neither refused nor already requested."""
     if not spec.fits_machine_type(machine_type):
         return
-    tasks_per_offer = tasks_per_machine(cluster_state, spec, machine_type)
-    if tasks_per_offer <= 0:
+    tasks_per_offered_machine = tasks_per_machine(cluster_state, spec, machine_type)
+    if tasks_per_offered_machine <= 0:
         return
     for zone in machine_type.zones:
         if spec.zone is not None and zone != spec.zone:
@@ -115,4 +116,4 @@
         )
         for offer in offers:
             price = machine_type.spot_price if offer.is_spot else machine_type.price
-            yield _RankedOffer(price / tasks_per_offer, machine_count, zone, offer, tasks_per_offer)
+            yield _RankedOffer(price / tasks_per_offered_machine, machine_count, zone, offer, tasks_per_offered_machine)
