--- a/roseweir/cloud/client.py
+++ b/roseweir/cloud/client.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud's API, within its rate limit."""
+"""Client of the cloud's API that keeps to its rate limit."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -19,7 +19,7 @@
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_RELEASE = 100
 MACHINES_PER_PAGE = 500
-# The leader makes almost all calls; the rest of the rate is left to nodes that read the catalog.
+# The leader makes almost all calls; the rest of the rate is left for other nodes, which only read the catalog.
 LEADER_RATE_FRACTION = 0.8
 RATE_BURST_S = 2.0
 
@@ -27,24 +27,24 @@
 
 
 class CloudClient:
-    """The cloud's API. Every call may raise `CloudError`, or `Unreachable` if its outcome is unknown."""
+    """Calls the cloud's API. Every call may raise `CloudError`, or `Unreachable` if its outcome is unknown."""
 
     def __init__(self, address: str, settings: CloudSettings, connect: Connect = connect) -> None:
         self._send = connect(address, CONNECTION_POOL_SIZE)
         self._rate_limiter = RateLimiter(settings.max_requests_per_s * LEADER_RATE_FRACTION, burst_s=RATE_BURST_S)
 
     async def read_catalog(self) -> list[MachineType]:
-        """The machine types that can be rented."""
+        """Return the machine types that can be rented."""
         value = _decode(await self._call("GET", "/catalog"), wire.Catalog)
         return [entry.to_machine_type() for entry in value.machine_types]
 
     async def rent_machines(
         self, request_id: str, offer: MachineOffer, count: int, may_act: Callable[[], bool]
     ) -> list[str]:
-        """Rent up to `count` machines, at most `MAX_MACHINES_PER_RENTAL`; returns the names of those obtained.
+        """Rent up to `count` machines, at most `MAX_MACHINES_PER_RENTAL`; return the names of those obtained.
 
-        Idempotent: a repeated call with the same `request_id` rents nothing more. Raises `NoCapacity` if there is
-        none, `NotLeading` if `may_act` is false when the request's turn comes.
+        Idempotent: a repeated call with the same `request_id` rents no further machines. Raises `NoCapacity` if the
+        cloud has none, `NotLeading` if `may_act` returns false after the wait for the rate limiter.
         """
         body = wire.rental_request(
             request_id, offer.type_name, offer.zone, offer.is_spot, min(count, MAX_MACHINES_PER_RENTAL)
@@ -52,12 +52,12 @@
         return _decode(await self._call("POST", "/machines", body, may_act), wire.RentedMachines).machine_names
 
     async def release_machines(self, machine_names: list[str], may_act: Callable[[], bool]) -> None:
-        """Release machines, the first `MAX_MACHINES_PER_RELEASE` of those named. Errors as in `rent_machines`."""
+        """Release the first `MAX_MACHINES_PER_RELEASE` of the named machines. Raises as `rent_machines` does."""
         body = wire.release_request(machine_names[:MAX_MACHINES_PER_RELEASE])
         await self._call("POST", "/machines/release", body, may_act)
 
     async def list_machines(self) -> list[wire.ListedMachine]:
-        """All machines that the cloud lists as rented, read page by page. The list lags behind rentals and releases."""
+        """Read all pages of the cloud's list of rented machines. The list lags behind rentals and releases."""
         listed: list[wire.ListedMachine] = []
         after = ""
         while True:
@@ -72,7 +72,8 @@
         self, method: str, path: str, body: object = None, may_act: Callable[[], bool] | None = None
     ) -> object:
         await self._rate_limiter.acquire()
-        # The rate limiter may have taken long, and the process may have been paused: the right to act is checked last.
+        # The leader lease is checked last: it may have expired while the rate limiter delayed the call, or while the
+        # process was paused.
         if may_act is not None and not may_act():
             raise NotLeading
         reply = await self._send(method, path, body, timeout=REQUEST_TIMEOUT)
--- a/roseweir/cloud/errors.py
+++ b/roseweir/cloud/errors.py
@@ -1,10 +1,10 @@
-"""What a call to the cloud raises when the cloud does not do what it is asked."""
+"""Errors of calls to the cloud's API."""
 
 from roseweir.kv_store import StoreError
 
 
 class CloudError(Exception):
-    """Base of the errors that a call to the cloud raises, other than `roseweir.http.Unreachable`."""
+    """Base of the errors that calls to the cloud raise, other than `roseweir.http.Unreachable`."""
 
 
 class NoCapacity(CloudError):
@@ -18,8 +18,8 @@
 class CloudRequestFailed(CloudError, StoreError):
     """The cloud answered with an error status.
 
-    Also a `StoreError`, since the catalog is read in one step with values of the key-value store by callers
-    that catch that one.
+    Also a `StoreError`, since callers that read the catalog together with values of the key-value store catch
+    `StoreError`.
     """
 
     def __init__(self, path: str, status: int) -> None:
@@ -29,7 +29,7 @@
 
 
 class NotLeading(CloudError, StoreError):
-    """The request was not sent: the right to act had ended when its turn came."""
+    """The request was not sent: after the wait for the rate limiter, this node no longer surely led."""
 
     def __init__(self) -> None:
-        super().__init__("this node may not lead any more")
+        super().__init__("leader lease no longer valid; request not sent")
--- a/roseweir/cloud/machine_inventory.py
+++ b/roseweir/cloud/machine_inventory.py
@@ -1,4 +1,4 @@
-"""Reconciliation of the machines that the cloud lists with those that the leader knows."""
+"""Reconciles the cloud's list of rented machines with the machines in the leader's cluster state."""
 
 import logging
 from datetime import datetime
@@ -12,21 +12,21 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that neither the list nor a heartbeat shows is forgotten after this many times the list's lag, and a lease.
+# A machine that is not listed and sends no heartbeat is removed after this many listing lags, and one lease.
 UNLISTED_LAG_FACTOR = 4
 
 
 class MachineInventory:
-    """Adds machines to the cluster state when they are listed or rented, and drops those that are gone."""
+    """Adds machines to the cluster state when they are listed or rented, and removes those that are gone."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self.cluster_state = cluster_state
         self._last_listed_at: dict[str, datetime] = {}
 
     def reconcile(self, listed: list[ListedMachine], now: datetime) -> None:
-        """Adopt what the list shows and nobody knew; drop what has failed.
+        """Add listed machines that are missing from the cluster state, and mark failed ones for release.
 
-        The list lags, so what it does not show proves nothing for a while.
+        The list lags, so a machine that is not listed is removed only after a delay.
         """
         for entry in listed:
             if entry.name in self.cluster_state.released_machines:
@@ -36,10 +36,10 @@
                 continue
             self._last_listed_at[entry.name] = now
             self._reconcile_machine(entry, machine_type, now)
-        self._forget_unseen(now)
+        self._forget_missing_machines(now)
 
     def add_rented(self, machine_name: str, offer: MachineOffer, rented_at: datetime, now: datetime) -> None:
-        """Enter a machine that was just rented, unless its release was already answered."""
+        """Add a machine that was just rented, unless it has already been released."""
         cluster_state = self.cluster_state
         machine = cluster_state.machines.get(machine_name)
         if machine is None and machine_name not in cluster_state.released_machines:
@@ -55,11 +55,11 @@
         if machine is None:
             machine = self._add_booting(entry.name, machine_type, entry.zone, entry.is_spot, now)
             machine.scaled_out_at = rented_at
-            log.debug("machine found in the list: machine=%s state=%s", entry.name, entry.state)
+            log.debug("machine added from the list: machine=%s state=%s", entry.name, entry.state)
         elif machine.scaled_out_at == NEVER:
             machine.scaled_out_at = rented_at
         if entry.state == FAILED:
-            self.cluster_state.expire_machine(machine, now, "the cloud lists it as failed")
+            self.cluster_state.expire_machine(machine, now, "listed as failed")
             machine.is_marked_for_release = True
         elif entry.state == BOOTING and machine.is_booting and not machine.address:
             machine.scaled_out_at = min(machine.scaled_out_at, rented_at)
@@ -72,17 +72,17 @@
         self.cluster_state.machines[machine_name] = machine
         return machine
 
-    def _forget_unseen(self, now: datetime) -> None:
-        """Forget machines without tasks that have been neither listed nor heard of for long."""
+    def _forget_missing_machines(self, now: datetime) -> None:
+        """Remove machines without tasks that have neither been listed nor sent a heartbeat for a long time."""
         cluster_state = self.cluster_state
         listing_lag = cluster_state.settings.params.cloud.listing_lag
-        max_unseen = listing_lag * UNLISTED_LAG_FACTOR + cluster_state.max_lease_duration
+        missing_timeout = listing_lag * UNLISTED_LAG_FACTOR + cluster_state.max_lease_duration
         for machine in list(cluster_state.machines.values()):
-            last_seen = max(
+            last_seen_at = max(
                 self._last_listed_at.get(machine.name, machine.known_since),
                 machine.last_heartbeat_at,
                 cluster_state.term_started_at,
             )
-            if now - last_seen > max_unseen and not machine.placements:
-                cluster_state.forget_machine(machine.name, now, "neither listed nor heard of")
+            if now - last_seen_at > missing_timeout and not machine.placements:
+                cluster_state.forget_machine(machine.name, now, "not listed, no heartbeat")
                 self._last_listed_at.pop(machine.name, None)
--- a/roseweir/cloud/messages.py
+++ b/roseweir/cloud/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the cloud's API. The published names occur here only, in `rename=` and in the request bodies."""
+"""Messages of the cloud's API. Its field names occur only here, in `rename=` and in the request bodies."""
 
 from typing import Any
 
@@ -87,9 +87,9 @@
 FAILED = "failed"
 
 
-def rental_request(request_id: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+def rental_request(request_id: str, type_name: str, zone: str, is_spot: bool, count: int) -> dict[str, Any]:
     """Body of `POST /machines`. The request id makes the call idempotent."""
-    return {"requisition": request_id, "build": type_name, "yard": zone, "loaners": spot, "how_many": count}
+    return {"requisition": request_id, "build": type_name, "yard": zone, "loaners": is_spot, "how_many": count}
 
 
 def release_request(machine_names: list[str]) -> dict[str, Any]:
--- a/roseweir/cloud/rental.py
+++ b/roseweir/cloud/rental.py
@@ -1,4 +1,4 @@
-"""Rental of machines: one requisition for each request, and which offers were refused."""
+"""Rents machines with idempotent requests, and records which offers were refused."""
 
 import asyncio
 import logging
@@ -18,12 +18,12 @@
 
 MAX_RENTAL_ATTEMPTS = 4
 MAX_CONCURRENT_RENTALS = 6
-# After a call that failed for another reason than capacity, the same offer is tried again this much later.
+# How long after a call that failed for a reason other than capacity the same offer may be tried again.
 FAILED_CALL_RETRY_INTERVAL = seconds(2)
 
 
 class MachineRental:
-    """Rents what is requested, one call for an offer at a time, and knows which offers were refused."""
+    """Rents the requested machines, with one pending call per offer, and records which offers were refused."""
 
     def __init__(
         self,
@@ -49,21 +49,27 @@
         self.refused_until.pop(offer, None)
 
     def start_rentals(self, machine_requests: list[MachineRequest], group: asyncio.TaskGroup) -> None:
-        """Start, as tasks of the group, the rentals whose offer has none pending, as far as there is room."""
+        """Start rentals as tasks of the group, at most MAX_CONCURRENT_RENTALS and one per offer.
+
+        Other requests are dropped: the next scaling decision repeats them.
+        """
         for machine_request in machine_requests:
             offer = machine_request.offer
             if offer not in self._pending_offers and len(self._pending_offers) < MAX_CONCURRENT_RENTALS:
                 self._pending_offers.add(offer)
-                group.create_task(self._rent_and_release_offer(machine_request, offer))
+                group.create_task(self._rent_pending_offer(machine_request, offer))
 
-    async def _rent_and_release_offer(self, machine_request: MachineRequest, offer: MachineOffer) -> None:
+    async def _rent_pending_offer(self, machine_request: MachineRequest, offer: MachineOffer) -> None:
         try:
             await self._rent(machine_request, offer)
         finally:
             self._pending_offers.discard(offer)
 
     async def _rent(self, machine_request: MachineRequest, offer: MachineOffer) -> None:
-        """Rent with one request id that is never used again by anybody: repeating it unanswered rents nothing twice."""
+        """Rent machines. A call with unknown outcome is retried with the same request id, so nothing is rented twice.
+
+        The id contains the term and a counter, so that no other rental uses it.
+        """
         self._request_count += 1
         request_id = f"r-{self.cluster_state.term}-{self._request_count}"
         for _ in range(MAX_RENTAL_ATTEMPTS):
@@ -78,7 +84,7 @@
             except Unreachable:
                 continue
             except StoreError as e:
-                log.info("rental failed: %s", e)
+                log.info("machine rental failed: error=%s", e)
                 self.refuse(offer, monotonic_now() + FAILED_CALL_RETRY_INTERVAL)
                 return
             self._record_rented(machine_request, offer, machine_names, sent_at)
