--- a/roseweir/http/__init__.py
+++ b/roseweir/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over asyncio streams and h11: one small server, one small client."""
+"""HTTP/1.1 server and client over asyncio streams and h11."""
 
 from roseweir.http.client import Client, Connect, Reply, Transport, connect
 from roseweir.http.errors import HttpError, Unreachable
--- a/roseweir/http/client.py
+++ b/roseweir/http/client.py
@@ -1,4 +1,4 @@
-"""The client side: pooled connections to one address, and a timeout on every request."""
+"""HTTP client with pooled connections to one address, and a timeout on every request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An answer of any status, with its whole body."""
+    """A response of any status, with its complete body."""
 
     status: int
     body: bytes
 
     def json(self) -> Any:
-        """The decoded body. Raises `Unreachable` if it is not JSON."""
+        """Return the decoded body. Raises `Unreachable` if it is not JSON."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError as e:
@@ -41,12 +41,12 @@
 
 
 def connect(address: str, pool_size: int) -> Transport:
-    """A transport to an address, `host:port`. Tests pass their own function in its place."""
+    """Return a transport to an address, `host:port`. Tests replace this function with their own."""
     return Client(address, pool_size).request
 
 
 class Client:
-    """Requests to one host and port. Idle connections are kept in a small pool, and dropped after any error."""
+    """Sends requests to one host and port. Idle connections are pooled; after an error a connection is closed."""
 
     def __init__(self, address: str, pool_size: int = 4) -> None:
         host, _, port = address.rpartition(":")
@@ -55,9 +55,9 @@
         self._max_idle_connections = pool_size
 
     async def request(self, method: str, path: str, body: object = None, *, timeout: timedelta) -> Reply:
-        """Send one request, with `body` as JSON if there is one, and read the whole answer.
+        """Send one request, with `body` as JSON unless it is None, and read the complete response.
 
-        Raises `Unreachable` if no answer came within `timeout`, which covers connecting, sending and reading.
+        Raises `Unreachable` if no response arrived within `timeout`, which covers connecting, sending and reading.
         """
         payload = b"" if body is None else orjson.dumps(body)
         connection: _PooledConnection | None = None
@@ -88,7 +88,8 @@
                 return connection
             connection.writer.transport.abort()
         reader, writer = await asyncio.open_connection(self.host, self.port)
-        # A request sent under a lease must leave in the same step in which the lease was checked, not be buffered.
+        # A request that relies on a lease must be sent in the step of the event loop in which the lease was checked, so
+        # it is not buffered.
         writer.transport.set_write_buffer_limits(high=0)
         return _PooledConnection(reader, writer, h11.Connection(h11.CLIENT))
 
@@ -106,7 +107,7 @@
         connection.writer.write(outgoing)
         await connection.writer.drain()
         status = 0
-        parts: list[bytes] = []
+        body_parts: list[bytes] = []
         while True:
             event = h11_connection.next_event()
             if event is h11.NEED_DATA:
@@ -114,10 +115,10 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
+                body_parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 is_reusable = h11_connection.our_state is h11.DONE and h11_connection.their_state is h11.DONE
-                return Reply(status, b"".join(parts)), is_reusable
+                return Reply(status, b"".join(body_parts)), is_reusable
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("closed early")
 
--- a/roseweir/http/errors.py
+++ b/roseweir/http/errors.py
@@ -6,9 +6,9 @@
 
 
 class Unreachable(HttpError):
-    """No usable answer came: the outcome is unknown. The request may have run, or may still run later.
+    """No usable response arrived, so the outcome is unknown: the request may have been executed, or may be later.
 
-    `connected`: the other side accepted the connection, so something runs there.
+    `connected`: whether the server accepted the connection, so that at least its operating system is running.
     """
 
     def __init__(self, message: str, connected: bool = False) -> None:
--- a/roseweir/http/server.py
+++ b/roseweir/http/server.py
@@ -1,4 +1,4 @@
-"""The server side: one coroutine per connection, with every wait and buffer bounded."""
+"""HTTP server with one coroutine per connection; every wait and every buffer is bounded."""
 
 import asyncio
 import logging
@@ -23,36 +23,35 @@
 READ_TIMEOUT = timedelta(seconds=5)
 IDLE_TIMEOUT = timedelta(seconds=60)
 WRITE_TIMEOUT = timedelta(seconds=5)
-# Connections that the operating system accepts ahead of the listener.
+# Connections that the operating system queues until the listener accepts them.
 MAX_BACKLOG = 256
-# How often a listener looks for connections whose deadline has passed.
 DEADLINE_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 END_OF_MESSAGE = h11.EndOfMessage()
 
 Handler = Callable[[Request], Awaitable[Response]]
-# The class of the client, as far as the request tells.
+# Determines the client's class from its request alone.
 ClassifyRequest = Callable[[Request], ConnectionClass]
-# When a client that is refused for lack of connections is told to retry.
+# Value of the retry-after header for clients that are refused because connections are scarce.
 RETRY_AFTER = timedelta(seconds=1)
 
 
 class ServerConnection:
-    """A connection: the deadline of its next step, and the state of its HTTP protocol."""
+    """A client's connection, the deadline of the pending read or write, and the state of the HTTP protocol."""
 
     __slots__ = ("deadline", "h11_connection", "reader", "writer")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        # A response leaves in the step that makes it, since the leases that it relies on are checked in that step.
-        # uvloop would keep it to the end of the loop's iteration, which may have a scheduling pass in it.
+        # A response relies on leases that are checked in the step of the event loop that creates it, so it is sent in
+        # that step. By default uvloop buffers it until the end of the iteration, which may contain a scheduling pass.
         writer.transport.set_write_buffer_limits(high=0)
         self.h11_connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.deadline = FOREVER
 
 
 class Listener:
-    """Listens and answers; `admission` decides which connections stay when there are too many."""
+    """Accepts connections and answers requests; `admission` decides which stay open when connections are scarce."""
 
     def __init__(
         self, handler: Handler, admission: "ConnectionAdmission[ServerConnection]", classify_request: ClassifyRequest
@@ -70,11 +69,11 @@
         self._server = await asyncio.start_server(
             self._handle_connection, host, port, limit=MAX_BODY_BYTES, backlog=backlog
         )
-        self._deadline_task = asyncio.create_task(self._close_expired())
+        self._deadline_task = asyncio.create_task(self._abort_expired_connections())
 
     @property
     def sockets(self) -> Sequence[socket]:
-        """The sockets that are listened on."""
+        """The listening sockets."""
         assert self._server is not None
         return self._server.sockets
 
@@ -94,8 +93,11 @@
         self._server.close()
         await self._server.wait_closed()
 
-    async def _close_expired(self) -> None:
-        """Check all connections' deadlines now and then: a timer for each wait was a quarter of a request's cost."""
+    async def _abort_expired_connections(self) -> None:
+        """Close connections whose deadline has passed, by a periodic check of all of them.
+
+        A timer for each wait would be a quarter of the cost of a request.
+        """
         while True:
             await sleep(DEADLINE_CHECK_INTERVAL)
             now = monotonic_now()
@@ -108,7 +110,7 @@
         if evicted is not None:
             evicted.writer.transport.abort()
         if not is_admitted:
-            # No connection is idle: the new one is closed at once, cheaply.
+            # No connection is idle, so none can be replaced: the new one is closed without a response.
             writer.transport.abort()
             return
         self._connections.add(connection)
@@ -117,7 +119,7 @@
         except (ConnectionError, TimeoutError, OSError):
             pass
         except asyncio.CancelledError:
-            # The event loop is closing; streams would log a cancellation that nobody can act on.
+            # The event loop is closing; asyncio streams would log the cancellation, which is no fault.
             pass
         finally:
             self._connections.discard(connection)
@@ -153,7 +155,7 @@
         try:
             return await self._handler(request)
         except Exception:
-            log.exception("request failed: %s %s", request.method, request.path)
+            log.exception("request failed: method=%s path=%s", request.method, request.path)
             return json_response(500, {"error": "internal"})
 
 
@@ -174,36 +176,36 @@
 
 
 async def _receive_request(connection: ServerConnection) -> Request | None:
-    """Read one whole request; None when the other side is done."""
+    """Read one complete request; return None if the client closed the connection."""
     h11_connection = connection.h11_connection
     head: h11.Request | None = None
-    parts: list[bytes] = []
-    size = 0
-    # IDLE_TIMEOUT is long; once a head has begun, the whole request has READ_TIMEOUT.
+    body_parts: list[bytes] = []
+    body_size = 0
+    # The first byte has to arrive within IDLE_TIMEOUT, and the rest of the request within READ_TIMEOUT after it.
     connection.deadline = monotonic_now() + IDLE_TIMEOUT
-    has_begun = False
+    has_request_begun = False
     event: Any = h11_connection.next_event() if h11_connection.trailing_data[0] else h11.NEED_DATA
     while True:
         if event is h11.NEED_DATA:
             data = await connection.reader.read(MAX_BODY_BYTES)
-            if data and not has_begun:
-                has_begun = True
+            if data and not has_request_begun:
+                has_request_begun = True
                 connection.deadline = monotonic_now() + READ_TIMEOUT
             h11_connection.receive_data(data)
         elif isinstance(event, h11.Request):
             head = event
         elif isinstance(event, h11.Data):
-            size += len(event.data)
-            if size <= MAX_BODY_BYTES:
-                parts.append(bytes(event.data))
+            body_size += len(event.data)
+            if body_size <= MAX_BODY_BYTES:
+                body_parts.append(bytes(event.data))
             else:
-                # Read on for a while without keeping anything: closing on unread data would
-                # reset the connection, and the answer with it.
-                parts.clear()
-                if size > MAX_DRAINED_BYTES:
+                # Up to MAX_DRAINED_BYTES are read and discarded: closing a connection with unread data resets it, and
+                # the client may lose the response.
+                body_parts.clear()
+                if body_size > MAX_DRAINED_BYTES:
                     return _to_request(head, b"", is_too_large=True)
         elif isinstance(event, h11.EndOfMessage):
-            return _to_request(head, b"".join(parts), is_too_large=size > MAX_BODY_BYTES)
+            return _to_request(head, b"".join(body_parts), is_too_large=body_size > MAX_BODY_BYTES)
         else:
             return None
         event = h11_connection.next_event()
@@ -216,11 +218,11 @@
 
 @lru_cache(maxsize=1024)
 def _response_head(status: int, length: int, headers: tuple[tuple[str, str], ...], should_close: bool) -> h11.Response:
-    """Cached: most responses share a few heads, and validating one costs as much as sending it."""
-    fields = [("content-type", "application/json"), ("content-length", str(length)), *headers]
+    """Return a response head. Cached, since most heads repeat, and validating one takes as long as sending it."""
+    header_fields = [("content-type", "application/json"), ("content-length", str(length)), *headers]
     if should_close:
-        fields.append(("connection", "close"))
-    return h11.Response(status_code=status, headers=fields)
+        header_fields.append(("connection", "close"))
+    return h11.Response(status_code=status, headers=header_fields)
 
 
 async def _send(connection: ServerConnection, response: Response, should_close: bool) -> None:
@@ -233,8 +235,8 @@
         outgoing += h11_connection.send(h11.Data(data=response.body)) or b""
     outgoing += h11_connection.send(END_OF_MESSAGE) or b""
     if writer.is_closing():
-        # Reset while the response was made. uvloop raises an error of its own kind on such a write, and 63 connections
-        # that were reset when a zone failed filled the log.
+        # The connection was reset while the response was created. A write would make uvloop raise an error of its own
+        # type; when a zone failed, such errors of 63 reset connections filled the log.
         raise ConnectionResetError("connection reset before the response was sent")
     writer.write(outgoing)
     if writer.transport.get_write_buffer_size():
