--- a/roseweir/connections/__init__.py
+++ b/roseweir/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of connections: which are accepted, kept alive, evicted or told to retry when they are scarce."""
+"""Admission control for connections: which are accepted, kept alive, evicted or refused when they are scarce."""
 
 from roseweir.connections.admission import ConnectionAdmission, ConnectionClass
 
--- a/roseweir/connections/admission.py
+++ b/roseweir/connections/admission.py
@@ -1,20 +1,21 @@
-"""Which connections a listener keeps when they are scarce. Pure: no I/O, and no clock.
-
-A controller has a limited number of sockets and more machines than that may send it heartbeats. Sockets that the leader
-itself needs (for the key-value store, the cloud, direct commands) and that peers need are set aside elsewhere:
-`ConnectionAdmission` divides what is left between the classes of clients, in the order of `ConnectionClass`. It uses
-four measures, the mildest first:
-
-1. From MAX_HOLD_USAGE on no response is held back for an idle worker, and its connection ends with the response. The
-   worker stays with this node and opens another for its next heartbeat: that costs a handshake, and the connection is
-   in use for milliseconds instead of seconds.
-2. From MAX_KEEP_ALIVE_USAGE on the same goes for workers with tasks, and for users above their share.
-3. At the limit a new connection replaces the one that has been idle the longest, of a class above its share if there
-   is one, else of the last class in the order.
-4. Users above their share are told to retry later from MAX_KEEP_ALIVE_USAGE on.
-
-A class's share is reserved for it. A flood from one class is above that class's share, so it is that class's own
-connections that are evicted for it.
+"""Decides which connections a listener keeps when they are scarce. Pure: no I/O, and no clock.
+
+A controller has a limited number of sockets, and more machines than that may send it heartbeats. Sockets for peers, and
+for the leader's own connections (key-value store, cloud, direct commands), are reserved elsewhere;
+`ConnectionAdmission` divides the rest between the classes of clients, in the order of `ConnectionClass`. It takes four
+measures, in order of increasing severity:
+
+1. From MAX_HOLD_USAGE on, responses to idle workers are not held, and their connections are closed after the response.
+   A worker stays with this node and opens a new connection for its next heartbeat. This costs a handshake, but the
+   connection is in use for milliseconds instead of seconds.
+2. From MAX_KEEP_ALIVE_USAGE on, connections of workers with tasks, and of users above their share, are also closed
+   after the response.
+3. At the limit, a new connection replaces the one that has been idle the longest, from a class above its share if there
+   is one, else from the last class in the order.
+4. From MAX_KEEP_ALIVE_USAGE on, requests of users above their share are refused, and the client retries later.
+
+Each class has a reserved share. A flood of connections exceeds the share of its own class, so the connections of that
+class are evicted first.
 """
 
 from collections.abc import Hashable
@@ -23,20 +24,21 @@
 
 
 class ConnectionClass(IntEnum):
-    """The kind of client at the other end; when connections are scarce, the first are spared the longest."""
+    """The class of the client; when connections are scarce, those of the last classes are closed first."""
 
-    HEALTH = 0  # the load balancer's checks
+    HEALTH = 0  # health checks of the load balancer
     USER = 1
     WORKER = 2  # with tasks
     IDLE_WORKER = 3
     NEW = 4  # has sent no request yet
 
 
-# Fractions of the connections that are reserved for a class; the rest is reserved for workers.
+# Fraction of the connections that is reserved for each class; the rest is reserved for workers.
 CLASS_SHARES = {ConnectionClass.HEALTH: 0.03, ConnectionClass.USER: 0.25, ConnectionClass.NEW: 0.12}
 # Fraction of the connections in use from which responses to idle workers are not held.
 MAX_HOLD_USAGE = 0.75
-# Fraction from which connections of workers with tasks, and of users above their share, are not kept alive.
+# Fraction of the connections in use from which connections of workers with tasks, and of users above their share, are
+# not kept alive.
 MAX_KEEP_ALIVE_USAGE = 0.87
 MIN_RESERVED_CONNECTIONS = 4
 
@@ -51,14 +53,14 @@
 
 
 class ConnectionAdmission(Generic[ConnectionT]):
-    """The open connections of a listener by class, and which are accepted and kept."""
+    """Tracks a listener's open connections by class, and decides which are accepted and kept alive."""
 
     def __init__(self, max_connections: int) -> None:
         """`max_connections`: how many may be open at once."""
         self.max_connections = max_connections
         self._class_by_connection: dict[ConnectionT, ConnectionClass] = {}
         self._open_counts = dict.fromkeys(ConnectionClass, 0)
-        # Between requests, the longest idle first.
+        # Connections between two requests, the longest idle first.
         self._idle_connections: dict[ConnectionClass, dict[ConnectionT, None]] = {
             connection_class: {} for connection_class in ConnectionClass
         }
@@ -71,7 +73,7 @@
         }
         self.refused_counts = dict.fromkeys(ConnectionClass, 0)
         self.evicted_counts = dict.fromkeys(ConnectionClass, 0)
-        self.closed_counts = dict.fromkeys(ConnectionClass, 0)  # ended with a response, since connections were scarce
+        self.closed_counts = dict.fromkeys(ConnectionClass, 0)  # closed after a response, as connections were scarce
 
     def __len__(self) -> int:
         return len(self._class_by_connection)
@@ -82,7 +84,7 @@
         """Whether a new connection is accepted, and the one to close in its place, if any."""
         evicted = None
         if len(self) >= self.max_connections:
-            evicted = self._longest_idle()
+            evicted = self._longest_idle_connection()
             if evicted is None:
                 self.refused_counts[ConnectionClass.NEW] += 1
                 return Admission(False, None)
@@ -94,7 +96,7 @@
         return Admission(True, evicted)
 
     def admit_request(self, connection: ConnectionT, connection_class: ConnectionClass) -> bool:
-        """Record a request and its class. Returns False if the client is to be told to retry later."""
+        """Record a request and its class. Return False if the request is refused, and the client is to retry later."""
         self._reclassify(connection, connection_class)
         if (
             connection_class == ConnectionClass.USER
@@ -106,13 +108,13 @@
         return True
 
     def may_hold_response(self) -> bool:
-        """Whether the response to an idle worker may be held until there is work for it."""
+        """Whether the response to an idle worker may be held until there are commands for it."""
         return len(self) < self.max_connections * MAX_HOLD_USAGE
 
     def may_keep_alive(self, connection: ConnectionT, connection_class: ConnectionClass | None = None) -> bool:
         """Whether the connection stays open after this response.
 
-        `connection_class`: the client's class as the handler has found it; None leaves it as it was.
+        `connection_class`: the client's class as determined by the handler; None leaves it unchanged.
         """
         if connection not in self._class_by_connection:
             return False
@@ -142,7 +144,7 @@
             self._idle_connections[connection_class][connection] = None
 
     def remove(self, connection: ConnectionT) -> None:
-        """Record that the connection has ended; does nothing if it is not open."""
+        """Record that the connection was closed; does nothing if it is not open."""
         connection_class = self._class_by_connection.pop(connection, None)
         if connection_class is not None:
             self._open_counts[connection_class] -= 1
@@ -162,12 +164,12 @@
         return {"open": len(self), "most": self.max_connections, "by_side": by_class}
 
     def _reclassify(self, connection: ConnectionT, connection_class: ConnectionClass) -> None:
-        known_class = self._class_by_connection.get(connection)
-        if known_class is None:
+        previous_class = self._class_by_connection.get(connection)
+        if previous_class is None:
             return
-        self._idle_connections[known_class].pop(connection, None)
-        if known_class != connection_class:
-            self._open_counts[known_class] -= 1
+        self._idle_connections[previous_class].pop(connection, None)
+        if previous_class != connection_class:
+            self._open_counts[previous_class] -= 1
             self._open_counts[connection_class] += 1
             self._class_by_connection[connection] = connection_class
 
@@ -179,9 +181,9 @@
             )
         return self._open_counts[connection_class] > self._reserved_counts[connection_class]
 
-    def _longest_idle(self) -> ConnectionT | None:
-        order = sorted(ConnectionClass, reverse=True)
-        for connection_class in [*(s for s in order if self._is_over_share(s)), *order]:
+    def _longest_idle_connection(self) -> ConnectionT | None:
+        eviction_order = sorted(ConnectionClass, reverse=True)
+        for connection_class in [*(c for c in eviction_order if self._is_over_share(c)), *eviction_order]:
             if self._idle_connections[connection_class]:
                 return next(iter(self._idle_connections[connection_class]))
         return None
