--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -1,14 +1,18 @@
-"""What happens next to which machine. Pure: decides on the board, changes nothing there until `apply`.
+"""State machine that cordons, evicts and releases drained machines.
 
-A machine that is chosen goes through these steps: *waiting* until the pool and the budgets allow; *cordoned*: nothing
-new starts, what should end soon is waited for; *moving*: what can save or has run for long is told to stop, a gang as
-a whole, services' replicas one at a time and only with room elsewhere; *leaving*: it is empty, and goes back. What
-replaces it is the pool's.
+Performs no I/O. `decide` cordons no machine and stops no task; `apply` does so once the decision is stored.
 
-Stops are reserved in the account when they are decided, recorded, and only then carried out. In every step a failure
-only makes this wait: a machine that is not heard is told nothing, a zone that is not heard is not begun with, without
-the state service nothing is recorded and so nothing stopped, and past its deadline a drain ends in one of the two
-ways that were asked for.
+A selected machine passes through these states:
+- *waiting*: until the surge pool allows it to be cordoned.
+- *cordoned*: no new tasks start; tasks that are expected to end soon are waited for.
+- *moving*: tasks that can save a checkpoint, or that still run after the grace period, are requested to stop: gangs as
+  a whole, service replicas one at a time and only if there is room elsewhere.
+- *leaving*: the machine is empty and is returned to the cloud. The surge pool plans its replacement.
+
+A stop is reserved in the disruption account when it is decided, then stored, and only then carried out. Failures only
+delay a drain: a machine without a current heartbeat gets no stop requests, machines in an unresponsive zone are not
+cordoned, and no task is stopped while the state service is down, because the decision cannot be stored. Past its
+deadline a drain either stops the remaining tasks by force or gives up, as its request says.
 """
 
 from collections.abc import Container, Iterator
@@ -35,11 +39,12 @@
 from roseweir.submissions.jobs import GANG, SERVICE, JobSpec
 from roseweir.workers import messages as wire
 
-# Of a checkpoint's interval, and the least: so shortly after it a stop loses least if it fails.
+# A task is stopped within this share of its checkpoint interval after a checkpoint, or within the minimum limit if that
+# is longer: if saving at the stop fails, little work is lost.
 MAX_CHECKPOINT_AGE_SHARE, MIN_CHECKPOINT_AGE_LIMIT = 0.25, timedelta(seconds=1)
-# Stops that are looked for in one step: each may look for room on the whole fleet.
+# Tasks per step that are checked for eviction: each check may search the whole fleet for room.
 MAX_EVICTION_CHECKS = 40
-# Reports after the end of a task's grace, until it is told to stop at once.
+# Heartbeat intervals from the end of a task's grace period until it is requested to stop at once.
 FORCE_STOP_HEARTBEATS = 2
 
 
@@ -52,12 +57,12 @@
 
 @dataclass(slots=True)
 class Eviction:
-    """A task, or a whole gang, that is to stop."""
+    """A task, or a whole gang, that is to be stopped."""
 
     run: JobRun
     placements: list[Placement]
     cause: DowntimeCause
-    is_urgent: bool = False  # its halt does not wait for the machine's next report
+    is_urgent: bool = False  # the stop request does not wait for the machine's next heartbeat
 
 
 @dataclass(slots=True)
@@ -84,21 +89,21 @@
         self.surge_pool = surge_pool
         self.auto_replacement = auto_replacement
         self.started_at = started_at
-        self.drains: dict[str, Drain] = {}  # those that go on
+        self.drains: dict[str, Drain] = {}  # active drains by name
         self.cordons: dict[str, Cordon] = {}
-        self.due_machines: dict[str, list[Machine]] = {}  # by type: chosen, not begun with, with a replacement wanted
-        self.owners: dict[str, str] = {}  # machine: drain or own reason
-        self.wait_reasons: dict[str, str] = {}  # machine, or "" for all: what keeps it in its step
-        self.drain_durations: list[timedelta] = []  # from cordon to gone, the last ones
-        self.last_progress: dict[str, datetime] = {}  # when a drain last began with a machine, or one of its left
-        self.replaced_count = 0  # machines that left by a drain or an own reason, under this leader
-        self.max_cordons = 1 << 30  # that the record has room for
-        self.has_machine_list = False  # the list was read since the take-over
+        self.due_machines: dict[str, list[Machine]] = {}  # by type: selected with replacement, not yet cordoned
+        self.owners: dict[str, str] = {}  # machine name to drain name or automatic replacement reason
+        self.wait_reasons: dict[str, str] = {}  # by machine name, or "" for all: what it waits for in its state
+        self.drain_durations: list[timedelta] = []  # from cordon to departure, for the latest machines
+        self.last_progress: dict[str, datetime] = {}  # by owner: when one of its machines was last cordoned or left
+        self.replaced_count = 0  # cordoned machines that left during this leader's term
+        self.max_cordons = 1 << 30  # cordons that fit into the stored record
+        self.has_machine_list = False  # the cloud's machine list was read since the failover
 
-    # -- once in a while ----------------------------------------------------------------------
+    # -- deciding -----------------------------------------------------------------------------
 
     def decide(self, now: datetime, wall_time: datetime) -> Decision:
-        """What to do now, in one go; reserved in the account, and not done before it is recorded."""
+        """Decide one step and reserve its stops in the account; `apply` carries it out once it is stored."""
         wall_ms = round(wall_time.timestamp() * 1000)
         decision = Decision()
         previous_waits, self.wait_reasons = self.wait_reasons, {}
@@ -107,7 +112,7 @@
         for name, cordon in self.cordons.items():
             machine = self.cluster_state.machines.get(name)
             if machine is None or machine.is_marked_for_release:
-                continue  # not heard of yet, or it goes: there is nothing to lift
+                continue  # without a heartbeat in this term, or being released: the cordon stays
             owner = self.owners.get(name)
             if owner is None:
                 decision.uncordoned.append(name)
@@ -128,11 +133,11 @@
         return decision
 
     def is_settled(self, now: datetime) -> bool:
-        """Machines have had time to report to this leader, and the list was read."""
+        """Whether machines have had time to send this leader a heartbeat, and the machine list was read."""
         return self.has_machine_list and now - self.started_at > silence_timeout(self.cluster_state)
 
     def _remove_departed(self, now: datetime, wall_ms: int) -> None:
-        """Cordoned machines that are gone make a gap or have been replaced already."""
+        """Remove cordons of machines that are gone; the surge pool counts a gap for each that has no replacement."""
         is_settled = self.is_settled(now)
         for name in [
             n
@@ -148,7 +153,7 @@
             del self.drain_durations[:-50]
 
     def select_machines(self, now: datetime, wall_ms: int) -> None:
-        """Which machines should go, and by whose word: operators' drains in their order, then own reasons."""
+        """Set the owner of each machine to drain: the earliest drain that selects it, else a replacement reason."""
         drains = sorted(self.drains.values(), key=lambda d: (d.requested_at_ms, d.name))
         replacement_reasons = (
             {}
@@ -164,7 +169,7 @@
                 cordon = self.cordons.get(machine.name)
                 if cordon is None or cordon.owner not in REPLACEMENT_REASONS:
                     continue
-                # What was begun for a reason of our own is brought to its end, brake or not.
+                # An automatic replacement that has begun is completed even if its circuit breaker has opened since.
                 owner = cordon.owner
             self.owners[machine.name] = owner
             if (
@@ -175,7 +180,7 @@
                 self.due_machines.setdefault(machine.machine_type.name, []).append(machine)
 
     def _end_drains(self, decision: Decision, previous_waits: dict[str, str], now: datetime, wall_ms: int) -> None:
-        """`held`: what kept each machine in its step when it was last looked at."""
+        """Add drains that are done or past their deadline; `previous_waits` are the wait reasons of the last step."""
         remaining = dict.fromkeys(self.drains, 0)
         for owner in self.owners.values():
             if owner in remaining:
@@ -189,7 +194,7 @@
                 outcome = f"gave up: {remaining_count} machines left, waited for {wait_reason}"
             else:
                 continue
-            # A copy: until it is recorded, nobody is told that it has ended.
+            # A copy: the drain's status must not show the end before it is stored.
             decision.ended_drains.append(
                 msgspec.structs.replace(drain, outcome=outcome, remaining_count=remaining_count, ended_at_ms=wall_ms)
             )
@@ -204,22 +209,22 @@
             max(sorted(set(reasons)), key=reasons.count) if reasons else previous_waits.get("", "them to become free")
         )
 
-    # -- beginning ----------------------------------------------------------------------------
+    # -- cordoning ----------------------------------------------------------------------------
 
     def _cordon_machines(self, decision: Decision, now: datetime, wall_ms: int) -> None:
-        """Cordon as many as the pool lets go: those first that are empty the soonest, then the oldest."""
+        """Cordon as many machines as the surge pool allows: those expected to be empty first, then the oldest."""
         candidates: dict[tuple[str, bool, bool], list[Machine]] = {}
         for name, owner in self.owners.items():
             if name in self.cordons or name in decision.cordons:
                 continue
             machine = self.cluster_state.machines[name]
             if machine.spot_reclaim_at is not None or (machine.is_marked_for_release and not machine.placements):
-                continue  # it goes already
+                continue  # it leaves in any case
             drain = self.drains.get(owner)
-            # One that is to go back once its tasks are over may wait for ever: it has to be emptied like the others.
+            # A machine to be released once its tasks end may wait for them for ever, so it is drained like the others.
             needs_replacement = (drain is None or drain.request.replace) and not machine.is_marked_for_release
             candidates.setdefault((machine.machine_type.name, machine.is_spot, needs_replacement), []).append(machine)
-        # What is begun with has to fit its keys, or no stop could be recorded either.
+        # All cordons have to fit into the stored record: otherwise no decision could be stored, nor any task stopped.
         max_new_cordons = min(
             self.surge_pool.max_cordons_per_step(), self.max_cordons - len(self.cordons) - len(decision.cordons)
         )
@@ -248,11 +253,11 @@
                 max_new_cordons -= 1
 
     def _cordon_forced(self, decision: Decision, wall_ms: int) -> None:
-        """Past the deadline of a drain that is forced, nothing is waited for any more."""
+        """Cordon all machines of forced drains that are past their deadline, whatever the surge pool allows."""
         overdue_drains = {d.name for d in self.drains.values() if d.request.force and d.is_past_deadline(wall_ms)}
         for name, owner in self.owners.items():
             if len(self.cordons) + len(decision.cordons) >= self.max_cordons:
-                return  # with more than fits its keys nothing could be recorded; the others follow as these leave
+                return  # more cordons would not fit into the stored record; the others follow as these leave
             machine = self.cluster_state.machines[name]
             if (
                 owner in overdue_drains
@@ -275,7 +280,7 @@
         )
 
     def _cordon_wait_reason(self, machine: Machine, now: datetime) -> str:
-        """Why it should not be begun with now."""
+        """Why the machine should not be cordoned now, also noted in `wait_reasons`; "" if it may be."""
         reason = ""
         if machine.is_booting:
             pass
@@ -302,21 +307,21 @@
             return timedelta(days=1)
         return placement.expected_end(now, self.cluster_state.estimate_runtime(spec)) - now
 
-    # -- stopping -----------------------------------------------------------------------------
+    # -- evicting -----------------------------------------------------------------------------
 
     def _evict_tasks(self, decision: Decision, is_quiet: bool, now: datetime, wall_ms: int) -> None:
-        """Of the machines that are nearly empty first: they leave the soonest."""
+        """Evict tasks from cordoned machines, those with the fewest tasks first: they can leave soonest."""
         cluster_state = self.cluster_state
         present = [name for name in self.cordons if name in cluster_state.machines]
         eviction_order = sorted(present, key=lambda name: (len(cluster_state.machines[name].placements), name))
         open_machines = schedulable_machines(cluster_state, now)
         checked_count = 0
-        seen_gangs: set[str] = set()
+        checked_gangs: set[str] = set()
         for name in eviction_order:
             machine = cluster_state.machines[name]
             cordon = self.cordons[name]
             if not machine.placements or machine.spot_reclaim_at is not None or not machine.has_acknowledged_term:
-                continue  # nothing to tell it, or its spot notice does
+                continue  # nothing to stop, no heartbeat in this term, or the spot notice stops its tasks anyway
             if not cluster_state.is_heartbeat_current(machine, now):
                 self.wait_reasons[name] = "to hear of the machine"
                 continue
@@ -333,9 +338,9 @@
                 ):
                     continue
                 if run.spec.job_type == GANG:
-                    if run.spec.id in seen_gangs or run.is_gang_stopping:
+                    if run.spec.id in checked_gangs or run.is_gang_stopping:
                         continue
-                    seen_gangs.add(run.spec.id)
+                    checked_gangs.add(run.spec.id)
                 if is_forced:
                     self.add_eviction(decision, placement, DowntimeCause.FORCED_DRAIN, now)
                     continue
@@ -355,7 +360,7 @@
                     self.wait_reasons.setdefault(name, reason)
 
     def _eviction_wait_reason(self, placement: Placement, is_within_grace: bool, now: datetime) -> str:
-        """What is to be waited for before this task is stopped; "": nothing."""
+        """What to wait for before this task is stopped; "" if nothing."""
         run, spec = placement.run, placement.run.spec
         if not is_within_grace:
             return ""
@@ -381,7 +386,7 @@
     def add_eviction(
         self, decision: Decision, placement: Placement, cause: DowntimeCause, now: datetime, is_urgent: bool = False
     ) -> str:
-        """Put a task, or its whole gang, among those that are to stop, with a place in the account; why not, or ""."""
+        """Reserve and add the eviction of a task, or of its whole gang; return why it was refused, or ""."""
         run = placement.run
         placements = list(run.placements.values()) if run.spec.job_type == GANG else [placement]
         indices = [p.index for p in placements]
@@ -394,10 +399,10 @@
         decision.evictions.append(Eviction(run, placements, cause, is_urgent))
         return ""
 
-    # -- carrying out -------------------------------------------------------------------------
+    # -- applying -----------------------------------------------------------------------------
 
     def apply(self, decision: Decision, now: datetime) -> None:
-        """It is recorded: do it, as far as it still holds."""
+        """Carry out a stored decision, except for evictions that no longer match the cluster state or the budget."""
         cluster_state = self.cluster_state
         for name, cordon in decision.cordons.items():
             machine = cluster_state.machines.get(name)
@@ -407,7 +412,7 @@
             if machine is not None:
                 for placement in list(machine.placements.values()):
                     if placement.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED):
-                        # Its order never went out: it is planned anew, elsewhere.
+                        # The start command was never sent: the task is placed again on another machine.
                         cluster_state.request_stop(placement, ZERO, now)
         for name in decision.uncordoned:
             self.cordons.pop(name, None)
@@ -421,11 +426,11 @@
                 for p in eviction.placements
                 if eviction.run.placements.get(p.index) is p and p.stop_requested_at is None
             ]
-            is_whole = eviction.run.spec.job_type != GANG or len(running) == len(eviction.placements)
+            is_gang_complete = eviction.run.spec.job_type != GANG or len(running) == len(eviction.placements)
             if (
                 not running
                 or eviction.run.final_state
-                or not is_whole
+                or not is_gang_complete
                 or (
                     eviction.cause == DowntimeCause.DRAIN
                     and self.disruptions.exceeds_budget(eviction.run, len(eviction.placements))
@@ -439,7 +444,7 @@
                 cluster_state.request_stop(running[0], ZERO, now, is_urgent=eviction.is_urgent, cause=eviction.cause)
 
     def roll_back(self, decision: Decision) -> None:
-        """It could not be recorded."""
+        """Release the reservations of a decision that is not carried out."""
         for eviction in decision.evictions:
             self._release_eviction(eviction)
         for cordon in decision.cordons.values():
@@ -447,7 +452,7 @@
                 self.surge_pool.release_replacement(cordon.machine_type)
 
     def _release_eviction(self, eviction: Eviction) -> None:
-        """Not stopped after all: what runs still counts as up."""
+        """Count tasks of an eviction that was not carried out as up again, if they still run."""
         for placement in eviction.placements:
             is_still_placed = (
                 eviction.run.placements.get(placement.index) is placement and placement.stop_requested_at is None
@@ -456,7 +461,7 @@
                 self.disruptions.mark_up(eviction.run, [placement.index])
 
     def release_empty_machines(self, now: datetime) -> list[Machine]:
-        """Empty machines leave; tasks that ignore their halt are told to stop at once. Which machines left."""
+        """Mark empty cordoned machines for release and return them; stop tasks that outlast their grace at once."""
         cluster_state = self.cluster_state
         released: list[Machine] = []
         force_stop_delay = cluster_state.settings.params.workers.heartbeat_interval * FORCE_STOP_HEARTBEATS
@@ -471,7 +476,7 @@
                     and now > placement.stop_requested_at + placement.stop_grace + force_stop_delay
                 ):
                     cluster_state.request_stop(placement, ZERO, now, is_urgent=True)
-            # What it told of ends has to be recorded, and taken by it, before it goes.
+            # Task exits that the machine reported have to be stored and acknowledged to it before it leaves.
             if (
                 not machine.placements
                 and not machine.exits_to_clear
@@ -481,7 +486,7 @@
                 released.append(machine)
         return released
 
-    # -- told ---------------------------------------------------------------------------------
+    # -- status -------------------------------------------------------------------------------
 
     def state_of(self, machine: Machine) -> EvictionState:
         if machine.is_marked_for_release and not machine.placements:
@@ -497,7 +502,7 @@
                 yield self.cluster_state.machines[name]
 
     def expected_remaining_s(self, drain: str) -> float:
-        """Seconds until all of a drain's machines have gone, as measured so far, or by settings and catalog."""
+        """Expected seconds until a drain's machines have left, from measured durations or settings and catalog."""
         count_by_type: dict[str, int] = {}
         for machine in self.machines_of(drain):
             count_by_type[machine.machine_type.name] = count_by_type.get(machine.machine_type.name, 0) + 1
@@ -505,9 +510,9 @@
             sorted(self.drain_durations)[len(self.drain_durations) // 2] if self.drain_durations else self.settings.soon
         )
         wave_durations_s = (
-            -(-count // self.surge_pool.max_missing(kind))
-            * (typical_duration + self.surge_pool.provisioning_time(kind)).total_seconds()
-            for kind, count in count_by_type.items()
+            -(-count // self.surge_pool.max_missing(machine_type))
+            * (typical_duration + self.surge_pool.provisioning_time(machine_type)).total_seconds()
+            for machine_type, count in count_by_type.items()
         )
         return round(max(wave_durations_s, default=0.0), 1)
 
@@ -515,7 +520,7 @@
 def has_room_elsewhere(
     run: JobRun, placement: Placement, machines: list[Machine], drained_machines: Container[str]
 ) -> bool:
-    """Whether what is stopped here would find room at once: a task by itself, a gang as a whole."""
+    """Whether the stopped task, or its whole gang, would fit on other machines at once."""
     spec = run.spec
     if spec.job_type != GANG:
         max_per_zone = (spec.task_count + 1) // 2
@@ -535,9 +540,9 @@
         return False
     capacity_by_zone: dict[str, int] = {}
     staying_by_zone: dict[str, int] = {}
-    for mate in run.placements.values():
-        if mate.machine.name not in drained_machines and not mate.machine.is_marked_for_release:
-            staying_by_zone[mate.machine.zone] = staying_by_zone.get(mate.machine.zone, 0) + 1
+    for gang_placement in run.placements.values():
+        if gang_placement.machine.name not in drained_machines and not gang_placement.machine.is_marked_for_release:
+            staying_by_zone[gang_placement.machine.zone] = staying_by_zone.get(gang_placement.machine.zone, 0) + 1
     for machine in machines:
         if allows_machine(spec, machine):
             capacity_by_zone[machine.zone] = capacity_by_zone.get(machine.zone, 0) + machine.count_fitting_tasks(
