--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -1,4 +1,4 @@
-"""The leader's side of drains: takes them, records each step before it is done, and tells how they stand."""
+"""Leader side of drains: accepts requests, stores each step before carrying it out, and reports status."""
 
 import logging
 from collections import deque
@@ -49,19 +49,19 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL = timedelta(seconds=1)
-# Losses go into the ledger this often, if nothing is to be stopped anyway.
+# Interval at which losses are stored when no eviction stores them earlier.
 DISRUPTION_SAVE_INTERVAL = timedelta(seconds=1)
 LOG_INTERVAL = timedelta(seconds=15)
 
 
 class Rebalancer(Protocol):
-    """Who moves replicas (`rebalancing/controller.py`)."""
+    """Proposes moves of replicas; implemented in `rebalancing/controller.py`."""
 
     def restore(self, stored: Any) -> None:
-        """What earlier leaders meant to do."""
+        """Restore the plans that earlier leaders stored."""
 
     def is_needed(self) -> bool:
-        """Whether there is anything that it could move for, or the settings ask for it."""
+        """Whether any work could benefit from a move, or the settings enable moves."""
 
     def propose_evictions(
         self,
@@ -72,11 +72,11 @@
         now: datetime,
         wall_ms: int,
     ) -> dict[str, Any]:
-        """Add who is to stop to the decision; what is to be recorded with it."""
+        """Add evictions to the decision; return the value to store with it."""
 
 
 class DrainController:
-    """Idle, and without an account, until there is a drain or operators' settings ask for one."""
+    """Runs drains; inactive, with no disruption account kept, until the first drain or a setting needs it."""
 
     def __init__(
         self,
@@ -106,24 +106,24 @@
         self.state_machine.max_cordons = self.store.max_cordons
         self.ended_drains: dict[str, Drain] = {}
         self.is_active = False
-        self.failure = ""  # the fault that stopped it
+        self.failure = ""  # the exception that stopped `run`
         self.cloud: CloudController | None = None
-        # Who moves replicas within the same budget, if anybody does.
+        # Moves replicas within the same disruption budgets; None without a rebalancer.
         self.rebalancer: Rebalancer | None = None
         self._may_act = may_act
         self._step_down = step_down
         self._disruptions_saved_at = self._logged_at = now
         self._last_logged: dict[str, str] = {}
-        self._is_saving = False  # a transaction of this desk is under way
+        self._is_saving = False  # a transaction of this controller is in progress
 
-    # -- taking over --------------------------------------------------------------------------
+    # -- failover -----------------------------------------------------------------------------
 
     async def read_records(self) -> StoredDrainState:
-        """Trouble or Unreachable if not all of it can be read."""
+        """Read all stored records; raises StoreError or Unreachable if any can't be read."""
         return self.store.load_records(await self.store.read_entries())
 
     def restore(self, stored: StoredDrainState) -> None:
-        """Before any report is answered: what is drained must not be used by mistake."""
+        """Restore stored state before any heartbeat is answered, so that no task starts on a drained machine."""
         for drain in stored.drains:
             (self.ended_drains if drain.outcome else self.state_machine.drains)[drain.name] = drain
         self.state_machine.cordons = stored.cordons
@@ -150,7 +150,7 @@
                 self.cluster_state, self.disruptions, self.machine_health
             )
 
-    # -- the steps ----------------------------------------------------------------------------
+    # -- periodic steps -----------------------------------------------------------------------
 
     async def run(self) -> None:
         while True:
@@ -164,7 +164,7 @@
                 except LeadershipLost as e:
                     self._step_down(str(e))
                 except Exception as e:
-                    # Tasks and reports go on without drains; the next leader begins anew from the record.
+                    # Tasks and heartbeats go on without drains; the next leader resumes from the stored state.
                     log.exception("drains have stopped for this term")
                     self.failure = repr(e)
                     return
@@ -192,14 +192,14 @@
             self.state_machine.wait_reasons[""] = str(e)
             self.state_machine.roll_back(decision)
         except (StoreError, Unreachable) as e:
-            log.info("drains: not recorded: %s", e)
+            log.info("drains: decision not stored: %s", e)
             self.state_machine.roll_back(decision)
         except LeadershipLost:
             self.state_machine.roll_back(decision)
             raise
         else:
             if not self._may_act():
-                # Recorded, but the right has lapsed: a successor goes on from the record.
+                # Stored, but the leader lease has expired: the next leader resumes from the stored state.
                 self.state_machine.roll_back(decision)
                 return
             self.state_machine.apply(decision, monotonic_now())
@@ -207,17 +207,17 @@
         released = self.state_machine.release_empty_machines(monotonic_now())
         if released and cloud is not None:
             for machine in released:
-                # The cloud has one of this kind again in a moment.
+                # The cloud can offer the returned machine again, so an earlier refusal no longer holds.
                 cloud.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
-            log.info("drained: %s", format_machine_names(released))
+            log.info("drains: empty machines released: %s", format_machine_names(released))
         self._log_progress(now)
 
     async def _save_decision(self, decision: Decision, now: datetime, extra_values: dict[str, Any]) -> None:
-        evicted_job_ids = {stop.run.spec.id for stop in decision.evictions}
+        evicted_job_ids = {eviction.run.spec.id for eviction in decision.evictions}
         is_save_due = bool(evicted_job_ids) or now - self._disruptions_saved_at >= DISRUPTION_SAVE_INTERVAL
         values: dict[str, Any] = {}
         if self.disruptions.has_unsaved_changes and is_save_due:
-            # Ahead of the stops, and soon after other losses.
+            # Stops are stored before they are carried out, other losses soon after they happen.
             self.disruptions.has_unsaved_changes = False
             self._disruptions_saved_at = now
             placement_progress = self.disruptions.placement_progress(self.cluster_state.jobs)
@@ -232,7 +232,7 @@
             REQUEST_KEY_PREFIX + drain.name: self.store.encode_ended_drain(drain) for drain in decision.ended_drains
         }
         values[SURGE_POOL_KEY] = {
-            "gaps": {kind: len(gaps) for kind, gaps in self.surge_pool.gaps.items() if gaps},
+            "gaps": {machine_type: len(gaps) for machine_type, gaps in self.surge_pool.gaps.items() if gaps},
             "own": None if self.auto_replacement is None else self.auto_replacement.encode(),
         }
         changes = self.store.changed_values(values | extra_values)
@@ -252,32 +252,32 @@
         for owner, names in cordoned_by_owner.items():
             log.info("drain %s: %d machines cordoned: %s", owner, len(names), ", ".join(names[:20]))
         evicted_by_cause: dict[str, int] = {}
-        for stop in decision.evictions:
-            evicted_by_cause[stop.cause] = evicted_by_cause.get(stop.cause, 0) + len(stop.placements)
-        for cause, tasks in evicted_by_cause.items():
-            log.info("drains: %d tasks told to stop (%s)", tasks, cause)
+        for eviction in decision.evictions:
+            evicted_by_cause[eviction.cause] = evicted_by_cause.get(eviction.cause, 0) + len(eviction.placements)
+        for cause, task_count in evicted_by_cause.items():
+            log.info("drains: %d tasks requested to stop (%s)", task_count, cause)
         if decision.uncordoned:
-            log.info("drains: cordon lifted: %s", ", ".join(decision.uncordoned[:20]))
-        for ended in decision.ended_drains:
-            log.info("drain %s: %s", ended.name, ended.outcome)
+            log.info("drains: machines uncordoned: %s", ", ".join(decision.uncordoned[:20]))
+        for drain in decision.ended_drains:
+            log.info("drain %s: %s", drain.name, drain.outcome)
 
     def _log_progress(self, now: datetime) -> None:
         if now - self._logged_at < LOG_INTERVAL:
             return
         self._logged_at = now
         for row in self.describe_all()["drains"]:
-            state_counts = ", ".join(f"{count} {step}" for step, count in row["machines"].items())
-            line = f"drain {row['name']}: {state_counts or 'no machines left'}; {row['waits_for'] or 'goes on'}"
+            state_counts = ", ".join(f"{count} {state}" for state, count in row["machines"].items())
+            line = f"drain {row['name']}: {state_counts or 'no machines left'}; {row['waits_for'] or 'in progress'}"
             if self._last_logged.get(row["name"]) != line:
                 self._last_logged[row["name"]] = line
                 log.info("%s", line)
 
-    # -- what the cloud's desk asks -----------------------------------------------------------
+    # -- used by the cloud controller ---------------------------------------------------------
 
     def plan_replacements(
         self, other_wants: list[MachineRequest], refused_offers: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
-        """Replacements to rent, and those that stand ready and must not go back as idle."""
+        """Return replacements to rent, and ready ones (with the reason) that must not be released as idle."""
         if not self.is_active or not self.state_machine.is_settled(now):
             return [], {}
         reserved = {
@@ -290,7 +290,10 @@
     # -- operators ----------------------------------------------------------------------------
 
     async def accept_request(self, request: DrainRequest) -> tuple[bool, dict[str, Any]]:
-        """Take a drain; durable when this returns. (whether it is new, how it stands); Refused or NotNow."""
+        """Accept a drain, stored durably on return; return whether it is new, and its status.
+
+        Raises DrainRejected, or DrainUnavailable if the client should retry.
+        """
         existing = self.state_machine.drains.get(request.name) or self.ended_drains.get(request.name)
         if existing is not None:
             return False, self._describe_existing(existing, request)
@@ -310,14 +313,14 @@
             )
         if not selected:
             raise DrainRejected("no machine is like that")
-        self._reject_endless(drain, selected)
+        self._reject_if_never_ending(drain, selected)
         drain.selected_count = len(selected)
         await self._save_drain(drain)
         self._activate(StoredDrainState())
         self.state_machine.drains[drain.name] = drain
         self.state_machine.select_machines(monotonic_now(), utc_now_ms())
         log.info(
-            "drain %s taken: %d machines, %s", drain.name, drain.selected_count, request.reason or "no reason given"
+            "drain %s accepted: %d machines, %s", drain.name, drain.selected_count, request.reason or "no reason given"
         )
         return True, self.describe_one(drain)
 
@@ -333,8 +336,8 @@
         last_machine = max(self.cluster_state.machines, default="")
         return Drain(request, now_wall_ms, now_wall_ms + round(deadline_s * 1000), grace_s, last_machine)
 
-    def _reject_endless(self, drain: Drain, selected: list[Machine]) -> None:
-        """What would never end is not begun: services end by nobody's doing but ours, everything else does."""
+    def _reject_if_never_ending(self, drain: Drain, selected: list[Machine]) -> None:
+        """Reject a drain that could never end because a service can't move; tasks of other jobs end by themselves."""
         if drain.request.force:
             return
         selected_names = {m.name for m in selected}
@@ -392,7 +395,7 @@
                 self.ended_drains.pop(key.removeprefix(REQUEST_KEY_PREFIX), None)
 
     async def stop_drain(self, name: str) -> dict[str, Any]:
-        """End a drain where it stands: cordons are lifted with the next step."""
+        """End a drain without releasing further machines; the next step uncordons those that are left."""
         drain = self.state_machine.drains.get(name)
         if drain is None:
             if name in self.ended_drains:
@@ -412,7 +415,7 @@
         return status_report.describe_drain(self.state_machine, drain, monotonic_now(), utc_now_ms())
 
     def summary(self) -> dict[str, Any]:
-        """A few lines for `status`."""
+        """Summary for the `status` answer; empty while inactive."""
         return status_report.summarize(self.state_machine) if self.is_active else {}
 
     def describe_all(self) -> dict[str, Any]:
