--- a/roseweir/drain/disruption_budget.py
+++ b/roseweir/drain/disruption_budget.py
@@ -1,17 +1,17 @@
-"""The one account of tasks that are down: whoever took them down, and how many more a drain may.
-
-Pure. A task is down from its halt, or from when it was proven gone, until it runs again, is done, or its job is over;
-a gang as a whole. Each task belongs to exactly one bucket, its team's part under one budget, and a bucket knows all
-tasks that are down, for whatever cause. Decisions about stopping come in one order, the leader's, and each takes its
-place in the account before the next is made (`reserve`). So what a drain stops never takes a bucket above its bound,
-however many drains there are at once, but for one thing: with nothing down at all, one task or gang may go even if
-the bound is less than that. Otherwise a share of a small team, or a gang larger than the bound, would hold a drain up
-for ever.
-
-After a take-over, whatever may be down counts as down until it is seen to run: tasks that the record of places knows
-and no report has shown yet, tasks of a job below the highest that was ever placed which are neither done nor placed
-(indices are handed out in ascending order, and given back ones first), and what the ledger adds to that: how far each
-job with something down had come. Halts are in the ledger before they go out; other losses follow within a second.
+"""Account of all tasks that are down, for whatever cause, and of how many more a drain may stop.
+
+Performs no I/O. A task is down from its stop request, or from when it is proven gone, until it runs again, completes,
+or its job ends; a gang is down as a whole. Each task counts in exactly one `BudgetUsage`, that of its team under one
+budget, which counts tasks that are down for any cause. The leader decides stops one after another and reserves each
+(`reserve_disruption`) before it decides the next, so evictions never exceed a bound, however many drains run at once.
+There is one exception: while nothing is down, one task or gang may be stopped even if it exceeds the bound. Otherwise
+the share of a small team, or a gang larger than the bound, would block a drain for ever.
+
+After a failover, every task that may be down counts as down until a heartbeat shows it running: tasks with a stored
+placement that no heartbeat has listed yet; tasks below the highest index that was ever placed which are neither
+completed nor placed (indices are handed out in ascending order, returned ones first); and tasks below the stored
+placement progress of each job that had tasks down. Stops are stored before they are requested, other losses within a
+second.
 """
 
 from collections.abc import Iterable
@@ -26,10 +26,10 @@
 from roseweir.submissions.jobs import GANG, SERVICE
 from roseweir.workers import messages as wire
 
-# Windows of a minute and an hour are counted in slots of this length, those at both ends included.
+# Disruptions within a minute and an hour are counted in slots of this length; the partial slots at both ends count.
 RATE_SLOT_DURATION = timedelta(seconds=30)
 MINUTE_SLOT_COUNT, HOUR_SLOT_COUNT = 3, 121
-# What drains did.
+# Causes that are drains, in contrast to losses.
 DRAIN_CAUSES = (DowntimeCause.DRAIN, DowntimeCause.FORCED_DRAIN)
 
 
@@ -39,17 +39,17 @@
 
     budget: DisruptionBudget
     team: str
-    tasks_down: int = 0  # down now
+    tasks_down: int = 0
     gangs_down: int = 0
-    tasks_running: int = 0  # tasks that run, as last counted
-    down_by_cause: dict[DowntimeCause, int] = field(default_factory=dict)  # down now, by cause
-    total_by_cause: dict[DowntimeCause, int] = field(default_factory=dict)
-    disruptions_by_slot: dict[int, int] = field(default_factory=dict)  # tasks taken down, by slot
-    work_lost_s: float = 0.0  # of work, since this leader began
+    tasks_running: int = 0  # as last counted by `count_running`
+    down_by_cause: dict[DowntimeCause, int] = field(default_factory=dict)  # of `tasks_down`
+    total_by_cause: dict[DowntimeCause, int] = field(default_factory=dict)  # tasks taken down in this leader's term
+    disruptions_by_slot: dict[int, int] = field(default_factory=dict)  # tasks taken down, by slot number
+    work_lost_s: float = 0.0  # seconds of lost work in this leader's term
 
     @property
     def max_tasks_down(self) -> int:
-        """Tasks that may be down at once."""
+        """Number of tasks that may be down at once."""
         bounds = []
         if self.budget.share is not None:
             bounds.append(int(self.budget.share * (self.tasks_running + self.tasks_down) + 1e-9))
@@ -68,7 +68,7 @@
             self.disruptions_by_slot = {s: n for s, n in self.disruptions_by_slot.items() if s > slot - HOUR_SLOT_COUNT}
 
     def refusal_reason(self, tasks: int, is_gang: bool, now: datetime) -> str:
-        """Why so many more tasks, or a gang of so many, may not be stopped now; "": they may."""
+        """Why this many more tasks, or a gang of this size, may not be stopped now; "" if they may."""
         budget = self.budget
         if budget.forbids_all:
             return f"the budget of team {self.team} allows nothing"
@@ -96,7 +96,7 @@
         self.settings = settings
         self.usage_by_key: dict[tuple[int, str], BudgetUsage] = {}
         self.down_tasks: dict[str, dict[int, DowntimeCause]] = {}
-        self.has_unsaved_changes = True  # since the ledger was last written
+        self.has_unsaved_changes = True  # changes since the account was last stored
         self._usage_keys: dict[tuple[str, str], tuple[int, str]] = {}
 
     def usage_of(self, run: JobRun) -> BudgetUsage:
@@ -115,12 +115,12 @@
             usage = self.usage_by_key[key] = BudgetUsage(self.settings.budget_at(key[0]), key[1])
         return usage
 
-    # -- what happens to tasks ----------------------------------------------------------------
+    # -- task events --------------------------------------------------------------------------
 
     def mark_down(
         self, run: JobRun, indices: Iterable[int], cause: DowntimeCause, now: datetime, lost_s: float = 0.0
     ) -> None:
-        """They are down for this cause, unless they were already. A gang is down as a whole."""
+        """Count tasks as down for this cause, except those that already are. A gang is down as a whole."""
         usage = self.usage_of(run)
         is_gang = run.spec.job_type == GANG
         down = self.down_tasks.setdefault(run.spec.id, {})
@@ -137,17 +137,18 @@
         for index in newly_down:
             down[index] = cause
         usage.tasks_down += len(newly_down)
-        # Until they are counted again: otherwise a share would be taken of them twice.
+        # Until `count_running` runs again: `max_tasks_down` would count these tasks twice, as running and as down.
         usage.tasks_running = max(0, usage.tasks_running - len(newly_down))
         usage.down_by_cause[cause] = usage.down_by_cause.get(cause, 0) + len(newly_down)
         usage.total_by_cause[cause] = usage.total_by_cause.get(cause, 0) + len(newly_down)
         if cause != DowntimeCause.UNKNOWN:
-            # When it was taken down is not known; the ledger tells, as far as it was counted in a window.
+            # It is not known when tasks of an unknown cause went down; `restore_rate_windows` restores the disruptions
+            # that were stored.
             usage.record_disruptions(len(newly_down), now)
         self.has_unsaved_changes = True
 
     def mark_up(self, run: JobRun, indices: Iterable[int] | None = None) -> None:
-        """They run again, or nobody waits for them any more. None: all of the job."""
+        """Count tasks as no longer down: they run again, or need not run any more. None: all tasks of the job."""
         down = self.down_tasks.get(run.spec.id)
         if down is None:
             return
@@ -166,10 +167,10 @@
     def is_down(self, run: JobRun, index: int) -> bool:
         return index in self.down_tasks.get(run.spec.id, ())
 
-    # -- what may be stopped ------------------------------------------------------------------
+    # -- decisions about stops ----------------------------------------------------------------
 
     def count_running(self, runs: Iterable[JobRun]) -> None:
-        """How many tasks of each bucket run: what shares are taken of."""
+        """Recount the running tasks under each budget, on which shares are based."""
         for usage in self.usage_by_key.values():
             usage.tasks_running = 0
         for run in runs:
@@ -181,7 +182,7 @@
                 )
 
     def reserve_disruption(self, run: JobRun, indices: list[int], now: datetime) -> str:
-        """Take the place of a stop that is about to be decided; why not, or ""."""
+        """Reserve the stop of tasks within their budget; return why it was refused, or ""."""
         spec = run.spec
         is_gang = spec.job_type == GANG
         tasks = spec.task_count - run.completed_count if is_gang else len(indices)
@@ -196,7 +197,7 @@
         return refusal
 
     def _replica_refusal_reason(self, run: JobRun, budget: DisruptionBudget, tasks: int) -> str:
-        """One replica at a time, and never fewer up than the operators say."""
+        """A service loses one replica at a time, and keeps at least `replicas-least` of them up."""
         replicas_down = len(self.down_tasks.get(run.spec.id, ()))
         if replicas_down:
             return f"service {run.spec.id}: {replicas_down} of its replicas are down"
@@ -206,33 +207,36 @@
         return ""
 
     def exceeds_budget(self, run: JobRun, tasks: int) -> bool:
-        """So many tasks that were reserved no longer fit: others went down while it was being recorded."""
+        """Whether this many reserved tasks no longer fit: others went down while the decision was being stored."""
         usage = self.usage_of(run)
         return usage.tasks_down > max(usage.max_tasks_down, tasks)
 
     def is_exhausted_by_losses(self, run: JobRun) -> bool:
-        """The budget is used up by what was not our doing: nothing more is begun for this team."""
+        """Whether the budget is used up, in part by losses: machines with tasks of the team are not cordoned then."""
         usage = self.usage_of(run)
         lost_tasks = usage.tasks_down - sum(usage.down_by_cause.get(cause, 0) for cause in DRAIN_CAUSES)
         return lost_tasks > 0 and usage.tasks_down >= usage.max_tasks_down
 
-    # -- take-overs ---------------------------------------------------------------------------
+    # -- failover and storage -----------------------------------------------------------------
 
     def assume_down_after_failover(
         self, runs: Iterable[JobRun], placement_progress: dict[str, int], now: datetime
     ) -> None:
-        """What may be down as this leader begins. `reached`: how far each job with something down had come."""
+        """Count all tasks that may be down after a failover as down.
+
+        `placement_progress` bounds the placed task indices of each job that had tasks down.
+        """
         for run in runs:
             if run.final_state:
                 continue
             placed_count = max(run.placed_index_bound, placement_progress.get(run.spec.id, 0))
-            unknown = [
+            possibly_down = [
                 i
                 for i in range(min(placed_count, run.spec.task_count))
                 if not run.is_completed(i) and self._may_be_down(run, i)
             ]
-            if unknown:
-                self.mark_down(run, unknown, DowntimeCause.UNKNOWN, now)
+            if possibly_down:
+                self.mark_down(run, possibly_down, DowntimeCause.UNKNOWN, now)
 
     def _may_be_down(self, run: JobRun, index: int) -> bool:
         placement = run.placements.get(index)
@@ -244,7 +248,7 @@
         )
 
     def placement_progress(self, runs: dict[str, JobRun]) -> dict[str, int]:
-        """For the ledger: how far each job with something down has come, gangs first."""
+        """Upper bound of the placed task indices of each job with tasks down, to be stored; gangs first."""
         disrupted_runs = [runs[job_id] for job_id in self.down_tasks if job_id in runs]
         disrupted_runs.sort(key=lambda run: (run.spec.job_type != GANG, run.spec.id))
         return {
@@ -252,11 +256,11 @@
         }
 
     def encode_rate_windows(self, now: datetime, wall_ms: int) -> dict[str, list[list[int]]]:
-        """For the ledger: counts by slot of the wall clock, where a budget has a bound for a minute or an hour."""
+        """Counts by wall-clock slot, to be stored; only for budgets with a bound per minute or per hour."""
         windows: dict[str, list[list[int]]] = {}
         first_slot = rate_slot_of(now) - HOUR_SLOT_COUNT
         wall_offset_ms = wall_ms - round((now - MONOTONIC_ORIGIN).total_seconds() * 1000)
-        for (row, team), usage in self.usage_by_key.items():
+        for (budget_index, team), usage in self.usage_by_key.items():
             if usage.budget.per_minute is None and usage.budget.per_hour is None:
                 continue
             slot_ms = round(RATE_SLOT_DURATION.total_seconds() * 1000)
@@ -266,18 +270,21 @@
                 if slot > first_slot
             ]
             if counts:
-                windows[f"{row}/{team}"] = counts
+                windows[f"{budget_index}/{team}"] = counts
         return windows
 
     def restore_rate_windows(self, stored_windows: dict[str, Any], now: datetime, wall_ms: int) -> None:
-        """Counts of earlier leaders. Rows are named by their order: with other settings each counts where it fits."""
+        """Add the counts of earlier leaders.
+
+        Keys name budgets by index: after a change of settings, counts go to the budget that has the index now.
+        """
         for key, counts in stored_windows.items():
-            row, _, team = key.partition("/")
-            if not row.lstrip("-").isdigit() or int(row) >= len(self.settings.budgets):
+            index_text, _, team = key.partition("/")
+            if not index_text.lstrip("-").isdigit() or int(index_text) >= len(self.settings.budgets):
                 continue
-            usage = self._usage_for_key((int(row), team))
+            usage = self._usage_for_key((int(index_text), team))
             for at_s, count in counts:
-                # A second later than it was: clocks differ, and a window must not end early.
+                # Counted as a second later than it was: clocks differ, and a window must not end early.
                 age = timedelta(milliseconds=max(0, wall_ms - at_s * 1000 - 1000))
                 slot = rate_slot_of(now - age)
                 usage.disruptions_by_slot[slot] = usage.disruptions_by_slot.get(slot, 0) + int(count)
@@ -302,7 +309,7 @@
 
 
 def lost_work_s(placement: Placement, now: datetime) -> float:
-    """Seconds of work that end with the task: since it began or last saved by itself; none if it can save."""
+    """Seconds of work lost if a task ends without a final checkpoint: since its start or last periodic checkpoint."""
     spec = placement.run.spec
     if placement.running_since is None or spec.job_type == SERVICE:
         return 0.0
