--- a/roseweir/drain/auto_replacement.py
+++ b/roseweir/drain/auto_replacement.py
@@ -1,16 +1,17 @@
-"""Which machines the service replaces by itself, how many a day, and what stops it. Pure.
-
-Bounds. Each replacement is counted against the day's machines and money before its machine is cordoned, and the
-counts are kept with the record of that, so no day (by the wall clock's UTC date) has more than `machines-a-day` of
-them, nor more than `money-a-day` of what they are taken to cost: from a rental to the latest usual boot both machines
-are paid, and a machine costs a minute at least. A machine that replaces another is itself replaced only with evidence
-of its own, or by its age after the bound on it, so there is no loop without new cause; and if what came is as bad as
-what went, a brake ends it.
-
-A brake is for one reason and one type of machine: more than `brake-share` of the type is called bad, or at least half
-of the machines rented since are (two at least). It lifts by itself, each time after twice as long, up to
-`brake-most`; after a quiet time of `brake-most` it begins small again. Age needs no brake: it comes to all machines
-alike, and a wave is bounded by the pool.
+"""Selects machines for automatic replacement, within daily limits and circuit breakers. Performs no I/O.
+
+Each replacement is charged to the day's machines and money before its machine is cordoned, and the counts are stored
+together with the cordon. So no day (the wall clock's UTC date) exceeds `machines-a-day` replacements, nor
+`money-a-day` of their estimated cost: both machines are paid for from the rental until the new one should have booted
+at the latest, at least for a minute. A replacement is itself replaced only if its own health record gives a reason, or
+once it reaches the age limit, so there is no loop without a new cause. If replacements are as unhealthy as the
+machines they replaced, a circuit breaker ends the loop.
+
+A circuit breaker (`brake` in the settings) covers one reason and one machine type. It opens if more than
+`brake-share` of the type is unhealthy, or at least half of the machines rented since the first replacement, and at
+least two of them. It closes by itself after a time that doubles with each trip, up to `brake-most`; once it has been
+closed for `brake-most`, the next trip starts at `brake` again. Age needs no circuit breaker: all machines reach it
+alike, and the surge pool bounds how many are replaced at once.
 """
 
 import logging
@@ -35,7 +36,7 @@
     "replace-spot",
 )
 REPLACEMENT_REASONS = (REPLACE_FAILING, REPLACE_LEASE_EXPIRY, REPLACE_SLOW, REPLACE_SPOT_AGE, REPLACE_OLD)
-# With fewer machines of a type a share of them says nothing.
+# With fewer machines of a type, the share that is unhealthy is not significant.
 MIN_MACHINES_FOR_SHARE = 4
 MIN_REPEATED_UNHEALTHY = 2
 MIN_BILLED_DURATION = timedelta(minutes=1)
@@ -50,7 +51,7 @@
 
 
 class AutoReplacement:
-    """The service's own reasons with their day's counts and brakes."""
+    """Selects machines for automatic replacement; keeps the day's counts and the circuit breakers."""
 
     def __init__(self, settings: AutoReplacementSettings, machine_health: MachineHealth) -> None:
         self.settings = settings
@@ -59,17 +60,17 @@
         self.replaced_today = 0
         self.spent_today = 0.0
         self.circuit_breakers: dict[tuple[str, str], CircuitBreaker] = {}
-        self._first_replaced_at: dict[tuple[str, str], datetime] = {}  # when a reason first replaced one of a type
-        self.reason_by_machine: dict[str, str] = {}  # machine: reason
+        self._first_replaced_at: dict[tuple[str, str], datetime] = {}  # by reason and type, since its last trip
+        self.reason_by_machine: dict[str, str] = {}  # by machine name, including machines whose breaker is open
 
-    # -- which --------------------------------------------------------------------------------
+    # -- selection ----------------------------------------------------------------------------
 
     def select_machines(self, machines: Iterable[Machine], now: datetime, wall_ms: int) -> dict[str, str]:
-        """Machines that have a reason to go, and that no brake keeps: names and reasons."""
+        """Reasons by name of the machines to replace, except where the circuit breaker is open."""
         eligible = [
             m for m in machines if m.has_acknowledged_term and not m.is_marked_for_release and m.spot_reclaim_at is None
         ]
-        reasons = {m.name: why for m in eligible if (why := self._reason_to_replace(m, now))}
+        reasons = {m.name: reason for m in eligible if (reason := self._reason_to_replace(m, now))}
         self.reason_by_machine = reasons
         self._trip_circuit_breakers(eligible, now, wall_ms)
         return {
@@ -139,16 +140,22 @@
         breaker.trip_count += 1
         breaker.reason = cause
         self._first_replaced_at.pop((reason, machine_type), None)
-        log.warning("%s stops for %s for %.0f s: %s", reason, machine_type, open_duration.total_seconds(), cause)
+        log.warning(
+            "%s: automatic replacement of %s paused for %.0f s: %s",
+            reason,
+            machine_type,
+            open_duration.total_seconds(),
+            cause,
+        )
 
     def _is_tripped(self, reason: str, machine: Machine, wall_ms: int) -> bool:
         breaker = self.circuit_breakers.get((reason, machine.machine_type.name))
         return breaker is not None and wall_ms < breaker.open_until_ms
 
-    # -- how many -----------------------------------------------------------------------------
+    # -- daily limits -------------------------------------------------------------------------
 
     def refusal_reason(self, machine: Machine, wall_ms: int) -> str:
-        """Why it may not be replaced today; "": it may."""
+        """Why the machine may not be replaced today; "" if it may."""
         self._start_new_day(wall_ms)
         if self.replaced_today + 1 > self.settings.machines_a_day:
             return f"{self.replaced_today} machines were replaced today, the most that may be"
@@ -164,11 +171,11 @@
 
     def _start_new_day(self, wall_ms: int) -> None:
         day = datetime.fromtimestamp(wall_ms / 1000, UTC).toordinal()
-        # Clocks of controllers differ: a day that has begun is not begun again.
+        # Clocks of controllers differ: after a failover the date may be a day behind, which must not reset the counts.
         if day > self.day:
             self.day, self.replaced_today, self.spent_today = day, 0, 0.0
 
-    # -- kept ---------------------------------------------------------------------------------
+    # -- storage and status -------------------------------------------------------------------
 
     def encode(self) -> dict[str, Any]:
         return {
@@ -176,8 +183,8 @@
             "machines": self.replaced_today,
             "money": round(self.spent_today, 4),
             "brakes": {
-                f"{reason}/{kind}": [b.open_until_ms, b.trip_count, b.reason]
-                for (reason, kind), b in self.circuit_breakers.items()
+                f"{reason}/{machine_type}": [b.open_until_ms, b.trip_count, b.reason]
+                for (reason, machine_type), b in self.circuit_breakers.items()
             },
         }
 
@@ -189,8 +196,8 @@
 
     def describe(self, wall_ms: int) -> dict[str, Any]:
         counts: dict[str, int] = {}
-        for why in self.reason_by_machine.values():
-            counts[why] = counts.get(why, 0) + 1
+        for reason in self.reason_by_machine.values():
+            counts[reason] = counts.get(reason, 0) + 1
         return {
             "machines_with_a_reason": counts,
             "replaced_today": self.replaced_today,
@@ -200,18 +207,18 @@
             "brakes": [
                 {
                     "reason": reason,
-                    "type": kind,
+                    "type": machine_type,
                     "lifts_in_s": round((b.open_until_ms - wall_ms) / 1000),
                     "why": b.reason,
                 }
-                for (reason, kind), b in sorted(self.circuit_breakers.items())
+                for (reason, machine_type), b in sorted(self.circuit_breakers.items())
                 if b.open_until_ms > wall_ms
             ],
         }
 
 
 def replacement_cost(machine: Machine) -> float:
-    """What a replacement costs beside the machine itself: both are paid while the new one boots, a minute at least."""
+    """Estimated cost of running both machines while the new one boots, at least for a minute."""
     machine_type = machine.machine_type
     price = machine_type.spot_price if machine.is_spot else machine_type.price
     billed_duration = max(MIN_BILLED_DURATION, seconds(machine_type.boot_s * BOOT_DURATION_FACTOR))
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -1,17 +1,18 @@
-"""What may be missing of each type of machines while some are replaced, and what is rented for it. Pure.
+"""Bounds how many machines of each type may be missing while some are replaced, and plans replacement rentals.
 
-The *hole* of a type: machines that were cordoned without a replacement, and those gone since whose replacement is not
-in place. While the type can be had, replacements come first (*surge*): a machine is cordoned once one rented for it
-is in place, so the hole stays what it was. While the type is sold out, machines are given back first (*gap*), and the
-hole is at most a stated share of the type, one machine at least. The same holds while nothing waits for machines of
-its pool: what goes then is not missed. A gap closes when a machine of the type that was rented after this leader
-began is in place, whoever asked for it; or when nothing has waited for machines of its pool for a while.
+Performs no I/O. The machines *missing* of a type (`hole` in the settings) are those cordoned without a replacement,
+and those that left without one: each of the latter is a *gap*. While the type is available and work waits for it,
+replacements come first (*surge*): a machine is cordoned once its replacement is in place, so no more are missing.
+While the type is sold out, machines leave first, and the number missing is at most a configured share of the type,
+but at least one machine. The same holds while no work waits for machines of the type's pool (with GPUs, or without),
+because the capacity is not needed then. A gap closes when any machine of the type that was rented in this leader's
+term is in place, or when no work has waited for the pool's machines for `DEMAND_TIMEOUT`.
 
-A machine is in place when its worker has reported and it holds an image, or when nothing came to be fetched for a
-moment.
+A machine is in place when its worker has sent a heartbeat and it either holds an image or has been idle, with nothing
+to fetch, for `MIN_IDLE_IN_PLACE`.
 
-After a take-over the gaps of the last leader are known; what it had rented and was not up yet closes none: a machine
-too many may be rented then, which goes back as idle.
+After a failover the gaps of the last leader are restored. Machines that it rented close none of them, even if they
+are not up yet: one machine too many may then be rented, which is released as idle.
 """
 
 from collections import deque
@@ -25,13 +26,13 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import Machine
 
-# An offer that was refused counts as sold out for so long after the last refusal.
+# An offer counts as sold out for this long after its last refusal.
 SOLD_OUT_DURATION = timedelta(seconds=60)
-# A machine without work for so long has nothing to fetch.
+# A machine that has been idle this long has no image to fetch.
 MIN_IDLE_IN_PLACE = timedelta(seconds=5)
-# Nothing has waited for machines of a pool for so long: what is missing there is not needed.
+# If no work has waited for machines of a pool for this long, its missing machines are not needed.
 DEMAND_TIMEOUT = timedelta(seconds=30)
-# Shares of what others need too: changes of the state service a second, and sockets.
+# Share of the state service's write rate and of this process's sockets that drains may use; others need them too.
 MAX_WRITE_RATE_SHARE, MAX_SOCKET_SHARE = 0.1, 0.1
 
 
@@ -39,12 +40,12 @@
 class Cordon:
     """A machine that is being drained."""
 
-    owner: str
-    machine_type: str  # its type
+    owner: str  # drain name or automatic replacement reason
+    machine_type: str
     offer: MachineOffer
-    cordoned_at_ms: int  # by the wall clock
+    cordoned_at_ms: int  # wall clock
     needs_replacement: bool
-    has_replacement: bool = False  # a replacement was in place before it
+    has_replacement: bool = False  # one was in place when the machine was cordoned
 
 
 class SurgePool:
@@ -60,18 +61,18 @@
         self.max_missing_gpu_share = max_missing_share if max_missing_gpu_share is None else max_missing_gpu_share
         self.started_at = started_at
         self.gaps: dict[str, deque[datetime]] = {}
-        self.ready_replacements: dict[str, set[str]] = {}  # replacements in place that no machine has gone for yet
-        self.sold_out_until: dict[MachineOffer, datetime] = {}  # until when an offer counts as sold out
-        self.provisioning_times: dict[str, timedelta] = {}  # from rental to being in place, as measured last
+        self.ready_replacements: dict[str, set[str]] = {}  # by type: in place, not reserved for a cordon
+        self.sold_out_until: dict[MachineOffer, datetime] = {}
+        self.provisioning_times: dict[str, timedelta] = {}  # last measured, from rental to in place
         self._counted_machines: set[str] = set()
         self._last_waiting: dict[bool, datetime] = {}  # when work last waited, by whether it needs GPUs
 
-    # -- what happens -------------------------------------------------------------------------
+    # -- events -------------------------------------------------------------------------------
 
     def update(
         self, waiting_needs_gpus: Iterable[bool], refused_offers: dict[MachineOffer, datetime], now: datetime
     ) -> None:
-        """`waiting`: for each job that found no room, whether it needs GPUs."""
+        """Update from the latest scheduling pass: for each job that was not placed, whether it needs GPUs."""
         for needs_gpus in waiting_needs_gpus:
             self._last_waiting[needs_gpus] = now
         for offer, until in refused_offers.items():
@@ -96,7 +97,7 @@
                 and n not in self.cluster_state.drain_by_machine
             }
         for machine_type, gaps in self.gaps.items():
-            while gaps and now - gaps[0] > DEMAND_TIMEOUT and not self._is_needed(machine_type, now):
+            while gaps and now - gaps[0] > DEMAND_TIMEOUT and not self._is_in_demand(machine_type, now):
                 gaps.popleft()
 
     def _is_in_place(self, machine: Machine, now: datetime) -> bool:
@@ -118,27 +119,27 @@
         elif machine.is_surge:
             self.ready_replacements.setdefault(machine_type, set()).add(machine.name)
 
-    def _is_needed(self, machine_type: str, now: datetime) -> bool:
+    def _is_in_demand(self, machine_type: str, now: datetime) -> bool:
         catalog_entry = self.cluster_state.catalog.get(machine_type)
         last_waiting = self._last_waiting.get(catalog_entry is not None and catalog_entry.gpus > 0)
         return last_waiting is not None and now - last_waiting <= DEMAND_TIMEOUT
 
     def record_departure(self, cordon: Cordon, now: datetime) -> None:
-        """A machine that was drained has left."""
+        """Count a gap for a cordoned machine that has left, if it has to be replaced and has not been."""
         if cordon.needs_replacement and not cordon.has_replacement:
             self.gaps.setdefault(cordon.machine_type, deque()).append(now)
 
     def provisioning_time(self, machine_type: str) -> timedelta:
-        """From rental to being in place: as measured last, or by the catalog."""
+        """Time from rental to in place: as last measured, or the boot duration from the catalog."""
         catalog_entry = self.cluster_state.catalog.get(machine_type)
         return self.provisioning_times.get(
             machine_type, timedelta(0) if catalog_entry is None else catalog_entry.boot_duration
         )
 
-    # -- how many -----------------------------------------------------------------------------
+    # -- bounds -------------------------------------------------------------------------------
 
     def max_missing(self, machine_type: str) -> int:
-        """The largest hole, and the largest wave, of a type."""
+        """Number of machines of a type that may be missing, or be replaced ahead, at once."""
         running_count = sum(
             1
             for m in self.cluster_state.machines.values()
@@ -172,18 +173,18 @@
     def cordon_capacity(
         self, machine_type: str, spot: bool, needs_replacement: bool, cordons: Iterable[Cordon], now: datetime
     ) -> int:
-        """How many more machines of a type may be cordoned now. Nothing has to come first that nobody needs."""
+        """How many more machines of a type may be cordoned now; without demand no replacement has to come first."""
         same_type = [c for c in cordons if c.machine_type == machine_type]
         max_missing = self.max_missing(machine_type)
         if not needs_replacement:
             return max_missing - sum(not c.needs_replacement for c in same_type)
         ready_count = len(self.ready_replacements.get(machine_type, ()))
-        if self._is_needed(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+        if self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
             return ready_count
         return max(ready_count, max_missing - self.missing_count(machine_type, same_type))
 
     def reserve_replacement(self, machine_type: str) -> bool:
-        """Whether a replacement stands ready for a machine that is cordoned now; it counts for that one."""
+        """Reserve a ready replacement for a machine that is cordoned now; return whether there was one."""
         ready = self.ready_replacements.get(machine_type)
         if not ready:
             return False
@@ -191,7 +192,7 @@
         return True
 
     def release_replacement(self, machine_type: str) -> None:
-        """It was not cordoned after all: the replacement that stood ready for it still does, whichever it was."""
+        """Make a replacement ready again because a machine was not cordoned after all; any replacement will do."""
         counted = [
             n
             for n in self._counted_machines
@@ -208,10 +209,10 @@
             self.ready_replacements.setdefault(machine_type, set()).add(min(ready))
 
     def max_cordons_per_step(self) -> int:
-        """Machines that may be begun with in one step: each changes a page of the record and the list of steps."""
+        """Machines that may be cordoned in one step: each cordon changes values in the state service."""
         return max(1, int(self.cluster_state.settings.params.kv_store.max_writes_per_s * MAX_WRITE_RATE_SHARE))
 
-    # -- what to rent -------------------------------------------------------------------------
+    # -- rentals ------------------------------------------------------------------------------
 
     def plan_rentals(
         self,
@@ -220,7 +221,7 @@
         other_wants: list[MachineRequest],
         now: datetime,
     ) -> list[MachineRequest]:
-        """Replacements for what is missing, and for what is due next where they come first. `due`: by type."""
+        """Rentals that close gaps, and replacements ahead for due machines (by type) while their type is in demand."""
         wants: list[MachineRequest] = []
         taken_offers = {(w.type_name, w.zone, w.is_spot) for w in other_wants}
         image_fetches = self._affordable_image_fetches(now)
@@ -231,7 +232,7 @@
             machines = due_machines.get(machine_type, [])
             spot = sum(m.is_spot for m in machines) * 2 > len(machines)
             surge_count = 0
-            if machines and self._is_needed(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+            if machines and self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
                 surge_count = max(
                     0,
                     min(self.max_missing(machine_type), len(machines))
@@ -255,7 +256,7 @@
         return wants
 
     def _provisioning_counts(self, now: datetime) -> dict[str, int]:
-        """Machines of each type that boot and are not late, or are up and not in place."""
+        """Machines of each type rented in this term that are booting on time, or up and not in place yet."""
         counts: dict[str, int] = {}
         for machine in self.cluster_state.machines.values():
             if (
@@ -273,7 +274,7 @@
         return counts
 
     def _candidate_offers(self, machine_type: str, machines: list[Machine], spot: bool) -> list[MachineOffer]:
-        """Where the machines that go are, most of them first; then the type's other zones."""
+        """Offers in the zones of the due machines, most machines first; then in the type's other zones."""
         machines_by_zone: dict[str, int] = {}
         for machine in machines:
             machines_by_zone[machine.zone] = machines_by_zone.get(machine.zone, 0) + 1
@@ -282,10 +283,10 @@
             return []
         zone_order = sorted(catalog_entry.zones, key=lambda zone: (-machines_by_zone.get(zone, 0), zone))
         pricings = (spot, not spot) if self.gaps.get(machine_type) else (spot,)
-        return [MachineOffer(machine_type, zone, each) for each in pricings for zone in zone_order]
+        return [MachineOffer(machine_type, zone, is_spot) for is_spot in pricings for zone in zone_order]
 
     def _affordable_image_fetches(self, now: datetime) -> dict[str, int]:
-        """New machines whose first images each zone's bucket pays for soon, others' fetches beside them."""
+        """New machines per zone whose first image fetch the zone's rate limit can pay for within one window."""
         image_sizes_gb = [run.spec.image_gb for run in self.cluster_state.jobs.values() if run.spec.image_gb > 0]
         if not image_sizes_gb:
             return {}
