--- a/roseweir/drain/model.py
+++ b/roseweir/drain/model.py
@@ -1,4 +1,4 @@
-"""A drain as it is asked for and kept: which machines, why, until when, and what happens then."""
+"""A drain as requested and stored: which machines, why, its deadline, and what happens after the deadline."""
 
 import re
 from datetime import datetime, timedelta
@@ -9,17 +9,17 @@
 from roseweir.clock import NEVER, seconds
 from roseweir.scheduler.model import Machine
 
-# Drains of one fleet at once, and ended ones that are still told of.
+# Active drains at once, and ended ones that are kept for status.
 MAX_ACTIVE_DRAINS, MAX_ENDED_DRAINS = 32, 16
 # Machines that one drain may name, so that it fits a value of 8 KiB.
 MAX_NAMED_MACHINES = 400
 _NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9.-]{0,39}")
-# What the command line takes for something else than a drain's name.
+# Subcommands of `roseweir drain`, which the command line could not tell from a drain's name.
 RESERVED_NAMES = ("start", "status", "stop")
 
 
 class DrainRequest(msgspec.Struct, omit_defaults=True, rename={"min_age_s": "older_s"}):
-    """What an operator asks for. Without machines, types, zones, kind or age it is all there are now."""
+    """An operator's request. Without machines, types, zones, spot or age it selects all present machines."""
 
     name: str
     reason: str = ""
@@ -46,17 +46,17 @@
         "ended_at_ms": "ended_ms",
     },
 ):
-    """An intention that was answered: kept until it has ended, and for a while after."""
+    """An accepted drain: stored until it has ended, and then kept among the last `MAX_ENDED_DRAINS`."""
 
     request: DrainRequest
-    requested_at_ms: int  # by the wall clock
+    requested_at_ms: int  # wall clock
     deadline_ms: int
     grace_s: float
-    # Names are given in the order of creation: machines up to this one were there. What replaces them comes later.
+    # Names ascend in the order of creation: machines up to this name existed at the request, replacements come later.
     last_machine: str
-    selected_count: int = 0  # machines chosen when it was asked for
-    outcome: str = ""  # how it ended; "": it goes on
-    remaining_count: int = 0  # machines that it did not empty
+    selected_count: int = 0  # machines selected at the request
+    outcome: str = ""  # how it ended; "" while active
+    remaining_count: int = 0  # machines left when it ended
     ended_at_ms: int = 0
 
     @property
@@ -80,7 +80,7 @@
         if request.spot is not None and machine.is_spot != request.spot:
             return False
         if request.min_age_s is not None:
-            # As old as that when it was asked for: otherwise machines would go on joining it.
+            # The age counts at the time of the request: otherwise machines would keep joining the drain.
             age = machine_age(machine, now)
             return age is not None and age >= seconds(request.min_age_s + (wall_ms - self.requested_at_ms) / 1000)
         return True
@@ -90,20 +90,20 @@
 
 
 def machine_age(machine: Machine, now: datetime) -> timedelta | None:
-    """Since its rental, as far as the list or its own rental has told."""
+    """Time since the machine's rental; None if this leader neither rented it nor has its time from the machine list."""
     return None if machine.scaled_out_at == NEVER else now - machine.scaled_out_at
 
 
 class DrainRejected(Exception):
-    """The drain is not taken, with the reason."""
+    """The drain is rejected; the message is the reason given to the operator."""
 
 
 class DrainUnavailable(Exception):
-    """The leader can't decide or record it now: ask again, by the same name."""
+    """The leader can't decide on the drain or store it now; the client may retry with the same name."""
 
 
-def validate_request(request: DrainRequest, known_types: Any, known_zones: Any) -> None:
-    """Refuse what makes no sense whatever the fleet does."""
+def validate_request(request: DrainRequest, valid_types: Any, valid_zones: Any) -> None:
+    """Reject requests that are invalid whatever machines there are."""
     if (
         not _NAME_PATTERN.fullmatch(request.name)
         or request.name in RESERVED_NAMES
@@ -122,13 +122,13 @@
         request.types or request.zones or request.spot is not None or request.min_age_s is not None
     ):
         raise DrainRejected("machines are named, so type, zone, kind and age say nothing")
-    for field_name, requested, known_names in (
-        ("type", request.types, known_types),
-        ("zone", request.zones, known_zones),
+    for field_name, requested, valid_names in (
+        ("type", request.types, valid_types),
+        ("zone", request.zones, valid_zones),
     ):
         for name in requested:
-            if name not in known_names:
-                raise DrainRejected(f"unknown {field_name} `{name}`, expected one of {', '.join(sorted(known_names))}")
+            if name not in valid_names:
+                raise DrainRejected(f"unknown {field_name} `{name}`, expected one of {', '.join(sorted(valid_names))}")
     for field_name, value in (
         ("older", request.min_age_s),
         ("grace", request.grace_s),
--- a/roseweir/drain/settings.py
+++ b/roseweir/drain/settings.py
@@ -1,4 +1,4 @@
-"""The operators' forms `(disruption ...)` and `(replacement ...)`."""
+"""Settings from the operators' forms `(disruption ...)` and `(replacement ...)`."""
 
 from datetime import date, datetime, time, timedelta
 from typing import Any
@@ -10,20 +10,23 @@
 
 
 class DisruptionBudget(msgspec.Struct, frozen=True):
-    """How much of a team's (or a class of its) may be down at once, and how often. Each team has its own, always."""
+    """How many of a team's tasks, or of one of its job classes, may be down at once, and how often.
+
+    A budget that names no team applies to each team separately.
+    """
 
     team: str | None = None
     job_class: str | None = None
-    share: float | None = None  # of the tasks that run or are down
+    share: float | None = None  # of the tasks that are running or down
     tasks: int | None = None
-    gangs: int | None = None  # whole ones
+    gangs: int | None = None
     per_minute: int | None = None
     per_hour: int | None = None
-    replicas_least: int | None = None  # that stay up of each service
+    replicas_least: int | None = None  # replicas of each service that must stay up
 
     @property
     def forbids_all(self) -> bool:
-        """It never lets anything be stopped."""
+        """Whether the budget never allows a task to be stopped."""
         return 0 in (self.share, self.tasks, self.per_minute, self.per_hour)
 
     @property
@@ -35,7 +38,7 @@
 
 
 class QuietHours(msgspec.Struct, frozen=True):
-    """Hours of every day, in local time, in which nothing is stopped; they may pass midnight."""
+    """Daily hours, in local time, in which no task is stopped; they may span midnight."""
 
     starts_at: time
     ends_at: time
@@ -47,16 +50,16 @@
 
 
 class AutoReplacementSettings(msgspec.Struct):
-    """For what the service replaces machines by itself; None: it does not."""
+    """Reasons for automatic replacement, each off if None, and its limits and circuit breakers."""
 
     older: timedelta | None = None
-    slow: float | None = None  # times as slow as its kind
-    failing: int | None = None  # of so many jobs' tasks in an hour
-    lapsing: int | None = None  # leases lost in an hour
-    spot_life: float | None = None  # of how long spot machines of its kind usually lived
+    slow: float | None = None  # times as slow as usual for the same task classes
+    failing: int | None = None  # jobs with failed tasks in an hour
+    lapsing: int | None = None  # expired leases in an hour
+    spot_life: float | None = None  # share of the typical lifetime of spot machines of the type
     machines_a_day: int = 200
     money_a_day: float = 200.0
-    brake_share: float = 0.25  # of a kind called bad: then the kind is the reason, or a job
+    brake_share: float = 0.25  # of a type that is unhealthy: beyond that the type or a job is at fault
     brake: timedelta = timedelta(hours=1)
     brake_most: timedelta = timedelta(hours=24)
 
@@ -64,18 +67,18 @@
 class DrainSettings(msgspec.Struct):
     """docs/draining.md gives the reason for each default."""
 
-    hole: float = 0.1  # of a type's machines that may be missing at once, and the size of a wave
-    hole_gpus: float | None = None  # the same for types with GPUs, whose work waits for few places
-    soon: timedelta = timedelta(seconds=60)  # what should end by then is waited for
-    grace: timedelta = timedelta(minutes=5)  # what cannot move or save is waited for as long
-    deadline: timedelta = timedelta(hours=1)  # of a drain that names none
+    hole: float = 0.1  # share of a type's machines that may be missing, or be replaced ahead, at once
+    hole_gpus: float | None = None  # the same for GPU types, whose work can run on few machines
+    soon: timedelta = timedelta(seconds=60)  # tasks expected to end within this time are waited for
+    grace: timedelta = timedelta(minutes=5)  # longest wait for tasks that cannot move or save a checkpoint
+    deadline: timedelta = timedelta(hours=1)  # of drains that request none
     budgets: list[DisruptionBudget] = msgspec.field(default_factory=list)
     quiet_hours: list[QuietHours] = msgspec.field(default_factory=list)
     auto_replacement: AutoReplacementSettings | None = None
     calendar: Calendar = msgspec.field(default_factory=Calendar)
 
     def budget_index(self, team: str, job_class: str) -> int:
-        """The budget that a class of a team's is under: the one that says the most; -1: the default."""
+        """Index of the most specific budget for a team's job class; -1 for the default budget."""
         best_rank, best_index = -1, -1
         for index, budget in enumerate(self.budgets):
             if budget.team in (None, team) and budget.job_class in (None, job_class):
@@ -88,7 +91,7 @@
         return self.budgets[index] if index >= 0 else DEFAULT_BUDGET
 
     def is_quiet(self, wall_time: datetime) -> bool:
-        """Known busy events and the daily hours; a holiday has none of these."""
+        """Whether no task may be stopped now: in high-demand events, else in quiet hours except on holidays."""
         local_time = wall_time.astimezone(self.calendar.zone)
         event = self.calendar.event_at(local_time)
         if event is not None:
@@ -112,7 +115,7 @@
 
 
 def parse_disruption(settings: DrainSettings, entries: list[Any]) -> None:
-    """Read the entries of `(disruption (hole 0.1) (soon 60) ... (budget ...) (quiet ...))`."""
+    """Parse the entries of `(disruption (hole 0.1) (soon 60) ... (budget ...) (quiet ...))`."""
     for entry in entries:
         name, args = read_form(entry)
         if name in ("hole", "hole-gpus"):
@@ -134,7 +137,7 @@
 
 
 def parse_replacement(entries: list[Any]) -> AutoReplacementSettings:
-    """Read the entries of `(replacement (replace-older 86400) ...)`."""
+    """Parse the entries of `(replacement (replace-older 86400) ...)`."""
     settings = AutoReplacementSettings()
     for entry in entries:
         name, args = read_form(entry)
@@ -190,7 +193,7 @@
     if fields.keys() <= {"team", "job_class"}:
         raise SettingsError("a `budget` needs `share`, `tasks` or another bound")
     if "share" not in fields and "tasks" not in fields:
-        # What is counted in gangs, replicas or a minute has the default share beside it.
+        # A budget bounded only by gangs, replicas or rates also gets the default share.
         fields["share"] = DEFAULT_BUDGET.share
     return DisruptionBudget(**fields)
 
--- a/roseweir/drain/store.py
+++ b/roseweir/drain/store.py
@@ -1,11 +1,13 @@
-"""Drains in the state service, in a bounded number of keys, all guarded by the leader's key and their own versions.
-
-- `drain/ask/NAME`: an intention, `MAX_ACTIVE_DRAINS` that go on and `MAX_ENDED_DRAINS` that have ended.
-- `drain/steps/NN`: machines that were begun with, by name.
-- `drain/account/NN`: how far each job with something down had come, and counts of the last hour where a budget needs
-  them.
-- `drain/moves`: plans to move replicas for large tasks, and who was moved lately.
-- `drain/pool`: gaps by type, and the day's counts and brakes of own reasons.
+"""Stores drain state in a bounded number of keys of the state service.
+
+Every write is conditional on the leader's key and on the versions of the keys that it changes.
+
+- `drain/ask/NAME`: a drain; up to `MAX_ACTIVE_DRAINS` active and `MAX_ENDED_DRAINS` ended ones.
+- `drain/steps/NN`: cordoned machines by name.
+- `drain/account/NN`: placement progress of jobs with tasks down, and disruption counts of the last hour for budgets
+  with a rate bound.
+- `drain/moves`: plans to move replicas for large tasks, and replicas that were moved recently.
+- `drain/pool`: gaps by machine type, and the daily counts and circuit breakers of automatic replacement.
 """
 
 import logging
@@ -29,19 +31,19 @@
     KEY_PREFIX + "account/",
     KEY_PREFIX + "pool",
 )
-REBALANCING_KEY = KEY_PREFIX + "moves"  # of replicas, for large tasks (`packing/`)
+REBALANCING_KEY = KEY_PREFIX + "moves"  # moves of replicas for large tasks (`rebalancing/`)
 MAX_CORDON_PAGES, MAX_DISRUPTION_PAGES = 16, 8
 VALUE_FILL_RATIO = 0.8
-# A machine's entry: its own name, type, zone and drain, of some 40, 30, 30 and 40 characters at the most.
+# A machine's entry: its name, type, zone and owner, of about 40, 30, 30 and 40 characters at most.
 MAX_CORDON_ENTRY_BYTES = 200
 
 
 class DrainRecordFull(Exception):
-    """What has to be recorded before a stop does not fit its keys."""
+    """The state that must be stored before a task is stopped does not fit into its keys."""
 
 
 class StoredDrainState(msgspec.Struct):
-    """What earlier leaders left."""
+    """Drain state stored by earlier leaders."""
 
     drains: list[Drain] = []
     cordons: dict[str, Cordon] = {}
@@ -64,16 +66,16 @@
 class DrainStore(FencedWriter):
     def __init__(self, kv_store: KeyValueStoreClient, leader_key_version: int) -> None:
         super().__init__(kv_store, leader_key_version, "drains")
-        self._page_by_machine: dict[str, int] = {}  # machine: page of its step
+        self._page_by_machine: dict[str, int] = {}  # page of each cordoned machine
 
     @property
     def max_value_bytes(self) -> int:
-        """Bytes of a value, within the limits as they are known now."""
+        """Maximum size of a value under the current transaction limits."""
         return int(min(self.kv_store.transaction_limits.max_value_bytes, 8192) * VALUE_FILL_RATIO)
 
     @property
     def max_cordons(self) -> int:
-        """Machines that surely fit the list of steps: ENTRY bytes each, and a page may end with that much unused."""
+        """Cordons that fit in any case: `MAX_CORDON_ENTRY_BYTES` each, and up to that much unused in each page."""
         return MAX_CORDON_PAGES * max(1, self.max_value_bytes // MAX_CORDON_ENTRY_BYTES - 1)
 
     # -- reading ------------------------------------------------------------------------------
@@ -83,7 +85,7 @@
         return entries
 
     def load_records(self, entries: list[Entry]) -> StoredDrainState:
-        """Raises Trouble if a key can't be read: a leader must not lead on without knowing what is drained."""
+        """Decode the entries; raises StoreError if one is invalid: a leader must know all drains and cordons."""
         stored = StoredDrainState([], {}, {}, {}, {})
         self.load(entries)
         self._page_by_machine = {}
@@ -121,17 +123,17 @@
             stored.rebalancing = value
 
     def fit_rebalancing(self, value: dict[str, Any]) -> dict[str, Any]:
-        """The moves within a value's room: who was moved the longest ago is left out first."""
+        """Shorten a rebalancing value to the maximum size, dropping the replicas that were moved longest ago."""
         moved_at_ms: dict[str, int] = dict(value["moved"])
         while moved_at_ms and len(orjson.dumps(value | {"moved": moved_at_ms})) > self.max_value_bytes:
             del moved_at_ms[min(moved_at_ms, key=lambda name: moved_at_ms[name])]
         return value | {"moved": moved_at_ms}
 
     def encode_ended_drain(self, drain: Drain) -> dict[str, Any]:
-        """A drain that has ended, within a value's room: it chooses no machine any more, so their names can go."""
+        """Encode an ended drain, without machine names if it is too large: it selects no machines any more."""
         value = encode_drain(drain)
         if len(orjson.dumps(value)) > self.max_value_bytes:
-            value["ask"] = {name: part for name, part in value["ask"].items() if name != "machines"}
+            value["ask"] = {name: field for name, field in value["ask"].items() if name != "machines"}
         return value
 
     def fits_value(self, drain: Drain) -> bool:
@@ -140,7 +142,7 @@
     # -- writing ------------------------------------------------------------------------------
 
     def encode_cordons(self, cordons: dict[str, Cordon]) -> dict[str, Any]:
-        """Values by key. A machine stays on its page; new ones go where there is room."""
+        """Encode cordons as values by key. Machines stay on their page; new ones go to the first with room."""
         self._page_by_machine = {name: page for name, page in self._page_by_machine.items() if name in cordons}
         entries = {
             name: [
@@ -171,7 +173,10 @@
     def encode_disruptions(
         self, placement_progress: dict[str, int], rate_windows: dict[str, Any], required_jobs: set[str]
     ) -> dict[str, Any]:
-        """Values by key; Full if a job of `needed` has no room. What else has none is told by its tasks' indices."""
+        """Encode the disruption account as values by key; raises DrainRecordFull if a required job does not fit.
+
+        Other jobs that do not fit are left out: after a failover their tasks count as down by their indices alone.
+        """
         values: dict[str, Any] = {}
         pages: list[dict[str, Any]] = [{"reached": {}, "windows": {}}]
         page_size = 32
@@ -191,8 +196,10 @@
                 page_size = 32
             pages[-1][section][name] = value
             page_size += entry_size
-        for n in range(MAX_DISRUPTION_PAGES):
-            values[f"{DISRUPTIONS_KEY_PREFIX}{n:02d}"] = pages[n] if n < len(pages) else {"reached": {}, "windows": {}}
+        for page_number in range(MAX_DISRUPTION_PAGES):
+            values[f"{DISRUPTIONS_KEY_PREFIX}{page_number:02d}"] = (
+                pages[page_number] if page_number < len(pages) else {"reached": {}, "windows": {}}
+            )
         return values
 
 
