--- a/roseweir/drain/__init__.py
+++ b/roseweir/drain/__init__.py
@@ -1,7 +1,7 @@
-"""Draining machines and replacing them in steps, within a budget of disruption for each team.
+"""Drains and replaces machines in steps, within a disruption budget for each team.
 
-`settings` is what operators set, `model` what they ask for, `budget` the one account of everything that takes tasks
-down, `evidence` and `reasons` why the service replaces machines by itself, `pool` what may be missing and what is
-rented for it, `steps` what happens next to which machine. All of these are pure. `store` keeps them, `desk` carries
-them out.
+Modules without I/O: `settings` has the operators' settings, `model` their requests, `disruption_budget` the account of
+all tasks that are down, `machine_health` and `auto_replacement` the reasons for automatic replacement, `surge_pool` the
+bounds on missing machines and the replacement rentals, and `eviction_state_machine` the next step of each machine.
+`store` stores the state, and `controller` carries the decisions out.
 """
--- a/roseweir/drain/api.py
+++ b/roseweir/drain/api.py
@@ -1,4 +1,4 @@
-"""What operators and peers send to `/drains`, and what is answered."""
+"""Requests from operators and peers to `/drains`, and their answers."""
 
 from typing import TYPE_CHECKING, Any, Literal
 
@@ -16,16 +16,16 @@
     forbid_unknown_fields=True,
     rename={"request": "ask", "is_forwarded": "passed_on"},
 ):
-    """The body of a POST: one drain to take, or the name of one to stop; nothing: how they stand."""
+    """Body of a POST: a drain to start, the name of one to stop, or a request for status if empty."""
 
     verb: Literal["start", "stop", "status"] = "status"
     request: DrainRequest | None = None
     name: str = ""
-    is_forwarded: bool = False  # by a node that does not lead
+    is_forwarded: bool = False  # by a controller that is not the leader
 
 
 def parse_command(method: str, body: bytes) -> DrainCommand:
-    """Raises ValueError, whose text is one line about what is wrong."""
+    """Parse a request; raises ValueError with a one-line message."""
     command = msgspec.json.decode(body, type=DrainCommand) if method == "POST" and body else DrainCommand()
     if command.verb == "start" and command.request is None:
         raise ValueError("`ask` is missing")
@@ -33,7 +33,7 @@
 
 
 async def handle_request(controller: "DrainController", method: str, body: bytes) -> tuple[int, dict[str, Any]]:
-    """Status and answer: 200, 201 for a new drain, 400 for what is refused, 503 to ask again."""
+    """Return the HTTP status and answer: 200, 201 for a new drain, 400 if rejected, 503 if the client may retry."""
     try:
         command = parse_command(method, body)
         if command.verb == "start" and command.request is not None:
--- a/roseweir/drain/cli.py
+++ b/roseweir/drain/cli.py
@@ -1,4 +1,4 @@
-"""`roseweir drain NAME`, `drain status` and `drain stop`."""
+"""Command line of drains: `roseweir drain NAME`, `drain status` and `drain stop`."""
 
 import argparse
 import sys
@@ -120,7 +120,7 @@
 
 
 def _print_progress(address: str, name: str) -> int:
-    """A line for each change until the drain has ended."""
+    """Print a line for each change until the drain has ended; return the exit status."""
     last_line = ""
     while True:
         answer = post_command(address, "/drains", {"verb": "status"})
@@ -143,18 +143,18 @@
 
 
 def _format_state_counts(row: dict[str, Any]) -> str:
-    return ", ".join(f"{count} {step}" for step, count in row["machines"].items()) or "none left"
+    return ", ".join(f"{count} {state}" for state, count in row["machines"].items()) or "none left"
 
 
 def _print_drain(row: dict[str, Any]) -> None:
     print(f"{row['name']:20} {row['state']}" + (f" ({row['reason']})" if row["reason"] else ""))
     print(f"  machines           {row['machines_gone']} of {row['machines_chosen']} gone, {_format_state_counts(row)}")
     if row["waits_for"]:
-        since = "" if row["no_step_for_s"] is None else f", no step for {row['no_step_for_s']:.0f} s"
-        print(f"  waits for          {row['waits_for']}{since}")
+        idle_text = "" if row["no_step_for_s"] is None else f", no step for {row['no_step_for_s']:.0f} s"
+        print(f"  waits for          {row['waits_for']}{idle_text}")
     if row["deadline_in_s"] is not None:
-        end = "not known yet" if row["expected_end_in_s"] is None else f"in about {row['expected_end_in_s']:.0f} s"
-        print(f"  expected end       {end}; deadline in {row['deadline_in_s']:.0f} s, then {row['then']}")
+        end_text = "not known yet" if row["expected_end_in_s"] is None else f"in about {row['expected_end_in_s']:.0f} s"
+        print(f"  expected end       {end_text}; deadline in {row['deadline_in_s']:.0f} s, then {row['then']}")
 
 
 def _print_status(answer: dict[str, Any]) -> None:
@@ -173,8 +173,8 @@
             f"replaced today       {auto_replacement['replaced_today']} of {auto_replacement['machines_a_day']}, "
             f"{auto_replacement['spent_today']} of {auto_replacement['money_a_day']} spent"
         )
-        for reason, steps in auto_replacement["machines"].items():
-            print(f"  {reason:18} " + ", ".join(f"{count} {step}" for step, count in steps.items()))
+        for reason, state_counts in auto_replacement["machines"].items():
+            print(f"  {reason:18} " + ", ".join(f"{count} {state}" for state, count in state_counts.items()))
         for breaker in auto_replacement["brakes"]:
             print(
                 f"  {breaker['reason']} stopped for {breaker['type']}, {breaker['lifts_in_s']} s more: {breaker['why']}"
--- a/roseweir/drain/lifecycle_observer.py
+++ b/roseweir/drain/lifecycle_observer.py
@@ -1,4 +1,4 @@
-"""What the board tells, put into the account and the evidence."""
+"""Records task and machine lifecycle events in the disruption account and the machines' health records."""
 
 from datetime import datetime, timedelta
 
@@ -37,7 +37,7 @@
         self.disruptions.mark_up(run, [placement.index])
 
     def _is_gang_running(self, run: JobRun) -> bool:
-        """A gang is up when every mate runs: after a take-over some may be gone that were not heard of yet."""
+        """Whether every member runs; after a failover some may be gone of which no heartbeat has arrived yet."""
         return len(run.placements) == run.spec.task_count and all(
             p.state == wire.RUNNING and p.stop_requested_at is None for p in run.placements.values()
         )
--- a/roseweir/drain/machine_health.py
+++ b/roseweir/drain/machine_health.py
@@ -1,6 +1,6 @@
-"""What speaks against a machine: slow runs, failures of several jobs, leases lost; and how long spot machines lived.
+"""Health records of machines (slow runs, task failures, expired leases), and lifetimes of spot machines.
 
-Kept by the leader from reports; a take-over begins it anew, which only makes the service slower to judge.
+Kept in the leader's memory from heartbeats. A failover starts with empty records, which only delays replacements.
 """
 
 from collections import deque
@@ -10,21 +10,21 @@
 from roseweir.clock import NEVER
 from roseweir.scheduler.model import JobRun, Machine
 
-# Runs after which a machine's speed says something, and how much each counts.
+# Runs after which a machine's slowdown is significant, and the least weight of a new run in the moving average.
 MIN_RUNS_FOR_SLOWDOWN, MIN_RUN_WEIGHT = 8, 0.2
-# Failures and lost leases are held against a machine for so long.
+# Failures and expired leases count against a machine for this long.
 INCIDENT_RETENTION = timedelta(hours=1)
-# Lives of spot machines of a kind that are remembered, and that are needed to tell what is usual.
+# Lifetimes of spot machines kept per type, and how many are needed to tell the typical one.
 MAX_SPOT_LIFETIMES, MIN_SPOT_LIFETIMES = 40, 5
 
 
 @dataclass(slots=True)
 class HealthRecord:
-    """One machine's."""
+    """Health of one machine."""
 
-    slowdown: float = 1.0  # times as long as its kind's tasks usually take, faded
+    slowdown: float = 1.0  # moving average of run time relative to the usual one
     run_count: int = 0
-    last_failure_by_job: dict[str, datetime] = field(default_factory=dict)  # jobs, and when last
+    last_failure_by_job: dict[str, datetime] = field(default_factory=dict)
     lease_expiries: list[datetime] = field(default_factory=list)
 
 
@@ -37,7 +37,7 @@
         return self.records.setdefault(machine.name, HealthRecord())
 
     def record_run(self, machine: Machine, duration_ratio: float) -> None:
-        """A task took so many times as long as its class usually does."""
+        """Record a run that took this many times as long as the task's class usually does."""
         record = self._record_of(machine)
         record.run_count += 1
         weight = max(MIN_RUN_WEIGHT, 1 / record.run_count)
@@ -59,14 +59,14 @@
         for name in [name for name in self.records if name not in machines]:
             del self.records[name]
 
-    # -- what it says -------------------------------------------------------------------------
+    # -- queries ------------------------------------------------------------------------------
 
     def slowdown_of(self, machine: Machine) -> float | None:
         record = self.records.get(machine.name)
         return record.slowdown if record is not None and record.run_count >= MIN_RUNS_FOR_SLOWDOWN else None
 
     def recent_failing_jobs(self, machine: Machine, now: datetime) -> int:
-        """Of how many jobs tasks failed here lately."""
+        """Number of jobs whose tasks failed on the machine within `INCIDENT_RETENTION`."""
         record = self.records.get(machine.name)
         return 0 if record is None else sum(now - at < INCIDENT_RETENTION for at in record.last_failure_by_job.values())
 
@@ -75,6 +75,6 @@
         return 0 if record is None else sum(now - at < INCIDENT_RETENTION for at in record.lease_expiries)
 
     def typical_spot_lifetime(self, type_name: str) -> timedelta | None:
-        """How long spot machines of a type lived until the cloud took them."""
+        """Median lifetime of a type's spot machines until the cloud reclaimed them; None if too few are known."""
         lifetimes = self.spot_lifetimes.get(type_name, ())
         return sorted(lifetimes)[len(lifetimes) // 2] if len(lifetimes) >= MIN_SPOT_LIFETIMES else None
--- a/roseweir/drain/status_report.py
+++ b/roseweir/drain/status_report.py
@@ -1,4 +1,4 @@
-"""How drains stand, for operators. Pure."""
+"""Builds the status of drains for operators. Performs no I/O."""
 
 from datetime import datetime
 from typing import Any
@@ -12,8 +12,8 @@
 ) -> dict[str, Any]:
     state_counts: dict[str, int] = {}
     wait_counts: dict[str, int] = {}
-    machines_here = [] if drain_record.outcome else list(state_machine.machines_of(drain_record.name))
-    for machine in machines_here:
+    remaining_machines = [] if drain_record.outcome else list(state_machine.machines_of(drain_record.name))
+    for machine in remaining_machines:
         machine_state = state_machine.state_of(machine).value
         state_counts[machine_state] = state_counts.get(machine_state, 0) + 1
         wait_reason = state_machine.wait_reasons.get(machine.name)
@@ -29,7 +29,7 @@
         "machines_gone": max(
             0,
             drain_record.selected_count
-            - (drain_record.remaining_count if drain_record.outcome else len(machines_here)),
+            - (drain_record.remaining_count if drain_record.outcome else len(remaining_machines)),
         ),
         "waits_for": None if drain_record.outcome else _main_wait_reason(state_machine, wait_counts),
         "no_step_for_s": None
@@ -44,7 +44,7 @@
 
 
 def _main_wait_reason(state_machine: EvictionStateMachine, wait_counts: dict[str, int]) -> str | None:
-    """What holds all of it, or what holds the most machines."""
+    """The reason that all machines wait for, or else the most frequent one."""
     if "" in state_machine.wait_reasons:
         return state_machine.wait_reasons[""]
     if not wait_counts:
@@ -57,7 +57,7 @@
 
 
 def summarize(state_machine: EvictionStateMachine) -> dict[str, Any]:
-    disrupted = [bucket for bucket in state_machine.disruptions.usage_by_key.values() if bucket.tasks_down]
+    disrupted = [usage for usage in state_machine.disruptions.usage_by_key.values() if usage.tasks_down]
     return {
         "drains": [
             f"{name}: {sum(1 for _ in state_machine.machines_of(name))} machines left" for name in state_machine.drains
@@ -86,25 +86,25 @@
             state_counts[machine_state] = state_counts.get(machine_state, 0) + 1
     return {
         "on": is_active,
-        "drains": [describe_drain(state_machine, one, now, wall_ms) for one in active],
+        "drains": [describe_drain(state_machine, drain, now, wall_ms) for drain in active],
         "own_reasons": None
         if state_machine.auto_replacement is None
         else state_machine.auto_replacement.describe(wall_ms) | {"machines": states_by_reason},
         "budgets": state_machine.disruptions.describe(),
         "types": [
             {
-                "type": kind,
-                "missing": state_machine.surge_pool.missing_count(kind, state_machine.cordons.values()),
-                "may_be_missing": state_machine.surge_pool.max_missing(kind),
-                "ready_to_replace": len(state_machine.surge_pool.ready_replacements.get(kind, ())),
-                "sold_out": state_machine.surge_pool.is_sold_out(kind, False, now)
-                and state_machine.surge_pool.is_sold_out(kind, True, now),
+                "type": machine_type,
+                "missing": state_machine.surge_pool.missing_count(machine_type, state_machine.cordons.values()),
+                "may_be_missing": state_machine.surge_pool.max_missing(machine_type),
+                "ready_to_replace": len(state_machine.surge_pool.ready_replacements.get(machine_type, ())),
+                "sold_out": state_machine.surge_pool.is_sold_out(machine_type, False, now)
+                and state_machine.surge_pool.is_sold_out(machine_type, True, now),
             }
-            for kind in machine_types
+            for machine_type in machine_types
         ],
         "machines_replaced": state_machine.replaced_count,
         "ended": [
-            describe_drain(state_machine, one, now, wall_ms)
-            for one in sorted(ended_drains, key=lambda d: -d.ended_at_ms)
+            describe_drain(state_machine, drain, now, wall_ms)
+            for drain in sorted(ended_drains, key=lambda d: -d.ended_at_ms)
         ],
     }
