--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -275,7 +275,7 @@
     # -- used by the cloud controller ---------------------------------------------------------
 
     def plan_replacements(
-        self, other_wants: list[MachineRequest], refused_offers: dict[MachineOffer, datetime], now: datetime
+        self, other_requests: list[MachineRequest], refused_offers: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
         """Return replacements to rent, and ready ones (with the reason) that must not be released as idle."""
         if not self.is_active or not self.state_machine.is_settled(now):
@@ -285,7 +285,9 @@
             for names in self.surge_pool.ready_replacements.values()
             for name in names
         }
-        return self.surge_pool.plan_rentals(self.state_machine.due_machines, refused_offers, other_wants, now), reserved
+        return self.surge_pool.plan_rentals(
+            self.state_machine.due_machines, refused_offers, other_requests, now
+        ), reserved
 
     # -- operators ----------------------------------------------------------------------------
 
--- a/roseweir/drain/disruption_budget.py
+++ b/roseweir/drain/disruption_budget.py
@@ -61,18 +61,18 @@
         last_slot = rate_slot_of(now)
         return sum(count for slot, count in self.disruptions_by_slot.items() if slot > last_slot - slot_count)
 
-    def record_disruptions(self, tasks: int, now: datetime) -> None:
+    def record_disruptions(self, task_count: int, now: datetime) -> None:
         slot = rate_slot_of(now)
-        self.disruptions_by_slot[slot] = self.disruptions_by_slot.get(slot, 0) + tasks
+        self.disruptions_by_slot[slot] = self.disruptions_by_slot.get(slot, 0) + task_count
         if len(self.disruptions_by_slot) > HOUR_SLOT_COUNT + 8:
             self.disruptions_by_slot = {s: n for s, n in self.disruptions_by_slot.items() if s > slot - HOUR_SLOT_COUNT}
 
-    def refusal_reason(self, tasks: int, is_gang: bool, now: datetime) -> str:
+    def refusal_reason(self, task_count: int, is_gang: bool, now: datetime) -> str:
         """Why this many more tasks, or a gang of this size, may not be stopped now; "" if they may."""
         budget = self.budget
         if budget.forbids_all:
             return f"the budget of team {self.team} allows nothing"
-        if self.tasks_down > 0 and self.tasks_down + tasks > self.max_tasks_down:
+        if self.tasks_down > 0 and self.tasks_down + task_count > self.max_tasks_down:
             return f"budget of team {self.team}: {self.tasks_down} tasks of {self.max_tasks_down} are down"
         if is_gang and budget.gangs is not None and self.gangs_down + 1 > budget.gangs:
             return f"budget of team {self.team}: {self.gangs_down} gangs of {budget.gangs} are down"
@@ -82,7 +82,7 @@
         ):
             if max_disruptions is not None:
                 disruptions = self.disruptions_within(now, slot_count)
-                if disruptions > 0 and disruptions + tasks > max_disruptions:
+                if disruptions > 0 and disruptions + task_count > max_disruptions:
                     return f"budget of team {self.team}: {disruptions} tasks of {max_disruptions} in this {window_name}"
         return ""
 
@@ -185,31 +185,31 @@
         """Reserve the stop of tasks within their budget; return why it was refused, or ""."""
         spec = run.spec
         is_gang = spec.job_type == GANG
-        tasks = spec.task_count - run.completed_count if is_gang else len(indices)
+        task_count = spec.task_count - run.completed_count if is_gang else len(indices)
         usage = self.usage_of(run)
         if spec.job_type == SERVICE:
-            refusal = self._replica_refusal_reason(run, usage.budget, tasks)
+            refusal = self._replica_refusal_reason(run, usage.budget, task_count)
             if refusal:
                 return refusal
-        refusal = usage.refusal_reason(tasks, is_gang, now)
+        refusal = usage.refusal_reason(task_count, is_gang, now)
         if not refusal:
             self.mark_down(run, indices, DowntimeCause.DRAIN, now)
         return refusal
 
-    def _replica_refusal_reason(self, run: JobRun, budget: DisruptionBudget, tasks: int) -> str:
+    def _replica_refusal_reason(self, run: JobRun, budget: DisruptionBudget, task_count: int) -> str:
         """A service loses one replica at a time, and keeps at least `replicas-least` of them up."""
         replicas_down = len(self.down_tasks.get(run.spec.id, ()))
         if replicas_down:
             return f"service {run.spec.id}: {replicas_down} of its replicas are down"
         replicas_up = sum(p.state == wire.RUNNING and p.stop_requested_at is None for p in run.placements.values())
-        if budget.replicas_least is not None and replicas_up - tasks < budget.replicas_least:
+        if budget.replicas_least is not None and replicas_up - task_count < budget.replicas_least:
             return f"service {run.spec.id}: {replicas_up} replicas up, {budget.replicas_least} are the least"
         return ""
 
-    def exceeds_budget(self, run: JobRun, tasks: int) -> bool:
+    def exceeds_budget(self, run: JobRun, task_count: int) -> bool:
         """Whether this many reserved tasks no longer fit: others went down while the decision was being stored."""
         usage = self.usage_of(run)
-        return usage.tasks_down > max(usage.max_tasks_down, tasks)
+        return usage.tasks_down > max(usage.max_tasks_down, task_count)
 
     def is_exhausted_by_losses(self, run: JobRun) -> bool:
         """Whether the budget is used up, in part by losses: machines with tasks of the team are not cordoned then."""
--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -228,10 +228,12 @@
         max_new_cordons = min(
             self.surge_pool.max_cordons_per_step(), self.max_cordons - len(self.cordons) - len(decision.cordons)
         )
-        for (machine_type, spot, needs_replacement), machines in sorted(candidates.items(), key=lambda item: item[0]):
+        for (machine_type, is_spot, needs_replacement), machines in sorted(
+            candidates.items(), key=lambda item: item[0]
+        ):
             all_cordons = [*self.cordons.values(), *decision.cordons.values()]
             capacity = min(
-                self.surge_pool.cordon_capacity(machine_type, spot, needs_replacement, all_cordons, now),
+                self.surge_pool.cordon_capacity(machine_type, is_spot, needs_replacement, all_cordons, now),
                 max_new_cordons,
             )
             if capacity <= 0:
--- a/roseweir/drain/store.py
+++ b/roseweir/drain/store.py
@@ -101,13 +101,13 @@
         if entry.key.startswith(REQUEST_KEY_PREFIX):
             stored.drains.append(msgspec.convert(value, Drain))
         elif entry.key.startswith(CORDONS_KEY_PREFIX):
-            for name, (owner, machine_type, zone, spot, cordoned_at_ms, needs_replacement, has_replacement) in value[
+            for name, (owner, machine_type, zone, is_spot, cordoned_at_ms, needs_replacement, has_replacement) in value[
                 "machines"
             ].items():
                 stored.cordons[name] = Cordon(
                     owner,
                     machine_type,
-                    MachineOffer(machine_type, zone, spot),
+                    MachineOffer(machine_type, zone, is_spot),
                     cordoned_at_ms,
                     needs_replacement,
                     has_replacement,
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -164,14 +164,15 @@
         )
         return cordoned_count + len(self.gaps.get(machine_type, ()))
 
-    def is_sold_out(self, machine_type: str, spot: bool, now: datetime) -> bool:
+    def is_sold_out(self, machine_type: str, is_spot: bool, now: datetime) -> bool:
         catalog_entry = self.cluster_state.catalog.get(machine_type)
         return catalog_entry is not None and all(
-            self.sold_out_until.get(MachineOffer(machine_type, zone, spot), now) > now for zone in catalog_entry.zones
+            self.sold_out_until.get(MachineOffer(machine_type, zone, is_spot), now) > now
+            for zone in catalog_entry.zones
         )
 
     def cordon_capacity(
-        self, machine_type: str, spot: bool, needs_replacement: bool, cordons: Iterable[Cordon], now: datetime
+        self, machine_type: str, is_spot: bool, needs_replacement: bool, cordons: Iterable[Cordon], now: datetime
     ) -> int:
         """How many more machines of a type may be cordoned now; without demand no replacement has to come first."""
         same_type = [c for c in cordons if c.machine_type == machine_type]
@@ -179,7 +180,7 @@
         if not needs_replacement:
             return max_missing - sum(not c.needs_replacement for c in same_type)
         ready_count = len(self.ready_replacements.get(machine_type, ()))
-        if self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+        if self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, is_spot, now):
             return ready_count
         return max(ready_count, max_missing - self.missing_count(machine_type, same_type))
 
@@ -218,42 +219,42 @@
         self,
         due_machines: dict[str, list[Machine]],
         refused_offers: dict[MachineOffer, datetime],
-        other_wants: list[MachineRequest],
+        other_requests: list[MachineRequest],
         now: datetime,
     ) -> list[MachineRequest]:
         """Rentals that close gaps, and replacements ahead for due machines (by type) while their type is in demand."""
-        wants: list[MachineRequest] = []
-        taken_offers = {(w.type_name, w.zone, w.is_spot) for w in other_wants}
+        machine_requests: list[MachineRequest] = []
+        taken_offers = {(r.type_name, r.zone, r.is_spot) for r in other_requests}
         image_fetches = self._affordable_image_fetches(now)
         max_sockets = max(4, int(self.cluster_state.settings.params.process_limits.max_sockets * MAX_SOCKET_SHARE))
         provisioning = self._provisioning_counts(now)
         max_calls = max(1, int(self.cluster_state.settings.params.cloud.max_requests_per_s / 2))
         for machine_type in sorted(self.gaps.keys() | due_machines.keys()):
             machines = due_machines.get(machine_type, [])
-            spot = sum(m.is_spot for m in machines) * 2 > len(machines)
+            is_spot = sum(m.is_spot for m in machines) * 2 > len(machines)
             surge_count = 0
-            if machines and self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, spot, now):
+            if machines and self._is_in_demand(machine_type, now) and not self.is_sold_out(machine_type, is_spot, now):
                 surge_count = max(
                     0,
                     min(self.max_missing(machine_type), len(machines))
                     - len(self.ready_replacements.get(machine_type, ())),
                 )
             provisioning_count = provisioning.get(machine_type, 0) + sum(
-                w.count for w in other_wants if w.type_name == machine_type
+                r.count for r in other_requests if r.type_name == machine_type
             )
             missing_count = min(len(self.gaps.get(machine_type, ())) + surge_count, max_sockets) - provisioning_count
-            for offer in self._candidate_offers(machine_type, machines, spot):
-                if missing_count <= 0 or len(wants) >= max_calls:
+            for offer in self._candidate_offers(machine_type, machines, is_spot):
+                if missing_count <= 0 or len(machine_requests) >= max_calls:
                     break
                 if offer in taken_offers or refused_offers.get(offer, now) > now or image_fetches.get(offer[1], 1) <= 0:
                     continue
                 count = min(
                     missing_count, MAX_MACHINES_PER_REQUEST, image_fetches.get(offer[1], MAX_MACHINES_PER_REQUEST)
                 )
-                wants.append(MachineRequest(*offer, count, is_surge=True))
+                machine_requests.append(MachineRequest(*offer, count, is_surge=True))
                 missing_count -= count
                 image_fetches[offer[1]] = image_fetches.get(offer[1], count) - count
-        return wants
+        return machine_requests
 
     def _provisioning_counts(self, now: datetime) -> dict[str, int]:
         """Machines of each type rented in this term that are booting on time, or up and not in place yet."""
@@ -273,7 +274,7 @@
             counts[machine.machine_type.name] = counts.get(machine.machine_type.name, 0) + 1
         return counts
 
-    def _candidate_offers(self, machine_type: str, machines: list[Machine], spot: bool) -> list[MachineOffer]:
+    def _candidate_offers(self, machine_type: str, machines: list[Machine], is_spot: bool) -> list[MachineOffer]:
         """Offers in the zones of the due machines, most machines first; then in the type's other zones."""
         machines_by_zone: dict[str, int] = {}
         for machine in machines:
@@ -282,8 +283,8 @@
         if catalog_entry is None:
             return []
         zone_order = sorted(catalog_entry.zones, key=lambda zone: (-machines_by_zone.get(zone, 0), zone))
-        pricings = (spot, not spot) if self.gaps.get(machine_type) else (spot,)
-        return [MachineOffer(machine_type, zone, is_spot) for is_spot in pricings for zone in zone_order]
+        pricings = (is_spot, not is_spot) if self.gaps.get(machine_type) else (is_spot,)
+        return [MachineOffer(machine_type, zone, offer_is_spot) for offer_is_spot in pricings for zone in zone_order]
 
     def _affordable_image_fetches(self, now: datetime) -> dict[str, int]:
         """New machines per zone whose first image fetch the zone's rate limit can pay for within one window."""
