--- a/benchmarks/forecast.py
+++ b/benchmarks/forecast.py
@@ -80,8 +80,8 @@
         "machines": machines,
         "series": len(history.series),
         "count_us": round(sum(counts) / len(counts) * 1e6, 1),
-        "first_needs_ms": round(seconds_per_call(lambda n: planner.forecast.needs(at, {}), 1) * 1e3, 2),
-        "needs_ms": round(seconds_per_call(lambda n: planner.forecast.needs(at + n, {}), 20) * 1e3, 2),
+        "first_needs_ms": round(seconds_per_call(lambda n: planner.forecaster.needs(at, {}), 1) * 1e3, 2),
+        "needs_ms": round(seconds_per_call(lambda n: planner.forecaster.needs(at + n, {}), 20) * 1e3, 2),
         "decide_ms": round(
             seconds_per_call(lambda n: planner.plan([], {}, at + n, now + seconds(n / 100)), 100) * 1e3, 2
         ),
--- a/roseweir/forecast/demand_history.py
+++ b/roseweir/forecast/demand_history.py
@@ -1,12 +1,12 @@
-"""Demand as it was accepted, in slots of time. Pure: the current instant is always an argument.
+"""Accepted demand, counted in time slots. No I/O: the current instant is always an argument.
 
-What is counted is the *offered load*: how much would run at once if every accepted job found room at
-once. That is what capacity has to match for nobody to wait, and unlike what ran it does not shrink
-when machines were missing. Instants are seconds since 1970 (UTC), so a clock change leaves no gap
-and no double slot here; local time is the forecast's business.
+Counted is the *offered load*: how much would run concurrently if every accepted job started at once. This is the
+capacity with which no job would wait, and unlike the load that ran it does not shrink when machines are missing.
+Instants are seconds since 1970 (UTC), so a clock change causes neither a gap nor a repeated slot; the forecaster
+converts to local time.
 
-Bounds, whatever the number of classes, teams and weeks: `series_most` + WIDE + 4 series in memory, a ring
-of (7 x weeks + 1) x 24 blocks of an hour in the state service, each within the size that `encode` is given.
+Size limits, for any number of classes, teams and weeks: `series_most` + MAX_TEAM_WIDE_SERIES + 4 series in memory, and
+a ring of (7 x weeks + 1) x 24 blocks of one hour in the key-value store, each within the size given to `encode`.
 """
 
 import math
@@ -22,20 +22,25 @@
 from msgspec import Meta
 
 BLOCK_DURATION_S = 3600
-# Series that teams may have beyond `series_most` for whatever of theirs found no place of its own.
+# Series beyond `series_most`, each for all classes of a team that have no series of their own.
 MAX_TEAM_WIDE_SERIES = 16
+# Class or team name of a series that combines several.
 ANY_NAME = "*"
+# Team name of the series that combine all teams without a guarantee.
 BEST_EFFORT_TEAMS = "*guests"
-# Teams without a guarantee may take this part of the series, so that their classes push out nobody's.
+# Teams without a guarantee may have this part of the series, so that their classes do not displace those of others.
 BEST_EFFORT_SERIES_SHARE = 0.25
-# So many hours wait for the state service, should it be out; what is older is lost.
+# Hours kept for writing while the key-value store is unavailable; older ones are lost.
 MAX_UNWRITTEN_BLOCKS = 24
-# How many boots and fetches of a type are kept with the newest block.
-MAX_TIMES_PER_TYPE = 32
+# Boot and image fetch ratios of a machine type that are stored with the newest block.
+MAX_RATIOS_PER_TYPE = 32
 
 
 class Pool(NamedTuple):
-    """Machines that a kind of work can take: with GPUs or not, which types, where, spot or not."""
+    """The machines that a group of jobs can use: with or without GPUs, which types, in which zone, spot or not.
+
+    `types` and `zone` are None if any will do.
+    """
 
     gpus: bool
     types: tuple[str, ...] | None
@@ -43,10 +48,10 @@
     spot: bool
 
     def __str__(self) -> str:
-        what = "gpu" if self.gpus else "cpu"
+        resource = "gpu" if self.gpus else "cpu"
         types = f" on {','.join(self.types)}" if self.types is not None else ""
         zone = f" in {self.zone}" if self.zone is not None else ""
-        return f"{what}{types}{zone}{' (spot too)' if self.spot else ''}"
+        return f"{resource}{types}{zone}{' (spot too)' if self.spot else ''}"
 
 
 class SeriesKey(NamedTuple):
@@ -56,7 +61,7 @@
 
 
 class TaskShape(NamedTuple):
-    """The largest task that a series has seen, and its largest image, in GB like its memory."""
+    """The maximum resources of a task in a series, and its largest image."""
 
     cpus: float
     gpus: float
@@ -68,7 +73,7 @@
 
 
 class Demand(NamedTuple):
-    """An accepted job: so many units (GPUs, or CPUs for jobs without) at once for so long."""
+    """An accepted job: the units (GPUs, or CPUs for jobs without GPUs) that it uses concurrently, and for how long."""
 
     job_id: str
     key: SeriesKey
@@ -76,26 +81,26 @@
     accepted_at: float
     duration_s: float  # inf: until it is cancelled
     units: float
-    unit_seconds: float  # unit-seconds
-    tasks: int
+    unit_seconds: float
+    task_count: int
 
 
-TimesByType = Mapping[str, Iterable[tuple[datetime, float]]]
+RatiosByType = Mapping[str, Iterable[tuple[datetime, float]]]
 
 
 @dataclass(slots=True)
 class Series:
-    """A ring of slots: the most at once in each, and unit-seconds in use."""
+    """A ring of slots: the highest number of concurrent units in each, and the unit-seconds in use."""
 
     shape: TaskShape
     peaks: "array[float]"
     areas: "array[float]"
-    area_added_until: float = 0.0  # up to when the open slot's area has been added up
+    area_added_until: float = 0.0  # instant up to which the current slot's area has been added
 
 
 @dataclass(slots=True)
 class Block:
-    """An hour as it stands in the state service: [work, tasks, peak, area] by series and slot."""
+    """An hour as stored in the key-value store: [unit-seconds accepted, tasks, peak, area] by series and slot."""
 
     number: int
     covered: list[float]
@@ -148,14 +153,14 @@
         self.covered_s = array("d", bytes(8 * self.slot_count))
         self.series: dict[SeriesKey, Series] = {}
         self.open_blocks: dict[int, Block] = {}
-        # The state service's revision up to which every accepted job has been counted, by whatever leader.
+        # Revision of the key-value store up to which every accepted job has been counted, by this or an earlier leader.
         self.counted_revision = 0
         self.open_slot: int | None = None
         self.newest_slot = -1
-        # The last boots and image fetches by type of machine, as multiples of what the catalog says.
-        self.boot_factors: dict[str, list[float]] = {}
-        self.fetch_factors: dict[str, list[float]] = {}
-        self._newest_time_seen: dict[tuple[bool, str], datetime] = {}
+        # The latest boot and image fetch times by machine type, as ratios to the catalog's figures.
+        self.boot_ratios: dict[str, list[float]] = {}
+        self.fetch_ratios: dict[str, list[float]] = {}
+        self._newest_ratio_at: dict[tuple[bool, str], datetime] = {}
         self._active_units: dict[SeriesKey, float] = {}
         self._active_jobs: dict[str, _ActiveJob] = {}
         self._expected_ends: list[tuple[float, str]] = []
@@ -167,13 +172,13 @@
         return int(at // self.slot_s)
 
     def has_slot(self, slot: int) -> bool:
-        """Whether the ring still has this slot, or has it yet."""
+        """Whether the ring holds this slot: it is neither too old nor in the future."""
         return self.newest_slot - self.slot_count < slot <= self.newest_slot
 
     def advance_to(self, now: float) -> None:
-        """Open the slots up to now; what is still active goes on into each of them.
+        """Open the slots up to now; jobs that are still active are counted in each of them.
 
-        A clock that is behind an earlier leader's opens nothing: what that one counted stays.
+        If the clock is behind that of an earlier leader, no slot is opened and that leader's counts remain.
         """
         slot = self.slot_of(now)
         if self.open_slot is None or slot - self.open_slot > self.slot_count:
@@ -191,7 +196,10 @@
         self._drop_written_blocks(self.open_slot * self.slot_s // BLOCK_DURATION_S)
 
     def _drop_written_blocks(self, current_block_number: int) -> None:
-        """Only the open hour and the one before can still be counted; older ones wait for the state service."""
+        """Drop blocks before the previous hour once written: only the current hour and the previous one still change.
+
+        Blocks not yet written are kept until the key-value store accepts them, up to MAX_UNWRITTEN_BLOCKS.
+        """
         if len(self.open_blocks) <= 2:
             return
         for number in [n for n in self.open_blocks if n < current_block_number - 1]:
@@ -204,12 +212,12 @@
         if slot <= self.newest_slot:
             return
         for number in range(max(self.newest_slot + 1, slot - self.slot_count + 1), slot + 1):
-            at = number % self.slot_count
-            self.covered_s[at] = 0.0
+            ring_index = number % self.slot_count
+            self.covered_s[ring_index] = 0.0
             for series in self.series.values():
-                series.peaks[at] = series.areas[at] = 0.0
+                series.peaks[ring_index] = series.areas[ring_index] = 0.0
         if slot * self.slot_s // 86400 != self.newest_slot * self.slot_s // 86400:
-            # Once a day: series of which the whole ring knows nothing any more make way.
+            # Once a day: remove series that have no demand in any slot of the ring.
             for key in [k for k, s in self.series.items() if k not in self._active_units and not any(s.peaks)]:
                 del self.series[key]
         self.newest_slot = slot
@@ -232,7 +240,7 @@
             self._active_units.pop(active.key, None)
 
     def mark_watched(self, begin_s: float, end_s: float) -> None:
-        """Everything accepted between the two instants is known."""
+        """Record that every job accepted between the two instants has been counted."""
         slot = self.slot_of(begin_s)
         while begin_s < end_s:
             covered_until = min(end_s, (slot + 1) * self.slot_s)
@@ -250,7 +258,10 @@
     # -- counting -----------------------------------------------------------------------------
 
     def record_accepted_job(self, demand: Demand, is_recount: bool = False) -> None:
-        """An accepted job. `again`: an earlier leader has counted it, and only its being active matters."""
+        """Count an accepted job.
+
+        `is_recount`: an earlier leader has counted it, so it is only added to the active jobs.
+        """
         self.advance_to(demand.accepted_at)
         key = self._choose_series_key(demand)
         if not is_recount:
@@ -258,7 +269,7 @@
             cell = self._get_or_create_cell(key, slot)
             if cell is not None:
                 cell[0] += demand.unit_seconds
-                cell[1] += demand.tasks
+                cell[1] += demand.task_count
         until = demand.accepted_at + demand.duration_s
         if demand.job_id in self._active_jobs or self.open_slot is None:
             return
@@ -272,7 +283,7 @@
         self._active_units[key] = self._active_units.get(key, 0.0) + demand.units
         self._raise_peak(key, self.open_slot, self._active_units[key])
         if not is_recount:
-            # Found by a take-over: whoever led in the slots before had not counted it there.
+            # The job was accepted before this leader took over, and no earlier leader counted it in these slots.
             for slot in range(
                 max(self.slot_of(demand.accepted_at), self.newest_slot - self.slot_count + 1), self.open_slot
             ):
@@ -280,13 +291,13 @@
                 self._add_area_to_slot(key, slot, demand.units * self.slot_s)
 
     def record_ended_job(self, job_id: str, now: float) -> None:
-        """The job is over, whatever its estimate said."""
+        """Remove an ended job from the active ones, before or after its estimated end."""
         self.advance_to(now)
         self._expire_jobs(now)
         self._deactivate_job(job_id, now)
 
     def _choose_series_key(self, demand: Demand) -> SeriesKey:
-        """The series for a job: its own, its team's, or one for all, whatever there is room for."""
+        """The series for a job: of its class and team, else of its team, else of all teams, as there is room."""
         key = demand.key
         is_best_effort = key.team in self._best_effort_teams
         best_effort_series_count = (
@@ -320,7 +331,7 @@
         return series
 
     def _get_or_create_block(self, slot: int) -> Block | None:
-        """The block of a slot, if it is the open one's or the one before."""
+        """The block of a slot; None if it is neither in memory nor of the current or previous hour."""
         if self.open_slot is None:
             return None
         number = slot * self.slot_s // BLOCK_DURATION_S
@@ -339,7 +350,7 @@
         return block.cells_by_series.setdefault(key, {}).setdefault(offset, [0.0] * 4)
 
     def _accumulate_area(self, key: SeriesKey, now: float) -> None:
-        """What has been in use in the open slot since it was last added up."""
+        """Add the unit-seconds used in the current slot since the last addition."""
         series = self.series.get(key)
         if series is None or self.open_slot is None:
             return
@@ -360,26 +371,26 @@
         series = self.series.get(key)
         if series is None or not self.has_slot(slot):
             return
-        at = slot % self.slot_count
-        if units > series.peaks[at]:
-            series.peaks[at] = units
+        ring_index = slot % self.slot_count
+        if units > series.peaks[ring_index]:
+            series.peaks[ring_index] = units
             cell = self._get_or_create_cell(key, slot)
             if cell is not None:
                 cell[2] = units
 
     def loads(self, slot: int) -> Iterator[tuple[SeriesKey, TaskShape, float, float]]:
-        """What each series would have had running in this slot: at once at most, and on average."""
+        """The offered load of each series in this slot: its peak and its mean, in units."""
         if not self.has_slot(slot):
             return
-        at = slot % self.slot_count
+        ring_index = slot % self.slot_count
         for key, series in self.series.items():
-            if series.peaks[at] > 0:
-                yield key, series.shape, series.peaks[at], series.areas[at] / self.slot_s
+            if series.peaks[ring_index] > 0:
+                yield key, series.shape, series.peaks[ring_index], series.areas[ring_index] / self.slot_s
 
-    # -- the state service's form -------------------------------------------------------------
+    # -- encoding for the key-value store -----------------------------------------------------
 
     def encode(self, block: Block, max_bytes: int) -> dict[str, Any]:
-        """The block's value, within so many bytes: the lightest series are put together until it fits."""
+        """The block's stored value, within `max_bytes`: the series with the least demand are merged until it fits."""
         counts = {key: {o: list(cell) for o, cell in cells.items()} for key, cells in block.cells_by_series.items()}
         while True:
             value = self._encode_block(block, counts)
@@ -387,7 +398,7 @@
             if size <= max_bytes:
                 return value
             if all(key == self._coarse_key(key) for key in counts):
-                # Four sums of an hour are what is left, and small; the times may still be many.
+                # Only the four combined series are left, and these are small; the ratios may still be many.
                 value["boots"] = value["fetches"] = {}
                 return value
             lightest = [key for key in counts if key != self._coarse_key(key)]
@@ -396,7 +407,7 @@
                 self._merge_series(counts, key)
 
     def _coarse_key(self, key: SeriesKey) -> SeriesKey:
-        """The series for all that have none of their own: any machine that is not spot will do for it."""
+        """The combined series for jobs without a series of their own; it may use any machine that is not spot."""
         team = BEST_EFFORT_TEAMS if key.team == BEST_EFFORT_TEAMS or key.team in self._best_effort_teams else ANY_NAME
         return SeriesKey(Pool(key.pool.gpus, None, None, False), ANY_NAME, team)
 
@@ -406,7 +417,7 @@
         self._get_or_create_series(target, self.series[key].shape if key in self.series else TaskShape(0, 0, 0, 0))
         target_cells = counts.setdefault(target, {})
         for offset, cell in counts.pop(key).items():
-            # Peaks of different series need not fall together; their sum is the safe side.
+            # Peaks of different series need not coincide; their sum is an upper bound.
             target_cells[offset] = [a + b for a, b in zip(target_cells.get(offset, [0.0] * 4), cell, strict=True)]
 
     def _encode_block(self, block: Block, counts: dict[SeriesKey, dict[int, list[float]]]) -> dict[str, Any]:
@@ -424,16 +435,14 @@
             "covered": [round(x) for x in block.covered],
             "pools": [[p.gpus, None if p.types is None else list(p.types), p.zone, p.spot] for p in pools],
             "series": rows,
-            "boots": {name: [_round_to_four_digits(x) for x in factors] for name, factors in self.boot_factors.items()},
-            "fetches": {
-                name: [_round_to_four_digits(x) for x in factors] for name, factors in self.fetch_factors.items()
-            },
+            "boots": {name: [_round_to_four_digits(x) for x in ratios] for name, ratios in self.boot_ratios.items()},
+            "fetches": {name: [_round_to_four_digits(x) for x in ratios] for name, ratios in self.fetch_ratios.items()},
         }
 
     def load_block(self, value: Any, revision: int, now: float, key: str, key_of_block: Callable[[int], str]) -> None:
-        """Use a stored block; Nonsense if it cannot be, and then nothing of it is used.
+        """Add a stored block to the history; InvalidStoredBlock if it is invalid, and then nothing of it is used.
 
-        Blocks of an earlier round of the ring, or from the future, are left aside.
+        Blocks of an earlier round of the ring, or from the future, are ignored.
         """
         try:
             stored = msgspec.convert(value, StoredBlock)
@@ -441,22 +450,22 @@
             raise InvalidStoredBlock(str(e)) from e
         slots_per_block = BLOCK_DURATION_S // self.slot_s
         if stored.slot_s != self.slot_s:
-            raise InvalidStoredBlock(f"it was counted in slots of {stored.slot_s} s")
+            raise InvalidStoredBlock(f"the slot length is {stored.slot_s} s")
         if (
             stored.start_s % BLOCK_DURATION_S
             or len(stored.covered_s) != slots_per_block
             or key_of_block(stored.start_s // BLOCK_DURATION_S) != key
         ):
-            raise InvalidStoredBlock("it stands under another block's key")
+            raise InvalidStoredBlock("the start or the number of slots does not match the key")
         rows: list[tuple[SeriesKey, TaskShape, dict[int, tuple[float, float, float, float]]]] = []
         for row in stored.series:
             if row.pool >= len(stored.pools):
-                raise InvalidStoredBlock("a series names no pool")
+                raise InvalidStoredBlock("a series refers to a missing pool")
             gpus, types, zone, spot = stored.pools[row.pool]
             pool = Pool(gpus, None if types is None else tuple(types), zone, spot)
             slots = {int(o): cell for o, cell in row.slots.items() if o.isascii() and o.isdigit()}
             if len(slots) != len(row.slots) or any(o >= slots_per_block for o in slots):
-                raise InvalidStoredBlock("a series counts slots outside its block")
+                raise InvalidStoredBlock("a series has slots outside its block")
             rows.append((SeriesKey(pool, row.job_class, row.team), TaskShape(*row.shape), slots))
         number = stored.start_s // BLOCK_DURATION_S
         first_slot = number * slots_per_block
@@ -471,40 +480,44 @@
         for offset, covered_s in enumerate(block.covered):
             if self.has_slot(first_slot + offset):
                 self.covered_s[(first_slot + offset) % self.slot_count] = covered_s
-        for own_key, shape, slots in rows:
-            is_full = own_key not in self.series and len(self.series) >= self.series_most + MAX_TEAM_WIDE_SERIES
-            chosen = self._coarse_key(own_key) if is_full else own_key
+        for stored_key, shape, slots in rows:
+            is_full = stored_key not in self.series and len(self.series) >= self.series_most + MAX_TEAM_WIDE_SERIES
+            chosen = self._coarse_key(stored_key) if is_full else stored_key
             series = self._get_or_create_series(chosen, shape)
             cells = block.cells_by_series.setdefault(chosen, {})
             for offset, cell in slots.items():
-                old = cells.get(offset, [0.0] * 4)
-                cells[offset] = [a + b for a, b in zip(old, cell, strict=True)]
+                previous_cell = cells.get(offset, [0.0] * 4)
+                cells[offset] = [a + b for a, b in zip(previous_cell, cell, strict=True)]
                 if self.has_slot(first_slot + offset):
-                    at = (first_slot + offset) % self.slot_count
-                    series.peaks[at], series.areas[at] = cells[offset][2], cells[offset][3]
+                    ring_index = (first_slot + offset) % self.slot_count
+                    series.peaks[ring_index], series.areas[ring_index] = cells[offset][2], cells[offset][3]
         if number >= current_number - 1:
             self.open_blocks[number] = block
         if number >= max(self.open_blocks, default=0):
-            self.boot_factors = {name: list(taken[-MAX_TIMES_PER_TYPE:]) for name, taken in stored.boots.items()}
-            self.fetch_factors = {name: list(taken[-MAX_TIMES_PER_TYPE:]) for name, taken in stored.fetches.items()}
-
-    def record_times(self, boots: TimesByType, fetches: TimesByType) -> None:
-        """The board keeps times for minutes; the late ones of weeks are wanted here."""
-        for factors_by_type, times_by_type in ((self.boot_factors, boots), (self.fetch_factors, fetches)):
-            for name, times in times_by_type.items():
-                last = self._newest_time_seen.get((factors_by_type is self.boot_factors, name))
-                new = [(at, taken) for at, taken in times if last is None or at > last]
-                if new:
-                    self._newest_time_seen[factors_by_type is self.boot_factors, name] = new[-1][0]
-                    factors_by_type[name] = [*factors_by_type.get(name, []), *(min(1e4, taken) for _, taken in new)][
-                        -MAX_TIMES_PER_TYPE:
-                    ]
+            self.boot_ratios = {name: list(ratios[-MAX_RATIOS_PER_TYPE:]) for name, ratios in stored.boots.items()}
+            self.fetch_ratios = {name: list(ratios[-MAX_RATIOS_PER_TYPE:]) for name, ratios in stored.fetches.items()}
+
+    def record_startup_ratios(self, boot_ratios: RatiosByType, fetch_ratios: RatiosByType) -> None:
+        """Add new boot and fetch ratios.
+
+        The cluster state keeps ratios for minutes; the late ones of past weeks are needed here.
+        """
+        for ratios_by_type, samples_by_type in ((self.boot_ratios, boot_ratios), (self.fetch_ratios, fetch_ratios)):
+            for name, samples in samples_by_type.items():
+                newest_at = self._newest_ratio_at.get((ratios_by_type is self.boot_ratios, name))
+                new_samples = [(at, ratio) for at, ratio in samples if newest_at is None or at > newest_at]
+                if new_samples:
+                    self._newest_ratio_at[ratios_by_type is self.boot_ratios, name] = new_samples[-1][0]
+                    ratios_by_type[name] = [
+                        *ratios_by_type.get(name, []),
+                        *(min(1e4, ratio) for _, ratio in new_samples),
+                    ][-MAX_RATIOS_PER_TYPE:]
 
     def dirty_blocks(self) -> Iterable[Block]:
         return [block for _, block in sorted(self.open_blocks.items()) if block.is_dirty]
 
 
 def _round_to_four_digits(value: float) -> float:
-    """Four digits say enough, and keep values small."""
+    """Round to four significant digits, which are precise enough and keep stored values small."""
     rounded = float(f"{value:.4g}")
     return int(rounded) if rounded == int(rounded) else rounded
--- a/roseweir/forecast/forecaster.py
+++ b/roseweir/forecast/forecaster.py
@@ -1,9 +1,9 @@
-"""What demand to expect, from the same hours of past weeks. Pure.
+"""Expected demand, computed from the same hours of past weeks. No I/O.
 
-A slot of the future is compared with the same local time of earlier weeks, and its neighbours at half the
-weight. Each past slot gives one sample for a pool: the teams' peaks, each no more than the team's limit allows,
-added up. Teams and classes that come together are so counted together. The answer is a weighted quantile of
-the samples, times the level of the present hour (docs/notes/renting-ahead.md).
+The samples for a future slot are the slots at the same local time of earlier weeks, and their neighbours at half
+the weight. Each past slot gives one sample for a pool: the sum of the teams' peaks, each reduced to what the team's
+limit allows, so that demand which arrives together is counted together. The forecast is a weighted quantile of the
+samples, times the level of the present hour (docs/notes/renting-ahead.md).
 """
 
 from collections import OrderedDict
@@ -16,16 +16,17 @@
 from roseweir.settings import Team
 
 NEIGHBOUR_SLOT_WEIGHT = 0.5
-# What the present says about the level is held against this much of what is expected: the noise of a quiet hour
-# must not move the next burst.
+# This part of the target is added to both sides of the ratio of actual to expected demand, so that the noise of a quiet
+# hour does not change the forecast of the next burst.
 LEVEL_DAMPING = 0.25
-# Demand is absent when less than this part of it has come, once this part of the target should have.
+# Demand is absent if less than this part of the expected demand has arrived, and that was at least this part of the
+# target.
 MAX_ABSENT_SHARE, MIN_SHARE_OF_TARGET = 0.2, 0.25
 MAX_CACHED_PAST_SLOTS, MAX_CACHED_EXPECTATIONS = 4096, 256
 
 
 class ExpectedDemand(NamedTuple):
-    """Units at once, in one slot: quantiles, and why."""
+    """Quantiles of the concurrent units in one slot, and the reason for the forecast."""
 
     low_units: float
     median_units: float
@@ -35,7 +36,7 @@
 
 
 class CapacityNeed(NamedTuple):
-    """So many units of a pool should stand ready by then."""
+    """Units of a pool that should be available by an instant."""
 
     pool: Pool
     shape: TaskShape
@@ -45,11 +46,11 @@
 
 
 def find_best_effort_teams(teams: Iterable[Team]) -> frozenset[str]:
-    """Teams without a guarantee; where nobody has one, nobody is a guest."""
-    known_teams = list(teams)
+    """Teams without a guarantee; none if no team has a guarantee."""
+    all_teams = list(teams)
     return (
-        frozenset(t.name for t in known_teams if not t.has_guarantee)
-        if any(t.has_guarantee for t in known_teams)
+        frozenset(t.name for t in all_teams if not t.has_guarantee)
+        if any(t.has_guarantee for t in all_teams)
         else frozenset()
     )
 
@@ -68,7 +69,7 @@
         self.teams = teams
         self.history = history
         self.best_effort_teams = best_effort_teams | {BEST_EFFORT_TEAMS}
-        # Weeks that are over do not change, so neither do these.
+        # Slots of past weeks do not change, so what is computed from them can be cached.
         self._past_demand_cache: OrderedDict[int, dict[Pool, float]] = OrderedDict()
         self._expected_cache: OrderedDict[int, dict[Pool, ExpectedDemand]] = OrderedDict()
         self._task_shapes: dict[Pool, TaskShape] = {}
@@ -77,12 +78,12 @@
     # -- one slot -----------------------------------------------------------------------------
 
     def past_demand(self, slot: int) -> dict[Pool, float]:
-        """Units that each pool would have had running in this slot, as limits and the guests' share allow."""
+        """Units that each pool would have had running in this slot, within team limits and the best-effort share."""
         demand = self._past_demand_cache.get(slot)
         if demand is not None:
             return demand
         demand = self._compute_past_demand(slot)
-        # The open slot and those that a late count may still reach change.
+        # The current slot, and recent ones that jobs may still be counted in, are not cached.
         if slot < self.history.newest_slot - 2 * 3600 // self.history.slot_s:
             self._past_demand_cache[slot] = demand
             if len(self._past_demand_cache) > MAX_CACHED_PAST_SLOTS:
@@ -116,7 +117,7 @@
     def _sustained_units(self, slot: int, peak: float, mean: float) -> float:
         """The part of a slot's peak that capacity should be held for.
 
-        What is in use for a small part of the slot only is not worth a machine that idles for the rest.
+        A peak that lasts for a small part of the slot is not worth a machine that is idle for the rest.
         """
         if slot >= self.history.newest_slot:
             return peak
@@ -143,13 +144,13 @@
             scale = min(scale, team.max_cpus / cpus)
         return scale
 
-    # -- the same time in earlier weeks -------------------------------------------------------
+    # -- samples of past weeks ----------------------------------------------------------------
 
     def local_time(self, slot: int) -> datetime:
         return datetime.fromtimestamp(slot * self.history.slot_s, UTC).astimezone(self.zone)
 
     def slot_weeks_before(self, slot: int, weeks: int) -> int | None:
-        """The slot at the same local time so many weeks before; None if the clocks skipped that time."""
+        """The slot at the same local time this many weeks earlier; None if a clock change skipped that time."""
         local = self.local_time(slot).replace(tzinfo=None) - timedelta(weeks=weeks)
         zoned = local.replace(tzinfo=self.zone)
         instant = zoned.astimezone(UTC)
@@ -158,12 +159,12 @@
         return int(instant.timestamp()) // self.history.slot_s
 
     def _is_typical(self, slot: int) -> bool:
-        """Whether a past slot says something about usual weeks."""
+        """Whether a past slot lies outside of holidays and calendar events."""
         local = self.local_time(slot)
         return not self.calendar.is_holiday(local.date()) and self.calendar.event_at(local) is None
 
     def _past_samples(self, slot: int) -> tuple[list[tuple[int, float]], int]:
-        """Past slots like this one, with their weights, and how many weeks they come from."""
+        """Past slots comparable to this one, with their weights, and the number of weeks that they come from."""
         samples: list[tuple[int, float]] = []
         weeks = 0
         for week in range(1, self.settings.weeks + 1):
@@ -186,7 +187,7 @@
         return samples, weeks
 
     def expected_demand(self, slot: int) -> dict[Pool, ExpectedDemand]:
-        """What each pool will want in a slot to come, before the present level is looked at."""
+        """The expected demand of each pool in a future slot, before the present level is applied."""
         expected = self._expected_cache.get(slot)
         if expected is None:
             expected = self._expected_cache[slot] = self._compute_expected_demand(slot)
@@ -209,51 +210,55 @@
         expected: dict[Pool, ExpectedDemand] = {}
         for pool in pools:
             values = sorted((self.past_demand(s).get(pool, 0.0), w) for s, w in samples)
-            low, middle, high = (weighted_quantile(values, q) * factor for q in (0.25, 0.5, self.settings.quantile))
-            expected[pool] = ExpectedDemand(low, middle, high, weeks, f"{weeks} weeks{suffix}")
+            low, median, high = (weighted_quantile(values, q) * factor for q in (0.25, 0.5, self.settings.quantile))
+            expected[pool] = ExpectedDemand(low, median, high, weeks, f"{weeks} weeks{suffix}")
         return expected
 
     def no_forecast_reason(self) -> str:
-        """Why there is no forecast, or an empty text."""
+        """Why there is no forecast; empty if there is one."""
         _, weeks = self._past_samples(self.history.newest_slot + 1)
         if weeks >= self.settings.least_weeks:
             return ""
         return f"{weeks} of the {self.settings.least_weeks} weeks that a forecast needs are known at this hour"
 
-    # -- the present --------------------------------------------------------------------------
+    # -- present level and needs --------------------------------------------------------------
 
-    def present_level(self, pool: Pool, target: float, now_slot: int) -> tuple[float, str]:
-        """By how much the present hour differs from what was expected of it: a factor, and why."""
-        slots = max(1, round(self.settings.level_window / self.settings.slot))
+    def present_level(self, pool: Pool, target: float, current_slot: int) -> tuple[float, str]:
+        """The ratio of recent demand to what was expected of it, as a factor for the forecast, and the reason."""
+        level_slots = max(1, round(self.settings.level_window / self.settings.slot))
         absent_slots = max(1, round(self.settings.absent_after / self.settings.slot))
-        actual = expected = 0.0
+        total_actual_units = total_expected_units = 0.0
         arrived_units = due_units = 0.0
-        known_slots = known_absence_slots = 0
-        for slots_back in range(1, max(slots, absent_slots) + 1):
-            slot = now_slot - slots_back
+        watched_slots = watched_absence_slots = 0
+        for slots_back in range(1, max(level_slots, absent_slots) + 1):
+            slot = current_slot - slots_back
             if not self.history.is_watched(slot, self.settings.known_share):
                 continue
-            expected_then = self.expected_demand(slot).get(pool)
+            expected_demand = self.expected_demand(slot).get(pool)
             expected_units, actual_units = (
-                (0.0 if expected_then is None else expected_then.median_units),
+                (0.0 if expected_demand is None else expected_demand.median_units),
                 self.past_demand(slot).get(pool, 0.0),
             )
-            if slots_back <= slots:
-                actual, expected, known_slots = actual + actual_units, expected + expected_units, known_slots + 1
+            if slots_back <= level_slots:
+                total_actual_units, total_expected_units, watched_slots = (
+                    total_actual_units + actual_units,
+                    total_expected_units + expected_units,
+                    watched_slots + 1,
+                )
             if slots_back <= absent_slots:
-                arrived_units, due_units, known_absence_slots = (
+                arrived_units, due_units, watched_absence_slots = (
                     arrived_units + actual_units,
                     due_units + expected_units,
-                    known_absence_slots + 1,
+                    watched_absence_slots + 1,
                 )
-        if known_slots == 0:
+        if watched_slots == 0:
             return 1.0, ""
-        open_now = self.past_demand(now_slot).get(pool, 0.0)
+        current_units = self.past_demand(current_slot).get(pool, 0.0)
         if (
-            known_absence_slots == absent_slots
+            watched_absence_slots == absent_slots
             and due_units >= MIN_SHARE_OF_TARGET * target * absent_slots
             and arrived_units < MAX_ABSENT_SHARE * due_units
-            and open_now < MAX_ABSENT_SHARE * due_units / absent_slots
+            and current_units < MAX_ABSENT_SHARE * due_units / absent_slots
         ):
             return (
                 0.0,
@@ -261,50 +266,54 @@
             )
         damping = LEVEL_DAMPING * target
         factor = (
-            min(self.settings.level_most, (actual / known_slots + damping) / (expected / known_slots + damping))
+            min(
+                self.settings.level_most,
+                (total_actual_units / watched_slots + damping) / (total_expected_units / watched_slots + damping),
+            )
             if target > 0
             else 1.0
         )
-        expected_now = self.expected_demand(now_slot).get(pool)
+        expected_now = self.expected_demand(current_slot).get(pool)
         if expected_now is not None and expected_now.median_units > 0:
-            # What came in the open slot tells at once that a late burst has begun.
-            factor = max(factor, min(1.0, open_now / expected_now.median_units))
+            # Demand in the current slot shows at once that a late burst has begun.
+            factor = max(factor, min(1.0, current_units / expected_now.median_units))
         return factor, f"level {factor:.2f}"
 
     def needs(self, now: float, lead_times_s: Mapping[Pool, float]) -> list[CapacityNeed]:
-        """What should stand ready: the most that is expected from now until what is ordered now is of use.
+        """The units to have available: the highest expected until machines requested now can run tasks.
 
-        `leads` is how long a pool's machines take until they are of use, in seconds; pools that it does not
-        name take a slot.
+        `lead_times_s` is how long that takes for a pool's machines; a pool without an entry takes one slot.
         """
         history = self.history
-        slot = history.slot_of(now)
+        current_slot = history.slot_of(now)
         expected_by_slot: dict[int, dict[Pool, ExpectedDemand]] = {}
         longest_lead_s = max([*lead_times_s.values(), float(history.slot_s)], default=0.0)
-        for number in range(slot, history.slot_of(now + longest_lead_s) + 1):
-            expected_by_slot[number] = self.expected_demand(number)
+        for slot in range(current_slot, history.slot_of(now + longest_lead_s) + 1):
+            expected_by_slot[slot] = self.expected_demand(slot)
         highest_by_pool: dict[Pool, tuple[ExpectedDemand, int]] = {}
-        for number, pools in expected_by_slot.items():
+        for slot, pools in expected_by_slot.items():
             for pool, expected in pools.items():
-                if number > history.slot_of(now + lead_times_s.get(pool, history.slot_s)):
+                if slot > history.slot_of(now + lead_times_s.get(pool, history.slot_s)):
                     continue
                 if expected.high_units > highest_by_pool.get(pool, (ExpectedDemand(0, 0, 0, 0, ""), 0))[0].high_units:
-                    highest_by_pool[pool] = expected, number
+                    highest_by_pool[pool] = expected, slot
         shapes = self.task_shapes()
         needs: list[CapacityNeed] = []
-        for pool, (expected, number) in highest_by_pool.items():
-            factor, reason = self.present_level(pool, expected.high_units, slot)
+        for pool, (expected, slot) in highest_by_pool.items():
+            factor, reason = self.present_level(pool, expected.high_units, current_slot)
             units = expected.high_units * factor
-            at = self.local_time(number).strftime("%H:%M")
-            reason = f"{expected.high_units:.3g} at {at} by {expected.reason}" + (f", {reason}" if reason else "")
+            local_time = self.local_time(slot).strftime("%H:%M")
+            reason = f"{expected.high_units:.3g} at {local_time} by {expected.reason}" + (
+                f", {reason}" if reason else ""
+            )
             if units > 1e-6:
-                needs.append(CapacityNeed(pool, shapes[pool], units, number * history.slot_s, reason))
+                needs.append(CapacityNeed(pool, shapes[pool], units, slot * history.slot_s, reason))
         return needs
 
     def task_shapes(self) -> dict[Pool, TaskShape]:
-        """The task of each pool's heaviest series, and the pool's largest image.
+        """The task shape of each pool's series with the most use, with the pool's largest image size.
 
-        The largest of every measure would make a task that no job has, and that may fit no machine.
+        The maximum of each resource would give a task that no job has, and that may fit no machine.
         """
         if self._shapes_computed_for != self.history.newest_slot or not self._task_shapes.keys() >= {
             k.pool for k in self.history.series
@@ -321,17 +330,17 @@
         return self._task_shapes
 
     def watched_days(self, now: float) -> int:
-        """How many days of the ring were watched at least in part."""
-        per_day = round(DAY / self.settings.slot)
-        first = self.history.slot_of(now) - self.history.slot_count + 1
+        """The number of days in the history that were watched at least in part."""
+        slots_per_day = round(DAY / self.settings.slot)
+        first_slot = self.history.slot_of(now) - self.history.slot_count + 1
         return sum(
-            any(self.history.is_watched(s, self.settings.known_share) for s in range(d, d + per_day))
-            for d in range(first, first + self.history.slot_count, per_day)
+            any(self.history.is_watched(s, self.settings.known_share) for s in range(d, d + slots_per_day))
+            for d in range(first_slot, first_slot + self.history.slot_count, slots_per_day)
         )
 
 
 def weighted_quantile(values: list[tuple[float, float]], target_share: float) -> float:
-    """The least of the sorted (value, weight) pairs that reaches this share of the weight."""
+    """The lowest value at which the sorted (value, weight) pairs reach this share of the total weight."""
     total = sum(weight for _, weight in values)
     reached_weight = 0.0
     for value, weight in values:
--- a/roseweir/forecast/history_store.py
+++ b/roseweir/forecast/history_store.py
@@ -1,8 +1,8 @@
-"""The demand history in the state service: `demand/DAY/HOUR`, a ring of hours.
+"""The demand history in the key-value store: `demand/DAY/HOUR`, a ring of hours.
 
-Every write is guarded by the leader's key and by the block's own version, and carries the revision up to
-which jobs have been counted. So a former leader's late write changes nothing, and a successor counts exactly
-those jobs that no written block has counted.
+Each write is a compare-and-swap on the versions of the leader key and of the block, and contains the revision up to
+which jobs have been counted. So a late write of a former leader fails, and its successor counts exactly the jobs that
+no written block has counted.
 """
 
 import logging
@@ -19,12 +19,12 @@
 
 KEY_PREFIX = "demand/"
 BLOCKS_PER_DAY = 24
-# Of a value, for a block: the service may count its bytes in another way.
+# Share of the value size limit that a block may use, since the store may encode the value to more bytes.
 MAX_VALUE_FILL = 0.9
-# Reading the ring must leave the state service to rebuilding, reports and users.
+# Pause between reads, so that loading leaves enough of the store's request rate to recovery, heartbeats and users.
 READ_INTERVAL = seconds(0.05)
 RETRY_INTERVAL = seconds(1)
-# What a leader of another make may have left there is logged so many times in a reading.
+# Invalid blocks that are logged in one load; a leader of another version may have written many.
 MAX_LOGGED_INVALID_BLOCKS = 3
 
 
@@ -35,7 +35,7 @@
         self.leader_key_version = leader_key_version
         self.invalid_block_count = 0
         self.write_count = 0
-        # Versions of keys that hold something else than their block now: an older round, or nonsense.
+        # Versions of keys as last read, for blocks not yet written: a key may hold an older round or an invalid value.
         self._key_revisions: dict[str, int] = {}
 
     @property
@@ -47,13 +47,13 @@
         return f"{KEY_PREFIX}{day % self.history.days:03d}/{hour:02d}"
 
     async def load(self, wall_s: float) -> None:
-        """Read the whole ring, a day at a time: a try that fails goes on where it was."""
+        """Read the whole ring, one day at a time; a failed read is retried from the same day."""
         day = 0
         while day < self.history.days:
             try:
                 entries, _ = await self.kv_store.scan(f"{KEY_PREFIX}{day:03d}/")
             except (StoreError, Unreachable) as e:
-                log.info("reading the demand history: %s", e)
+                log.info("demand history not read; retrying: error=%s", e)
                 await sleep(RETRY_INTERVAL)
                 continue
             for entry in entries:
@@ -63,12 +63,12 @@
                 except InvalidStoredBlock as e:
                     self.invalid_block_count += 1
                     if self.invalid_block_count <= MAX_LOGGED_INVALID_BLOCKS:
-                        log.warning("%s is left out of the demand history: %s", entry.key, e)
+                        log.warning("invalid demand history block ignored: key=%s error=%s", entry.key, e)
             day += 1
             await sleep(READ_INTERVAL)
 
     async def save(self) -> None:
-        """Write what has changed; Deposed if another leads. A block at a time: there are two at most."""
+        """Write the changed blocks, one at a time; LeadershipLost if the leader key has changed."""
         max_bytes = int(self.kv_store.transaction_limits.max_value_bytes * MAX_VALUE_FILL)
         for block in self.history.dirty_blocks():
             await self._save_block(block, max_bytes)
@@ -77,7 +77,7 @@
         key = self.block_key(block.number)
         value = self.history.encode(block, max_bytes)
         revision = block.revision or self._key_revisions.get(key, 0)
-        block.is_dirty = False  # what is counted while the write is under way makes it so again
+        block.is_dirty = False  # a job counted during the write marks it dirty again
         try:
             block.revision = await self.kv_store.compare_and_swap(
                 [(LEADER_KEY, self.leader_key_version), (key, revision)], [put(key, value)]
@@ -89,12 +89,15 @@
                 raise LeadershipLost("the leader's key has changed") from e
             await self._refresh_block_revision(key, block)
         except (StoreError, Unreachable) as e:
-            # It may have run or may run yet: its guard lets one of the tries count.
+            # The write may be applied already or later; the version check lets only one attempt succeed.
             block.is_dirty = True
-            log.info("demand history not written: %s", e)
+            log.info("demand history not written; retrying at the next save: error=%s", e)
 
     async def _refresh_block_revision(self, key: str, block: Block) -> None:
-        """Only this leader's own unanswered write can be there: earlier leaders' fail since its election."""
+        """Read the key's version again; only an unanswered write of this leader can have changed it.
+
+        Writes of earlier leaders have failed since this leader's election.
+        """
         try:
             entry = await self.kv_store.get(key)
         except (StoreError, Unreachable):
--- a/roseweir/forecast/predictive_scaler.py
+++ b/roseweir/forecast/predictive_scaler.py
@@ -1,4 +1,4 @@
-"""The leader's dealings with demand: count it as it is accepted, keep it, and say what to have ready."""
+"""Predictive scaling on the leader: counts accepted demand, stores its history and plans capacity ahead of it."""
 
 import logging
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 log = logging.getLogger(__name__)
 
 ROLL_INTERVAL = timedelta(seconds=1)
-# The open hour's block is written this often, and twice when the hour is over: 57 changes an hour at most. What a
-# take-over loses of a slot leaves enough of it watched for its count to be used.
+# The current hour's block is written this often, and twice after the hour has ended: at most 57 writes an hour. When
+# the leader changes, what is lost of a slot's watched time leaves enough for the slot to be used.
 SAVE_INTERVAL = timedelta(seconds=65)
 LOG_INTERVAL = timedelta(seconds=60)
-# News that comes further apart than this leaves the time between unknown.
+# If two watch updates are further apart than this, the time between them does not count as watched.
 MAX_WATCH_GAP = timedelta(seconds=5)
-# How far `describe` looks ahead.
+# How far ahead `describe` lists expected demand.
 DESCRIBED_HORIZON = timedelta(hours=2)
 
 
@@ -49,19 +49,19 @@
         self.store = DemandHistoryStore(kv_store, self.history, leader_key_version)
         self._step_down = step_down
         self.is_loaded = False
-        self.failure = ""  # the fault that stopped it
-        # Jobs and ends that came before the history was read, in their order.
+        self.failure = ""  # the error that stopped predictive scaling for this term
+        # Accepted jobs with their revisions, and ids of ended jobs, received before the history was loaded, in order.
         self._pending_changes: list[tuple[JobRun, int] | str] = []
         self._active_job_ids: set[str] = set()
         self._watched_revision = 0
         self._watched_until = NEVER
-        # Time that was watched before the history was read: (from, to) of the wall clock.
+        # Watched time from before the history was loaded: (begin, end) in seconds of the wall clock.
         self._pending_watch_spans: list[tuple[float, float]] = []
 
-    # -- what the leader learns ---------------------------------------------------------------
+    # -- changes of jobs ----------------------------------------------------------------------
 
     def _run_guarded(self, action: Callable[[], Result], default: Result) -> Result:
-        """A fault in here must not end the term: renting ahead stops, and everything else goes on."""
+        """Run an action; an error in it stops predictive scaling for this term, but does not end the leader's term."""
         if self.failure:
             return default
         try:
@@ -72,25 +72,28 @@
 
     def _fail(self, error: Exception) -> None:
         self.failure = f"{type(error).__name__}: {error}"
-        log.exception("renting ahead has stopped for this term")
+        log.exception("predictive scaling stopped for this term after an error")
 
     def record_accepted_job(self, run: JobRun, revision: int) -> None:
-        """A job that is accepted, and the revision that its acceptance made."""
+        """Count an accepted job. `revision`: of the key-value store, made by the write that accepted the job."""
         self._run_guarded(lambda: self._record_accepted_job(run, revision), None)
 
     def record_ended_job(self, job_id: str) -> None:
         self._run_guarded(lambda: self._record_ended_job(job_id), None)
 
     def record_watch_progress(self, revision: int, sent_at: datetime, includes_ends: bool = True) -> None:
-        """Every job accepted up to this revision has been learned. `whole`: those that ended since, too."""
+        """Record that every job accepted up to this revision is known.
+
+        `includes_ends`: so is every job that has ended since the last call.
+        """
         self._run_guarded(lambda: self._record_watch_progress(revision, sent_at, includes_ends), None)
 
     def plan(
-        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], now: datetime
+        self, machine_requests: list[MachineRequest], refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
-        """For the cloud's desk: what else to rent, and the machines to keep ready."""
+        """For the cloud controller: machines to rent in addition, and idle machines to keep with their reasons."""
         empty_plan: tuple[list[MachineRequest], dict[str, str]] = ([], {})
-        return self._run_guarded(lambda: self._plan(wants, refused, now), empty_plan)
+        return self._run_guarded(lambda: self._plan(machine_requests, refused_until, now), empty_plan)
 
     def _record_accepted_job(self, run: JobRun, revision: int) -> None:
         if run.final_state or run.spec.id in self._active_job_ids:
@@ -127,7 +130,7 @@
             self.planner.demand_of(run, _wall_s()), is_recount=revision <= self.history.counted_revision
         )
 
-    # -- routine ------------------------------------------------------------------------------
+    # -- background task ----------------------------------------------------------------------
 
     async def run(self) -> None:
         try:
@@ -168,28 +171,31 @@
             self.history.mark_watched(*span)
         self._pending_watch_spans.clear()
         self.is_loaded = True
-        days = self.planner.forecast.watched_days(wall_s)
-        log.info("demand history: %d days known, %d series", days, len(self.history.series))
+        days = self.planner.forecaster.watched_days(wall_s)
+        log.info("demand history loaded: watched_days=%d series=%d", days, len(self.history.series))
 
     def _plan(
-        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], now: datetime
+        self, machine_requests: list[MachineRequest], refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
         if not self.is_loaded:
             return [], {}
-        capacity_plan = self.planner.plan(wants, refused, _wall_s(), now)
-        return capacity_plan.wants, capacity_plan.kept_machines
+        capacity_plan = self.planner.plan(machine_requests, refused_until, _wall_s(), now)
+        return capacity_plan.machine_requests, capacity_plan.kept_machines
 
     # -- for operators ------------------------------------------------------------------------
 
     def _log_holds(self) -> None:
         capacity_plan = self.planner.capacity_plan
         if not capacity_plan.holds:
-            log.info("nothing is held ahead: %s", self.planner.forecast.no_forecast_reason() or "no demand is expected")
+            log.info(
+                "no capacity held ahead of demand: %s",
+                self.planner.forecaster.no_forecast_reason() or "no demand is expected",
+            )
         for hold in capacity_plan.holds:
-            log.info("ahead: %s", _format_hold(hold))
+            log.info("capacity held ahead of demand: %s", _format_hold(hold))
 
     def summary(self) -> dict[str, Any]:
-        """For `status`: how many machines are held ahead, and why."""
+        """For `status`: how many idle machines are kept for expected demand, and why."""
         capacity_plan = CapacityPlan() if self.failure else self.planner.capacity_plan
         return {
             "machines_ahead": len(capacity_plan.kept_machines),
@@ -199,34 +205,36 @@
         }
 
     def describe(self) -> dict[str, Any]:
-        """For `forecast show`: what is expected, why, what is held, and what is known."""
+        """For `forecast show`: expected demand with its reasons, the capacity held for it, the history's size."""
         return self._run_guarded(self._describe, {"loaded": False, "broken": self.failure})
 
     def _describe(self) -> dict[str, Any]:
         wall_s = _wall_s()
-        forecast, capacity_plan, history = self.planner.forecast, self.planner.capacity_plan, self.history
-        now_slot = history.slot_of(wall_s)
+        forecaster, capacity_plan, history = self.planner.forecaster, self.planner.capacity_plan, self.history
+        current_slot = history.slot_of(wall_s)
         expected = []
-        for slot in range(now_slot, now_slot + round(DESCRIBED_HORIZON / self.settings.slot)) if self.is_loaded else ():
-            for pool, expected_demand in forecast.expected_demand(slot).items():
+        for slot in (
+            range(current_slot, current_slot + round(DESCRIBED_HORIZON / self.settings.slot)) if self.is_loaded else ()
+        ):
+            for pool, expected_demand in forecaster.expected_demand(slot).items():
                 if expected_demand.high_units <= 0:
                     continue
-                factor, why = forecast.present_level(pool, expected_demand.high_units, now_slot)
+                level, level_reason = forecaster.present_level(pool, expected_demand.high_units, current_slot)
                 expected.append(
                     {
-                        "at": forecast.local_time(slot).isoformat(timespec="minutes"),
+                        "at": forecaster.local_time(slot).isoformat(timespec="minutes"),
                         "pool": str(pool),
                         "low": round(expected_demand.low_units, 1),
                         "middle": round(expected_demand.median_units, 1),
                         "high": round(expected_demand.high_units, 1),
-                        "level": round(factor, 2),
-                        "why": expected_demand.reason + (f", {why}" if why else ""),
+                        "level": round(level, 2),
+                        "why": expected_demand.reason + (f", {level_reason}" if level_reason else ""),
                     }
                 )
         return {
             "loaded": self.is_loaded,
-            "why_none": forecast.no_forecast_reason() if self.is_loaded else "the history is being read",
-            "days_known": forecast.watched_days(wall_s) if self.is_loaded else 0,
+            "why_none": forecaster.no_forecast_reason() if self.is_loaded else "the history is being read",
+            "days_known": forecaster.watched_days(wall_s) if self.is_loaded else 0,
             "series": len(history.series),
             "keys_most": self.store.max_keys,
             "writes": self.store.write_count,
@@ -237,7 +245,7 @@
                 {
                     "pool": str(hold.need.pool),
                     "units": round(hold.need.units, 1),
-                    "by": forecast.local_time(history.slot_of(hold.need.needed_at)).isoformat(timespec="minutes"),
+                    "by": forecaster.local_time(history.slot_of(hold.need.needed_at)).isoformat(timespec="minutes"),
                     "standing": round(hold.available_units, 1),
                     "idle_machines": hold.idle_machines,
                     "renting": hold.ordered_machines,
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -1,4 +1,4 @@
-"""History, forecast and plan together, as a leader and a replay use them. Pure."""
+"""Demand history, forecast and capacity plan combined, for a leader and for a replay. No I/O."""
 
 import math
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 from roseweir.scheduler.quota import max_concurrent_tasks
 from roseweir.submissions.jobs import SERVICE, JobSpec
 
-# Needs change with the slots; looking at them more often than this only costs.
+# Needs change only with the slots, which are much longer; computing them more often has no effect.
 FORECAST_INTERVAL_S = 10.0
-# Each refusal of the last minutes moves orders this much further ahead, up to so much.
+# Each recent refusal by the cloud lengthens the lead time of requests by this much, up to the maximum.
 EXTRA_LEAD_PER_REFUSAL_S, REFUSAL_MEMORY_S, MAX_EXTRA_LEAD_S = 12.0, 600.0, 120.0
 
 NeedSource = Callable[[float, dict[Pool, float]], list[CapacityNeed]]
@@ -31,16 +31,19 @@
         self.cluster_state = cluster_state
         best_effort_teams = find_best_effort_teams(cluster_state.teams.values())
         self.history = DemandHistory(settings.slot_s, settings.weeks, settings.series_most, best_effort_teams)
-        self.forecast = DemandForecaster(settings, cluster_state.teams, self.history, best_effort_teams)
-        # Where needs come from: the forecast, or what a replay compares it with.
-        self.need_source: NeedSource = self.forecast.needs
+        self.forecaster = DemandForecaster(settings, cluster_state.teams, self.history, best_effort_teams)
+        # What computes the needs: the forecaster, or another policy that a replay compares with it.
+        self.need_source: NeedSource = self.forecaster.needs
         self.needs: list[CapacityNeed] = []
         self.capacity_plan = CapacityPlan()
         self._forecast_at = -math.inf
-        self._refused_at: list[float] = []
+        self._refusal_times: list[float] = []
 
     def demand_of(self, run: JobRun, now: float) -> Demand:
-        """What a job asks for at once: all that its team's limit allows, or what meets a loose deadline."""
+        """The units that a job uses concurrently, and for how long.
+
+        These are all units that its team's limit allows, or fewer if fewer are enough to meet the job's deadline.
+        """
         job_spec, cluster_state = run.spec, self.cluster_state
         max_tasks = (
             job_spec.task_count
@@ -62,7 +65,7 @@
         )
         key = SeriesKey(self._pool(job_spec), job_spec.job_class, job_spec.team)
         shape = TaskShape(job_spec.cpus, job_spec.gpus, job_spec.memory_gb, job_spec.image_gb)
-        # Clocks differ by a bounded skew: nothing was accepted later than now.
+        # The clock of the node that accepted the job may be ahead of this one; the instant must not lie in the future.
         accepted_at = min(job_spec.accepted_ms / 1000, now)
         return Demand(
             job_spec.id, key, shape, accepted_at, duration_s, concurrent_units, unit_seconds, job_spec.task_count
@@ -79,41 +82,47 @@
             for machine_type in self.cluster_state.catalog.values()
             if (machine_type.gpus > 0) == (job_spec.gpus > 0)
         ]
-        types = None if set(fitting_types) >= set(candidate_types) else tuple(sorted(fitting_types))
-        return Pool(job_spec.gpus > 0, types, job_spec.zone, job_spec.allows_spot)
+        allowed_types = None if set(fitting_types) >= set(candidate_types) else tuple(sorted(fitting_types))
+        return Pool(job_spec.gpus > 0, allowed_types, job_spec.zone, job_spec.allows_spot)
 
     def lead_times_s(self, now: float) -> dict[Pool, float]:
-        """How long before it is needed a machine has to be ordered, by pool."""
-        self._refused_at = [at for at in self._refused_at if now - at < REFUSAL_MEMORY_S]
-        extra_lead_s = min(MAX_EXTRA_LEAD_S, EXTRA_LEAD_PER_REFUSAL_S * len(self._refused_at))
+        """How long before it is needed a machine has to be requested, by pool."""
+        self._refusal_times = [refused_at for refused_at in self._refusal_times if now - refused_at < REFUSAL_MEMORY_S]
+        refusal_lead_s = min(MAX_EXTRA_LEAD_S, EXTRA_LEAD_PER_REFUSAL_S * len(self._refusal_times))
         lead_times_s: dict[Pool, float] = {}
-        for pool, shape in self.forecast.task_shapes().items():
+        for pool, shape in self.forecaster.task_shapes().items():
             job_spec = representative_job(CapacityNeed(pool, shape, 0.0, now, ""))
             lead_times_s[pool] = (
                 lead_time_s(
                     job_spec,
                     shape.image_gb,
                     self.cluster_state.catalog,
-                    self.history.boot_factors,
-                    self.history.fetch_factors,
+                    self.history.boot_ratios,
+                    self.history.fetch_ratios,
                 )
-                + extra_lead_s
+                + refusal_lead_s
             )
         return lead_times_s
 
     def plan(
-        self, wants: list[MachineRequest], refused: dict[MachineOffer, datetime], wall_s: float, now: datetime
+        self,
+        machine_requests: list[MachineRequest],
+        refused_until: dict[MachineOffer, datetime],
+        wall_s: float,
+        now: datetime,
     ) -> CapacityPlan:
-        """What joins the second's rentals. `wall`: seconds since 1970; `now`: the steady clock."""
+        """Plan capacity in addition to the reactive requests. `wall_s`: seconds since 1970; `now`: monotonic clock."""
         self.history.advance_to(wall_s)
-        self.history.record_times(self.cluster_state.boot_ratios, self.cluster_state.image_fetch_ratios)
+        self.history.record_startup_ratios(self.cluster_state.boot_ratios, self.cluster_state.image_fetch_ratios)
         if wall_s - self._forecast_at >= FORECAST_INTERVAL_S or wall_s < self._forecast_at:
             self._forecast_at = wall_s
             self.needs = self.need_source(wall_s, self.lead_times_s(wall_s))
-        self.capacity_plan = plan_capacity(self.cluster_state, self.needs, wants, refused, self.settings, now)
+        self.capacity_plan = plan_capacity(
+            self.cluster_state, self.needs, machine_requests, refused_until, self.settings, now
+        )
         is_short = any(hold.missing_units > 0 for hold in self.capacity_plan.holds) and any(
-            until > now for until in refused.values()
+            until > now for until in refused_until.values()
         )
-        if is_short and (not self._refused_at or wall_s - self._refused_at[-1] >= EXTRA_LEAD_PER_REFUSAL_S):
-            self._refused_at.append(wall_s)
+        if is_short and (not self._refusal_times or wall_s - self._refusal_times[-1] >= EXTRA_LEAD_PER_REFUSAL_S):
+            self._refusal_times.append(wall_s)
         return self.capacity_plan
--- a/roseweir/forecast/tools/policy_comparison.py
+++ b/roseweir/forecast/tools/policy_comparison.py
@@ -89,7 +89,7 @@
         case.load,
         case.measured_from,
         case.seed,
-        is_scaling_ahead=switched_on,
+        is_predictive=switched_on,
         progress=progress,
     )
 
@@ -101,12 +101,12 @@
     replay = _make_replay(case, policy != NONE, progress)
     if policy in (RESERVE, BEST):
         peaks = actual_peaks(replay)
-        history, forecast = replay.planner.history, replay.planner.forecast
+        history, forecaster = replay.planner.history, replay.planner.forecaster
 
         def perfect_forecast(now: float, leads: dict[Pool, float]) -> list[CapacityNeed]:
             """What will be asked for until an order of now is of use."""
             needs: list[CapacityNeed] = []
-            for pool, shape in forecast.task_shapes().items():
+            for pool, shape in forecaster.task_shapes().items():
                 last = history.slot_of(now + leads.get(pool, history.slot_s))
                 slots = range(history.slot_of(now), last + 1)
                 units = max(peaks.get(slot, {}).get(pool, 0.0) for slot in slots)
@@ -120,7 +120,7 @@
                 highest_by_pool[pool] = max(highest_by_pool.get(pool, 0.0), units)
 
         def fixed_reserve(now: float, leads: dict[Pool, float]) -> list[CapacityNeed]:
-            shapes = forecast.task_shapes()
+            shapes = forecaster.task_shapes()
             return [
                 CapacityNeed(p, shapes[p], u * size, now, "reserve")
                 for p, u in highest_by_pool.items()
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -82,7 +82,7 @@
         arrivals: list[Arrival],
         measure_from: float,
         seed: int,
-        is_scaling_ahead: bool,
+        is_predictive: bool,
         progress: Callable[[float], None] = lambda share: None,
     ) -> None:
         self.provider = provider
@@ -91,7 +91,7 @@
         self.measured_from = measure_from
         self.ends_at = arrivals[-1].arrived_at
         self.seed = seed
-        self.is_scaling_ahead = is_scaling_ahead
+        self.is_predictive = is_predictive
         self.progress = progress
         self.operator_config = operator_config
         self.cluster_state = ClusterState(provider.settings, operator_config, 1, self._monotonic_at(self.measured_from))
@@ -211,17 +211,19 @@
 
     def _scale(self, at: float) -> None:
         now, cluster_state = self._monotonic_at(at), self.cluster_state
-        wants, exhausted = plan_scale_out(cluster_state, self.last_pass, self.refused_until, round(at * 1000), now)
+        machine_requests, exhausted = plan_scale_out(
+            cluster_state, self.last_pass, self.refused_until, round(at * 1000), now
+        )
         if exhausted:
             cluster_state.overflow_until = now + OVERFLOW_DURATION
         kept_machines: dict[str, str] = {}
-        if self.is_scaling_ahead:
-            capacity_plan = self.planner.plan(wants, self.refused_until, at, now)
-            wants += capacity_plan.wants
+        if self.is_predictive:
+            capacity_plan = self.planner.plan(machine_requests, self.refused_until, at, now)
+            machine_requests += capacity_plan.machine_requests
             kept_machines = capacity_plan.kept_machines
             self._count_prewarmed(kept_machines, at)
-        for want in wants:
-            self._scale_out(want, at)
+        for machine_request in machine_requests:
+            self._scale_out(machine_request, at)
         for machine, _ in plan_scale_in(cluster_state, self.last_pass, now, kept_machines):
             machine.is_marked_for_release = True
             if not machine.placements:
@@ -231,17 +233,17 @@
         if self._prewarmed_counted_at > -math.inf:
             hours = (at - self._prewarmed_counted_at) / 3600 * len(kept_machines)
             self.outcome.prewarmed_machine_hours += hours
-            day = self.planner.forecast.local_time(self.planner.history.slot_of(at)).date().isoformat()
+            day = self.planner.forecaster.local_time(self.planner.history.slot_of(at)).date().isoformat()
             self.outcome.prewarmed_hours_by_day[day] = self.outcome.prewarmed_hours_by_day.get(day, 0.0) + hours
         self._prewarmed_counted_at = at
 
-    def _scale_out(self, want: MachineRequest, at: float) -> None:
-        offer = want.offer
+    def _scale_out(self, machine_request: MachineRequest, at: float) -> None:
+        offer = machine_request.offer
         cluster_state, now = self.cluster_state, self._monotonic_at(at)
-        machine_type = cluster_state.catalog[want.type_name]
+        machine_type = cluster_state.catalog[machine_request.type_name]
         rented_count = sum((m.machine_type.name, m.zone, m.is_spot) == offer for m in cluster_state.machines.values())
-        count = min(want.count, self.provider.machines_per_offer - rented_count)
-        if count < want.count:
+        count = min(machine_request.count, self.provider.machines_per_offer - rented_count)
+        if count < machine_request.count:
             self.refused_until[offer] = now + OFFER_RETRY_INTERVAL
             self.outcome.refusals += 1
         if count > 0:
@@ -250,7 +252,13 @@
             self._machine_count += 1
             name = f"i-{self._machine_count:06d}"
             machine = Machine(
-                name, machine_type, want.zone, want.is_spot, known_since=now, scaled_out_at=now, is_autoscaled=True
+                name,
+                machine_type,
+                machine_request.zone,
+                machine_request.is_spot,
+                known_since=now,
+                scaled_out_at=now,
+                is_autoscaled=True,
             )
             machine.is_booting = True
             cluster_state.machines[name] = machine
@@ -402,7 +410,7 @@
         history = self.planner.history
         offered = sum(peak for key, _, peak, _ in history.loads(slot - 1) if not key.pool.gpus)
         there = sum(m.machine_type.cpus for m in self.cluster_state.machines.values() if m.machine_type.gpus <= 0)
-        held = sum(need.units for need in self.planner.needs if not need.pool.gpus) if self.is_scaling_ahead else 0.0
+        held = sum(need.units for need in self.planner.needs if not need.pool.gpus) if self.is_predictive else 0.0
         self.outcome.timeline.append(((slot - 1) * float(history.slot_s), offered, there, held))
         if self.ends_at > self.measured_from:
             self.progress(min(1.0, (at - self.measured_from) / (self.ends_at - self.measured_from)))
@@ -418,5 +426,5 @@
     planner.history.advance_to(replay.ends_at)
     for slot in range(planner.history.slot_of(replay.measured_from), planner.history.slot_of(replay.ends_at) + 1):
         if planner.history.has_slot(slot):
-            found[slot] = planner.forecast.past_demand(slot)
+            found[slot] = planner.forecaster.past_demand(slot)
     return found
--- a/tests/simulation/demand_weeks.py
+++ b/tests/simulation/demand_weeks.py
@@ -31,7 +31,7 @@
         self.settings = PredictiveScalingSettings(calendar=calendar, **settings)  # type: ignore[arg-type]
         self.cluster_state = new_board()
         self.planner = ScalingPlanner(self.settings, self.cluster_state)
-        self.history, self.forecast = self.planner.history, self.planner.forecast
+        self.history, self.forecaster = self.planner.history, self.planner.forecaster
         self.zone = ZoneInfo(zone)
         self.watched_until = 0.0
 
@@ -71,4 +71,4 @@
         """Units that should stand ready at this local time; it has been watched until then."""
         now = self.timestamp(text)
         self.watch_until(now)
-        return sum(need.units for need in self.forecast.needs(now, {CPU_POOL: lead}))
+        return sum(need.units for need in self.forecaster.needs(now, {CPU_POOL: lead}))
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -91,7 +91,7 @@
         for cells in block.cells_by_series.values()
         for cell in cells.values()
     )
-    assert tasks == sum(job.tasks for job in jobs)
+    assert tasks == sum(job.task_count for job in jobs)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -152,7 +152,7 @@
         at = BEGIN + 7000 + number
         job = make_demand(at, 4.0, team="guest" if guest else f"t{number % 40}", job_class="k" * 180 + str(number))
         history.record_accepted_job(job)
-        tasks += job.tasks
+        tasks += job.task_count
     assert len(history.series) <= 24 + MAX_TEAM_WIDE_SERIES + 4
     assert sum(key.team == "guest" for key in history.series) <= 24 * 0.25 + 1
     total = 0.0
@@ -200,7 +200,7 @@
     """One place of a good block, or all of it, is replaced by anything."""
     history = DemandHistory(SLOT, 2, 48)
     history.record_accepted_job(make_demand(BEGIN + 10, 8.0))
-    history.boot_factors["std"] = [1.0]
+    history.boot_ratios["std"] = [1.0]
     block = history.open_blocks[BEGIN // BLOCK_DURATION_S]
     value: Any = orjson.loads(orjson.dumps(history.encode(block, 8192)))
     root: list[Any] = [value]
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -11,7 +11,7 @@
 from roseweir.cloud.offers import MachineOffer
 from roseweir.cloud.scale_in import plan_scale_in
 from roseweir.cloud.scale_out import plan_scale_out
-from roseweir.forecast.capacity_plan import late_factor, lead_time_s, plan_capacity, representative_job
+from roseweir.forecast.capacity_plan import late_ratio, lead_time_s, plan_capacity, representative_job
 from roseweir.forecast.demand_history import Pool, TaskShape
 from roseweir.forecast.forecaster import CapacityNeed, weighted_quantile
 from roseweir.forecast.scaling_planner import ScalingPlanner
@@ -34,7 +34,7 @@
     assert weeks.needed_units("2026-05-04T12:00") == 0
     assert weeks.needed_units("2026-05-04T16:20", lead=60) == 0
     assert weeks.needed_units("2026-05-04T16:27") == pytest.approx(40, rel=0.01)
-    need = weeks.forecast.needs(weeks.timestamp("2026-05-04T16:27"), {CPU_POOL: 120.0})[0]
+    need = weeks.forecaster.needs(weeks.timestamp("2026-05-04T16:27"), {CPU_POOL: 120.0})[0]
     assert need.shape == TWO_CPUS and "4 weeks" in need.reason and "at 16:25" in need.reason
 
 
@@ -42,7 +42,7 @@
     weeks = DemandWeeks()
     weeks.pass_days(FIRST, 14)
     assert weeks.needed_units("2026-04-20T16:27") == 0
-    assert weeks.forecast.no_forecast_reason() == "2 of the 3 weeks that a forecast needs are known at this hour"
+    assert weeks.forecaster.no_forecast_reason() == "2 of the 3 weeks that a forecast needs are known at this hour"
 
 
 @pytest.mark.parametrize("first, day", [("2026-02-16", "2026-03-16"), ("2026-10-12", "2026-11-09")])
@@ -57,9 +57,9 @@
 def test_hour_that_the_clocks_skip_is_no_sample_and_the_hour_that_comes_twice_is_one() -> None:
     weeks = DemandWeeks()
     slot = weeks.history.slot_of(weeks.timestamp("2026-03-15T02:30"))
-    assert weeks.forecast.slot_weeks_before(slot, 1) is None  # 8 March, 02:30
+    assert weeks.forecaster.slot_weeks_before(slot, 1) is None  # 8 March, 02:30
     first = weeks.history.slot_of(weeks.timestamp("2026-11-01T01:30"))
-    same = {weeks.forecast.slot_weeks_before(first + later, 1) for later in (0, 12)}
+    same = {weeks.forecaster.slot_weeks_before(first + later, 1) for later in (0, 12)}
     assert same == {weeks.history.slot_of(weeks.timestamp("2026-10-25T01:30"))}
 
 
@@ -69,9 +69,9 @@
     # 22 April was a holiday too, without a burst: it must not lower later Wednesdays.
     weeks.pass_days(FIRST, 28, burst=lambda day: 0.0 if day.date().isoformat() == "2026-04-22" else 40.0)
     assert weeks.needed_units("2026-05-05T16:32") > 30
-    expected = weeks.forecast.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-06T16:35")))
+    expected = weeks.forecaster.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-06T16:35")))
     assert expected[CPU_POOL].high_units == 0 and "holiday" in expected[CPU_POOL].reason
-    after = weeks.forecast.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-13T16:35")))
+    after = weeks.forecaster.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-13T16:35")))
     assert after[CPU_POOL].low_units > 30
 
 
@@ -81,7 +81,7 @@
     assert weeks.needed_units("2026-05-06T16:34") > 30
     assert weeks.needed_units("2026-05-06T16:41") == 0
     assert weeks.needed_units("2026-05-06T17:45") == 0
-    level, why = weeks.forecast.present_level(CPU_POOL, 40.0, weeks.history.slot_of(weeks.watched_until))
+    level, why = weeks.forecaster.present_level(CPU_POOL, 40.0, weeks.history.slot_of(weeks.watched_until))
     assert level == 0 and why.startswith("absent")
 
 
@@ -106,7 +106,7 @@
             known=lambda day, known=known, out=out: known or day.date().isoformat() not in out,  # type: ignore[misc]
         )
         found.append(
-            weeks.forecast.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-04T16:45")))[
+            weeks.forecaster.expected_demand(weeks.history.slot_of(weeks.timestamp("2026-05-04T16:45")))[
                 CPU_POOL
             ].high_units
         )
@@ -182,9 +182,9 @@
     before = list(wants)
     bought = sum(w.count for w in wants) * CPU.cpus
     ahead = plan_capacity(cluster_state, [need(bought)], wants, {}, PredictiveScalingSettings(), NOW)
-    assert wants == before and ahead.wants == [] and ahead.holds[0].missing_units == 0
+    assert wants == before and ahead.machine_requests == [] and ahead.holds[0].missing_units == 0
     ahead = plan_capacity(cluster_state, [need(bought + 8)], wants, {}, PredictiveScalingSettings(), NOW)
-    assert [(w.count, w.is_forecast) for w in ahead.wants] == [(1, True)]
+    assert [(w.count, w.is_forecast) for w in ahead.machine_requests] == [(1, True)]
 
 
 def test_held_machines_stay_until_the_reason_lapses() -> None:
@@ -198,7 +198,7 @@
     for machine in cluster_state.machines.values():
         machine.last_heartbeat_at = later
     ahead = plan_capacity(cluster_state, [need(16.0)], [], {}, PredictiveScalingSettings(), later)
-    assert sorted(ahead.kept_machines) == ["i-0", "i-1"] and ahead.wants == []
+    assert sorted(ahead.kept_machines) == ["i-0", "i-1"] and ahead.machine_requests == []
     assert [m.name for m, _ in plan_scale_in(cluster_state, SchedulingPassResult(), later, ahead.kept_machines)] == [
         "i-2"
     ]
@@ -243,15 +243,15 @@
     for name in ahead.kept_machines:
         machine = cluster_state.machines[name]
         assert not machine.placements and not machine.is_marked_for_release
-    held = len(ahead.kept_machines) + sum(w.count for w in ahead.wants)
+    held = len(ahead.kept_machines) + sum(w.count for w in ahead.machine_requests)
     assert held <= settings.machines_most and ahead.price_per_hour <= settings.money_most + 1e-6
-    offers = [(w.type_name, w.zone, w.is_spot) for w in reactive + ahead.wants]
+    offers = [(w.type_name, w.zone, w.is_spot) for w in reactive + ahead.machine_requests]
     assert len(offers) == len(set(offers)) and not refused.keys() & set(offers)
     for hold in ahead.holds:
         assert hold.available_units >= hold.need.units - 1e-6 or hold.ordered_machines or hold.missing_units > 0
         if hold.available_units >= hold.need.units - 1e-6:
             assert hold.ordered_machines == 0
-    for want in ahead.wants:
+    for want in ahead.machine_requests:
         assert any(representative_job(n).allows_spot or not want.is_spot for n in needs)
 
 
@@ -260,7 +260,7 @@
     usual = lead_time_s(spec, 0.0, {"cpu": CPU}, {}, {})
     assert lead_time_s(spec, 30.0, {"cpu": CPU}, {}, {}) == pytest.approx(usual + 40.0)
     times = [1.0] * 17 + [3.0, 3.0, 4.0]
-    assert late_factor(times, 1.5) == 3.0 and late_factor([9.0] * 4, 1.5) == 1.5
+    assert late_ratio(times, 1.5) == 3.0 and late_ratio([9.0] * 4, 1.5) == 1.5
     assert lead_time_s(spec, 0.0, {"cpu": CPU}, {"cpu": times}, {}) == pytest.approx(usual + CPU.boot_s * 1.5)
     assert lead_time_s(spec, 30.0, {"cpu": CPU}, {}, {"cpu": times}) == pytest.approx(usual + 90.0)
 
@@ -277,8 +277,8 @@
         hand.report(NOW + seconds(second))
     planner = ScalingPlanner(PredictiveScalingSettings(), cluster_state)
     for _ in range(2):
-        planner.history.record_times(cluster_state.boot_ratios, cluster_state.image_fetch_ratios)
-    assert planner.history.fetch_factors == {"cpu": [pytest.approx(9.0 / 6.0)]}
+        planner.history.record_startup_ratios(cluster_state.boot_ratios, cluster_state.image_fetch_ratios)
+    assert planner.history.fetch_ratios == {"cpu": [pytest.approx(9.0 / 6.0)]}
 
 
 def test_refusals_move_orders_ahead_for_a_while() -> None:
@@ -295,7 +295,7 @@
     before = weeks.planner.lead_times_s(now)[CPU_POOL]
     for second in range(30):
         ahead = weeks.planner.plan([], refused, now + second, NOW)
-    assert ahead.holds[0].missing_units > 30 and ahead.wants == []
+    assert ahead.holds[0].missing_units > 30 and ahead.machine_requests == []
     assert weeks.planner.lead_times_s(now + 30)[CPU_POOL] == pytest.approx(before + 36.0)
     assert weeks.planner.lead_times_s(now + 3600)[CPU_POOL] == before
 
