--- a/roseweir/forecast/__init__.py
+++ b/roseweir/forecast/__init__.py
@@ -1,6 +1,7 @@
-"""Renting ahead of demand: what past weeks say about the next minutes, and what should stand ready for it.
+"""Predictive scaling: forecasts demand from past weeks and keeps or rents machines before it arrives.
 
-Loaded only when the operators' file has a `renting-ahead` form. `history` counts work as it is accepted,
-`predict` says what to expect, `ahead` what to rent and to keep; all three are pure. `store` and `desk` are
-the edges: the state service, and the leader's routine.
+Loaded only when the operators' file has a `renting-ahead` form. `demand_history` counts accepted work, `forecaster`
+computes the expected demand, `capacity_plan` decides what to rent and to keep, and `scaling_planner` combines the
+three; all four are without I/O. `history_store` reads and writes the key-value store, and `predictive_scaler` is the
+leader's background task.
 """
--- a/roseweir/forecast/cli.py
+++ b/roseweir/forecast/cli.py
@@ -1,4 +1,4 @@
-"""`roseweir forecast show`, `compare` and `draw`. What the last two need is imported when they run."""
+"""`roseweir forecast show`, `compare` and `draw`. Libraries of the last two are imported only when these run."""
 
 import argparse
 import sys
@@ -17,24 +17,24 @@
 
 
 def add_commands(commands: Any, add_query_arguments: Callable[[argparse.ArgumentParser], None]) -> None:
-    """The subcommands of `forecast`. `add_ask` gives one the arguments of a question to a controller."""
+    """Add the subcommands of `forecast`. `add_query_arguments` adds the arguments of a query to a controller."""
     parser = commands.add_parser("forecast", help="what demand is expected, and what renting ahead makes of it")
     tools = parser.add_subparsers(required=True, metavar="TOOL")
     show = tools.add_parser("show", help="what a leader expects next, why, and what it holds ready")
     add_query_arguments(show)
-    rng = tools.add_parser("draw", help="draw load with known bursts, for `compare`")
-    rng.add_argument("--kind", required=True, choices=LOAD_SCENARIOS, help="which weeks")
-    rng.add_argument("--weeks", type=_positive_int, default=6, metavar="N", help="how many (default 6)")
-    rng.add_argument("--seed", type=int, default=1, metavar="S", help="the same seed draws the same load (default 1)")
-    rng.add_argument(
+    draw = tools.add_parser("draw", help="draw load with known bursts, for `compare`")
+    draw.add_argument("--kind", required=True, choices=LOAD_SCENARIOS, help="which weeks")
+    draw.add_argument("--weeks", type=_positive_int, default=6, metavar="N", help="how many (default 6)")
+    draw.add_argument("--seed", type=int, default=1, metavar="S", help="the same seed draws the same load (default 1)")
+    draw.add_argument(
         "--start",
         type=_parse_date,
         default=date(2026, 3, 30),
         metavar="DAY",
         help="first day, local (2026-03-30, a Monday)",
     )
-    rng.add_argument("--out", type=Path, metavar="FILE", help="where to (default: standard output)")
-    rng.set_defaults(run=_run_draw)
+    draw.add_argument("--out", type=Path, metavar="FILE", help="where to (default: standard output)")
+    draw.set_defaults(run=_run_draw)
     compare = tools.add_parser("compare", help="replay recorded load under each policy, in simulated time")
     compare.add_argument("--load", type=Path, required=True, metavar="FILE", help="JSON Lines of submissions with `at`")
     compare.add_argument("--policy", nargs="+", choices=POLICIES, default=list(POLICIES), help="which (default: all)")
@@ -70,7 +70,7 @@
 
 
 def print_forecast(answer: dict[str, Any]) -> None:
-    """The table of `forecast show`."""
+    """Print the table of `forecast show`."""
     if not answer["switched_on"]:
         print(f"{answer['node']}: renting ahead is switched off")
         return
@@ -104,37 +104,37 @@
         print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-def _missing_library_error(e: ImportError, tool: str) -> SettingsError:
-    return SettingsError(f"forecast {tool} needs `{e.name}`: install {EXTRA_REQUIREMENTS_FILE}")
+def _missing_library_error(error: ImportError, tool: str) -> SettingsError:
+    return SettingsError(f"forecast {tool} needs `{error.name}`: install {EXTRA_REQUIREMENTS_FILE}")
 
 
 def _run_draw(args: argparse.Namespace) -> int:
     try:
         import orjson
 
-        from roseweir.forecast.tools.load_generator import LOAD_SCENARIOS as KNOWN
+        from roseweir.forecast.tools.load_generator import LOAD_SCENARIOS as SCENARIOS_BY_NAME
         from roseweir.forecast.tools.load_generator import generate_load
     except ImportError as e:
         raise _missing_library_error(e, "draw") from e
 
-    def lines() -> Iterator[bytes]:
-        for value in generate_load(KNOWN[args.kind], args.weeks, args.seed, args.start):
+    def encoded_lines() -> Iterator[bytes]:
+        for value in generate_load(SCENARIOS_BY_NAME[args.kind], args.weeks, args.seed, args.start):
             yield orjson.dumps(value) + b"\n"
 
     if args.out is None:
-        for line in lines():
+        for line in encoded_lines():
             sys.stdout.buffer.write(line)
         return 0
     try:
         with args.out.open("wb") as file:
-            file.writelines(lines())
+            file.writelines(encoded_lines())
     except OSError as e:
         raise SettingsError(f"{args.out}: {e.strerror or e}") from e
     return 0
 
 
 class _ProgressLogger:
-    """Progress on standard error, with the seconds since it began."""
+    """Prints progress on standard error, with the seconds since the start."""
 
     def __init__(self) -> None:
         self._started_at = time.monotonic()
@@ -172,11 +172,11 @@
         scaling_settings.calendar.time_zone = parse_calendar([[sexpdata.Symbol("time-zone"), args.time_zone]]).time_zone
     log_progress = _ProgressLogger()
     load = read_load(args.load)
-    site = load_provider(args.config, args.catalog, args.capacity, (arrival.spec.team for arrival in load))
+    provider = load_provider(args.config, args.catalog, args.capacity, (arrival.spec.team for arrival in load))
     zone = scaling_settings.calendar.zone
-    begin = measurement_start(load, args.days, zone)
+    measured_from = measurement_start(load, args.days, zone)
     log_progress(f"{len(load)} jobs read; the last {args.days} days are measured")
-    case = ReplayCase(site, operator_config, scaling_settings, load, begin, args.seed)
+    case = ReplayCase(provider, operator_config, scaling_settings, load, measured_from, args.seed)
     results, bursts = compare(case, args.policy, args.jobs, log_progress)
     answer = {"policies": {r.policy: r.figures | ({} if r.size is None else {"size": r.size}) for r in results}}
     if args.report is not None:
--- a/roseweir/forecast/settings.py
+++ b/roseweir/forecast/settings.py
@@ -1,4 +1,4 @@
-"""The operators' form `(renting-ahead ...)`."""
+"""Settings of predictive scaling: the operators' form `(renting-ahead ...)`."""
 
 from datetime import timedelta
 from typing import Any
@@ -13,21 +13,21 @@
 
 
 class PredictiveScalingSettings(msgspec.Struct):
-    """Renting ahead. docs/forecast.md gives the reason for each default."""
+    """Settings of predictive scaling. docs/forecast.md gives the reason for each default."""
 
     slot: timedelta = timedelta(minutes=5)
-    weeks: int = 8  # how many are kept
-    least_weeks: int = 3  # with fewer there is no forecast
-    fade: float = 0.8  # what a week counts, against the one after it
-    wait_cost: float = 4.0  # of a unit that is missing, against
-    idle_cost: float = 1.0  # that of one too many
-    peak_most: float = 1.5  # times a slot's mean: what goes beyond is in use too briefly to hold a machine for
-    known_share: float = 0.75  # of a slot that has to be watched, for its count to mean anything
+    weeks: int = 8  # of history to keep
+    least_weeks: int = 3  # of history below which there is no forecast
+    fade: float = 0.8  # weight of a week relative to the following one
+    wait_cost: float = 4.0  # of a missing unit
+    idle_cost: float = 1.0  # of an idle unit; only the ratio of the two costs matters
+    peak_most: float = 1.5  # times a slot's mean: a higher peak is too brief to hold machines for
+    known_share: float = 0.75  # of a slot that must have been watched for the slot to be used
     level_window: timedelta = timedelta(minutes=20)
     level_most: float = 1.5
     absent_after: timedelta = timedelta(minutes=10)
     machines_most: float = 50
-    money_most: float = 100.0  # an hour
+    money_most: float = 100.0  # price per hour
     guest_share: float = 0.1
     series_most: int = 48
     calendar: Calendar = msgspec.field(default_factory=Calendar)
@@ -38,7 +38,10 @@
 
     @property
     def quantile(self) -> float:
-        """The newsvendor's critical ratio: where one unit more costs as much idle as it saves in waiting."""
+        """The critical ratio of the newsvendor model.
+
+        At this quantile, one more unit costs as much in idle time as it saves in waiting.
+        """
         return self.wait_cost / (self.wait_cost + self.idle_cost)
 
 
--- a/roseweir/forecast/tools/__init__.py
+++ b/roseweir/forecast/tools/__init__.py
@@ -1,4 +1,4 @@
-"""`forecast draw` and `forecast compare`: what renting ahead would have done to recorded load.
+"""`forecast draw` and `forecast compare`: generate load, and replay recorded load under each scaling policy.
 
-Not for controllers: these modules load the libraries of `requirements-forecast.txt`.
+Controllers must not import these modules, which need the libraries of `requirements-forecast.txt`.
 """
--- a/roseweir/forecast/tools/html_report.py
+++ b/roseweir/forecast/tools/html_report.py
@@ -1,4 +1,4 @@
-"""The HTML report of a comparison: one file, with its plots inside."""
+"""Writes the HTML report of a comparison: one file with embedded plots."""
 
 from datetime import UTC, datetime, tzinfo
 from importlib.resources import files
@@ -14,7 +14,7 @@
 
 from roseweir.forecast.tools.policy_comparison import Burst, PolicyResult
 
-matplotlib.rcParams["svg.hashsalt"] = "roseweir"  # the same figures make the same file
+matplotlib.rcParams["svg.hashsalt"] = "roseweir"  # equal results give identical files
 POLICY_COLOURS = {"none": "#9a3b3b", "reserve": "#8a7a2f", "ahead": "#2f6f8a", "best": "#5a8a4a"}
 
 
@@ -41,32 +41,34 @@
 
 
 def _plot_demand(results: list[PolicyResult], zone: tzinfo) -> Figure:
-    """CPUs offered, standing and held, policy by policy."""
+    """CPUs asked for, available, and needed by the forecast, for each policy."""
     figure = Figure(figsize=(11, 2.1 * len(results)))
     axes = figure.subplots(len(results), 1, sharex=True, squeeze=False)
-    for row, result in zip(axes[:, 0], results, strict=True):
+    for axis, result in zip(axes[:, 0], results, strict=True):
         times = [datetime.fromtimestamp(at, UTC).astimezone(zone) for at, *_ in result.outcome.timeline]
-        offered, standing, held = ([point[n] for point in result.outcome.timeline] for n in (1, 2, 3))
-        row.fill_between(times, offered, color="#c9c9c9", label="asked for at once", step="post")
-        row.plot(
+        offered_units, available_units, needed_units = (
+            [point[n] for point in result.outcome.timeline] for n in (1, 2, 3)
+        )
+        axis.fill_between(times, offered_units, color="#c9c9c9", label="asked for at once", step="post")
+        axis.plot(
             times,
-            standing,
+            available_units,
             color=POLICY_COLOURS[result.policy],
             linewidth=0.9,
             label="standing",
             drawstyle="steps-post",
         )
-        if any(held):
-            row.plot(times, held, color="#444444", linewidth=0.6, linestyle=":", label="to stand ready")
-        row.set_ylabel("CPUs")
-        row.set_title(result.policy, loc="left", fontsize=9)
-        row.legend(fontsize=7, loc="upper right")
+        if any(needed_units):
+            axis.plot(times, needed_units, color="#444444", linewidth=0.6, linestyle=":", label="to stand ready")
+        axis.set_ylabel("CPUs")
+        axis.set_title(result.policy, loc="left", fontsize=9)
+        axis.legend(fontsize=7, loc="upper right")
     figure.autofmt_xdate()
     return figure
 
 
 def _plot_waits(results: list[PolicyResult]) -> Figure:
-    """How large a part of the tasks waited longer than so long."""
+    """For each wait time, the share of tasks that waited longer."""
     figure = Figure(figsize=(7, 3.2))
     axes = figure.subplots()
     for result in results:
@@ -88,8 +90,8 @@
     width = 0.8 / max(1, len(results))
     for number, result in enumerate(results):
         heights = [result.figures["by_burst"][burst.name]["wait_p95_s"] for burst in bursts]
-        places = [n + number * width for n in range(len(bursts))]
-        axes.bar(places, heights, width, color=POLICY_COLOURS[result.policy], label=result.policy)
+        bar_positions = [n + number * width for n in range(len(bursts))]
+        axes.bar(bar_positions, heights, width, color=POLICY_COLOURS[result.policy], label=result.policy)
     axes.set_xticks(
         [n + 0.4 - width / 2 for n in range(len(bursts))], [b.name for b in bursts], rotation=30, ha="right"
     )
--- a/roseweir/forecast/tools/load_generator.py
+++ b/roseweir/forecast/tools/load_generator.py
@@ -1,4 +1,4 @@
-"""Load drawn from a seed: weeks whose bursts come at known hours, and what upsets such weeks."""
+"""Generates load from a seed: weeks with bursts at regular hours, and weeks in which the last one differs."""
 
 from collections.abc import Callable, Iterator
 from datetime import UTC, date, datetime, time, timedelta
@@ -20,7 +20,7 @@
 class LoadScenario(NamedTuple):
     description: str
     time_zone: str
-    bursts_of_day: Callable[[date, bool], list[Burst]]  # of a local day; whether it is in the last week
+    bursts_of_day: Callable[[date, bool], list[Burst]]  # arguments: local day, whether it is in the last week
 
 
 def _local_time(day: date, hour: int, minute: int = 0) -> datetime:
@@ -80,15 +80,15 @@
     ),
 }
 
-# Jobs a minute in a burst of scale 1, and all day long; their tasks, and how long these run.
+# Jobs per minute in a burst of scale 1, and of the background load; tasks of a job, and their run times.
 BURST_JOBS_PER_MINUTE, QUIET_JOBS_PER_MINUTE = 6.0, 0.1
 MEAN_TASKS, MEDIAN_TASK_S, TASK_DURATION_SPREAD = 8.0, 100.0, 0.35
-# Days differ from one another by so much.
+# Standard deviation of the logarithm of a day's scale.
 DAY_SCALE_SPREAD = 0.15
 
 
 def generate_load(scenario: LoadScenario, weeks: int, seed: int, start: date) -> Iterator[dict[str, Any]]:
-    """Submissions in order of time, from `start` (local time) on."""
+    """Submissions in order of time, beginning on the local day `start`."""
     rng = np.random.default_rng(seed)
     zone = ZoneInfo(scenario.time_zone)
     number = 0
@@ -100,20 +100,22 @@
             (at, "survey", "cadastre") for at in _draw_times(rng, _local_time(day, 0), DAY, QUIET_JOBS_PER_MINUTE)
         ]
         for burst in scenario.bursts_of_day(day, is_last_week):
-            rate = BURST_JOBS_PER_MINUTE * burst.scale * scale
+            jobs_per_minute = BURST_JOBS_PER_MINUTE * burst.scale * scale
             arrivals += [
                 (at, "flood" if burst.team == "guests" else "amendments", burst.team)
-                for at in _draw_times(rng, burst.begins_at, burst.duration, rate)
+                for at in _draw_times(rng, burst.begins_at, burst.duration, jobs_per_minute)
             ]
         for at, job_class, team in sorted(arrivals):
             number += 1
-            local = at.replace(tzinfo=zone).astimezone(UTC).astimezone(zone)
-            yield _draw_submission(rng, number, local, job_class, team)
+            local_at = at.replace(tzinfo=zone).astimezone(UTC).astimezone(zone)
+            yield _draw_submission(rng, number, local_at, job_class, team)
 
 
-def _draw_times(rng: np.random.Generator, begins: datetime, duration: timedelta, rate: float) -> list[datetime]:
-    count = int(rng.poisson(rate * duration.total_seconds() / 60))
-    return [begins + duration * float(share) for share in np.sort(rng.random(count))]
+def _draw_times(
+    rng: np.random.Generator, begins_at: datetime, duration: timedelta, jobs_per_minute: float
+) -> list[datetime]:
+    count = int(rng.poisson(jobs_per_minute * duration.total_seconds() / 60))
+    return [begins_at + duration * float(share) for share in np.sort(rng.random(count))]
 
 
 def _draw_submission(rng: np.random.Generator, number: int, at: datetime, job_class: str, team: str) -> dict[str, Any]:
--- a/roseweir/forecast/tools/policy_comparison.py
+++ b/roseweir/forecast/tools/policy_comparison.py
@@ -1,4 +1,4 @@
-"""`forecast compare`: the same load under each policy, and what each made of it."""
+"""`forecast compare`: replays the same load under each scaling policy and computes the figures of each."""
 
 from collections.abc import Callable, Iterable
 from concurrent.futures import Future, ProcessPoolExecutor, wait
@@ -19,25 +19,24 @@
 
 NONE, RESERVE, AHEAD, BEST = "none", "reserve", "ahead", "best"
 POLICIES = (NONE, RESERVE, AHEAD, BEST)
-# A burst is where this part of the week's highest demand is reached; a short lull does not end it.
+# In a burst demand reaches this part of the highest measured demand; a lull up to this long does not end it.
 MIN_BURST_SHARE, MAX_LULL = 0.35, timedelta(minutes=30)
-# The reserve is searched for in two rounds of so many sizes, as shares of the highest demand.
+# The smallest sufficient reserve is found in two rounds of this many sizes, as shares of the highest demand.
 RESERVE_SIZES_PER_ROUND, MAX_RESERVE_SHARE = 8, 1.2
-# A reserve counts as reaching the same 95th percentile within a second.
+# A reserve is sufficient if the 95th percentile of its waits is at most this much above that of `ahead`.
 WAIT_TOLERANCE_S = 1.0
-# Progress is told this often, in seconds.
 PROGRESS_INTERVAL_S = 10.0
 MAX_WAIT_MS = 7 * 86400 * 1000
 
 
 class Burst(NamedTuple):
     name: str
-    begins: float
-    ends: float
+    begins_at: float
+    ends_at: float
 
 
 class ReplayCase(msgspec.Struct):
-    """All that a replay in another process needs."""
+    """The inputs of a replay, as passed to a worker process."""
 
     provider: SimulatedProvider
     operator_config: OperatorConfig
@@ -55,9 +54,9 @@
 
 
 def measurement_start(load: list[Arrival], days: int, zone: tzinfo) -> float:
-    """Local midnight, so many days before the end of the load's last day."""
-    last = datetime.fromtimestamp(load[-1].arrived_at, UTC).astimezone(zone).date()
-    return datetime.combine(last - timedelta(days=days - 1), time(), zone).timestamp()
+    """The local midnight that lies `days` before the end of the load's last day."""
+    last_day = datetime.fromtimestamp(load[-1].arrived_at, UTC).astimezone(zone).date()
+    return datetime.combine(last_day - timedelta(days=days - 1), time(), zone).timestamp()
 
 
 def find_bursts(case: ReplayCase) -> list[Burst]:
@@ -65,23 +64,25 @@
     slot_s = case.scaling_settings.slot_s
     totals = {slot: sum(pools.values()) for slot, pools in peaks.items()}
     threshold = MIN_BURST_SHARE * max(totals.values(), default=0.0)
-    found: list[list[int]] = []
+    slot_ranges: list[list[int]] = []
     for slot in sorted(s for s, total in totals.items() if total >= threshold > 0):
-        if found and (slot - found[-1][1]) * slot_s <= MAX_LULL.total_seconds():
-            found[-1][1] = slot
+        if slot_ranges and (slot - slot_ranges[-1][1]) * slot_s <= MAX_LULL.total_seconds():
+            slot_ranges[-1][1] = slot
         else:
-            found.append([slot, slot])
+            slot_ranges.append([slot, slot])
     zone = case.scaling_settings.calendar.zone
     bursts = []
-    for first, last in found:
+    for first, last in slot_ranges:
         # Demand reaches the threshold a little after its first submissions.
-        begins, ends = (first - 1) * slot_s, (last + 1) * slot_s
+        begins_at, ends_at = (first - 1) * slot_s, (last + 1) * slot_s
         name = datetime.fromtimestamp(first * slot_s, UTC).astimezone(zone).strftime("%a %d %b %H:%M")
-        bursts.append(Burst(name, begins, ends))
+        bursts.append(Burst(name, begins_at, ends_at))
     return bursts
 
 
-def _make_replay(case: ReplayCase, switched_on: bool, progress: Callable[[float], None] = lambda share: None) -> Replay:
+def _make_replay(
+    case: ReplayCase, is_predictive: bool, progress: Callable[[float], None] = lambda share: None
+) -> Replay:
     return Replay(
         case.provider,
         case.operator_config,
@@ -89,7 +90,7 @@
         case.load,
         case.measured_from,
         case.seed,
-        is_predictive=switched_on,
+        is_predictive=is_predictive,
         progress=progress,
     )
 
@@ -97,18 +98,18 @@
 def run_replay(
     case: ReplayCase, policy: str, size: float = 0.0, progress: Callable[[float], None] = lambda share: None
 ) -> ReplayOutcome:
-    """One replay. `size`: of a reserve, as a share of each pool's highest demand."""
+    """Run one replay. `size`: of the reserve, as a share of each pool's highest demand."""
     replay = _make_replay(case, policy != NONE, progress)
     if policy in (RESERVE, BEST):
         peaks = actual_peaks(replay)
         history, forecaster = replay.planner.history, replay.planner.forecaster
 
-        def perfect_forecast(now: float, leads: dict[Pool, float]) -> list[CapacityNeed]:
-            """What will be asked for until an order of now is of use."""
+        def perfect_forecast(now: float, lead_times_s: dict[Pool, float]) -> list[CapacityNeed]:
+            """The highest actual demand until machines requested now can run tasks."""
             needs: list[CapacityNeed] = []
             for pool, shape in forecaster.task_shapes().items():
-                last = history.slot_of(now + leads.get(pool, history.slot_s))
-                slots = range(history.slot_of(now), last + 1)
+                last_slot = history.slot_of(now + lead_times_s.get(pool, history.slot_s))
+                slots = range(history.slot_of(now), last_slot + 1)
                 units = max(peaks.get(slot, {}).get(pool, 0.0) for slot in slots)
                 if units > 0:
                     needs.append(CapacityNeed(pool, shape, units, now, "known"))
@@ -119,7 +120,7 @@
             for pool, units in pools.items():
                 highest_by_pool[pool] = max(highest_by_pool.get(pool, 0.0), units)
 
-        def fixed_reserve(now: float, leads: dict[Pool, float]) -> list[CapacityNeed]:
+        def fixed_reserve(now: float, lead_times_s: dict[Pool, float]) -> list[CapacityNeed]:
             shapes = forecaster.task_shapes()
             return [
                 CapacityNeed(p, shapes[p], u * size, now, "reserve")
@@ -131,7 +132,7 @@
     return replay.run()
 
 
-# How far each replay is, shared with the processes that run them.
+# The completed share of each replay, in memory shared between the processes.
 _progress_shares: Any = None
 
 
@@ -148,10 +149,10 @@
 
 
 class _ReplayPool:
-    """Replays in processes of their own, with word of how far they are."""
+    """Runs replays in worker processes and reports their progress."""
 
-    def __init__(self, pool: ProcessPoolExecutor, shares: Any, log_progress: Callable[[str], None]) -> None:
-        self._pool, self._shares, self._log_progress = pool, shares, log_progress
+    def __init__(self, pool: ProcessPoolExecutor, progress_shares: Any, log_progress: Callable[[str], None]) -> None:
+        self._pool, self._shares, self._log_progress = pool, progress_shares, log_progress
         self._started_count = 0
 
     def start(self, case: ReplayCase, policy: str, size: float = 0.0) -> Future[ReplayOutcome]:
@@ -169,41 +170,42 @@
 def compare(
     case: ReplayCase, policies: Iterable[str], workers: int, progress: Callable[[str], None]
 ) -> tuple[list[PolicyResult], list[Burst]]:
-    """Each policy's result. The reserve is the smallest that reaches what renting ahead reaches."""
+    """Replay each policy. The reserve is the smallest with which waits in bursts are as short as with `ahead`."""
     bursts = find_bursts(case)
     wanted_policies = list(policies)
     results: dict[str, PolicyResult] = {}
-    shares = Array("d", len(POLICIES) + 2 * RESERVE_SIZES_PER_ROUND)
-    with ProcessPoolExecutor(workers, initializer=_initialise_worker, initargs=(shares,)) as processes:
-        pool = _ReplayPool(processes, shares, progress)
-        unsearched_policies = [
+    progress_shares = Array("d", len(POLICIES) + 2 * RESERVE_SIZES_PER_ROUND)
+    with ProcessPoolExecutor(workers, initializer=_initialise_worker, initargs=(progress_shares,)) as processes:
+        pool = _ReplayPool(processes, progress_shares, progress)
+        single_size_policies = [
             p
             for p in POLICIES
             if p != RESERVE and (p in wanted_policies or (p == AHEAD and RESERVE in wanted_policies))
         ]
-        running = {p: pool.start(case, p) for p in unsearched_policies}
-        for policy, future in running.items():
+        futures_by_policy = {p: pool.start(case, p) for p in single_size_policies}
+        for policy, future in futures_by_policy.items():
             results[policy] = _make_result(policy, pool.result(future), bursts)
             progress(f"{policy}: {format_summary(results[policy].figures)}")
         if RESERVE in wanted_policies:
-            target_wait_s = results[AHEAD].figures["burst"]["wait_p95_s"] + WAIT_TOLERANCE_S
-            low, high = 0.0, MAX_RESERVE_SHARE
+            max_wait_s = results[AHEAD].figures["burst"]["wait_p95_s"] + WAIT_TOLERANCE_S
+            low_size, high_size = 0.0, MAX_RESERVE_SHARE
             smallest: PolicyResult | None = None
             for _ in range(2):
                 sizes = [
-                    low + (high - low) * n / RESERVE_SIZES_PER_ROUND for n in range(1, RESERVE_SIZES_PER_ROUND + 1)
+                    low_size + (high_size - low_size) * n / RESERVE_SIZES_PER_ROUND
+                    for n in range(1, RESERVE_SIZES_PER_ROUND + 1)
                 ]
                 futures = [pool.start(case, RESERVE, size) for size in sizes]
                 for size, future in zip(sizes, futures, strict=True):
                     result = _make_result(RESERVE, pool.result(future), bursts)
                     result.size = size
                     progress(f"reserve of {size:.3f} of the highest demand: {format_summary(result.figures)}")
-                    if result.figures["burst"]["wait_p95_s"] <= target_wait_s:
-                        smallest, high = result, size
-                        for later in futures:
-                            later.cancel()
+                    if result.figures["burst"]["wait_p95_s"] <= max_wait_s:
+                        smallest, high_size = result, size
+                        for unneeded in futures:
+                            unneeded.cancel()
                         break
-                    low = size
+                    low_size = size
                 else:
                     break
             if smallest is None:
@@ -238,13 +240,13 @@
 
 
 def _make_result(policy: str, outcome: ReplayOutcome, bursts: list[Burst]) -> PolicyResult:
-    in_bursts: dict[str, list[TaskStart]] = {burst.name: [] for burst in bursts}
-    by_class: dict[str, list[TaskStart]] = {}
+    starts_by_burst: dict[str, list[TaskStart]] = {burst.name: [] for burst in bursts}
+    starts_by_class: dict[str, list[TaskStart]] = {}
     for start in outcome.starts:
-        by_class.setdefault(start.job_class, []).append(start)
+        starts_by_class.setdefault(start.job_class, []).append(start)
         for burst in bursts:
-            if burst.begins <= start.submitted_at < burst.ends:
-                in_bursts[burst.name].append(start)
+            if burst.begins_at <= start.submitted_at < burst.ends_at:
+                starts_by_burst[burst.name].append(start)
     figures = wait_statistics(outcome.starts) | {
         "idle_machine_h": round(outcome.idle_machine_hours, 2),
         "machine_h": round(outcome.machine_hours, 2),
@@ -252,9 +254,9 @@
         "cost": round(outcome.cost, 2),
         "unfinished_jobs": outcome.unfinished_jobs,
         "refusals": outcome.refusals,
-        "burst": wait_statistics(start for starts in in_bursts.values() for start in starts),
-        "by_class": {name: wait_statistics(starts) for name, starts in sorted(by_class.items())},
-        "by_burst": {name: wait_statistics(starts) for name, starts in in_bursts.items()},
+        "burst": wait_statistics(start for starts in starts_by_burst.values() for start in starts),
+        "by_class": {name: wait_statistics(starts) for name, starts in sorted(starts_by_class.items())},
+        "by_burst": {name: wait_statistics(starts) for name, starts in starts_by_burst.items()},
         "ahead_by_day": {day: round(hours, 2) for day, hours in sorted(outcome.prewarmed_hours_by_day.items())},
     }
     return PolicyResult(policy, outcome, figures)
--- a/roseweir/forecast/tools/recorded_load.py
+++ b/roseweir/forecast/tools/recorded_load.py
@@ -1,4 +1,4 @@
-"""Recorded load: JSON Lines of submissions with the time that each was sent."""
+"""Reads recorded load: JSON Lines of submissions with the time at which each was sent."""
 
 from collections.abc import Iterator
 from datetime import datetime
@@ -25,16 +25,16 @@
 
 
 def read_load(path: Path) -> list[Arrival]:
-    """All arrivals in order of time; SettingsError names the first bad line.
+    """All arrivals in order of time; SettingsError with the number of the first invalid line.
 
-    The same job id twice is a user's retry and counts once, at its first time.
+    A repeated job id is a retry by the user and counts once, at its earliest time.
     """
     arrivals: dict[str, Arrival] = {}
     try:
         with path.open("rb") as file:
             for arrival in _read_lines(path, file):
-                known = arrivals.get(arrival.spec.id)
-                if known is None or arrival.arrived_at < known.arrived_at:
+                earlier = arrivals.get(arrival.spec.id)
+                if earlier is None or arrival.arrived_at < earlier.arrived_at:
                     arrivals[arrival.spec.id] = arrival
     except OSError as e:
         raise SettingsError(f"{path}: {e.strerror or e}") from e
@@ -44,7 +44,7 @@
 
 
 def _read_lines(path: Path, file: Any) -> Iterator[Arrival]:
-    check = fastjsonschema.compile(load_schema())
+    validate = fastjsonschema.compile(load_schema())
     for number, line in enumerate(file, 1):
         if not line.strip():
             continue
@@ -53,11 +53,11 @@
         except orjson.JSONDecodeError as e:
             raise SettingsError(f"{path}: line {number}: not JSON: {e}") from e
         try:
-            check(value)
+            validate(value)
         except fastjsonschema.JsonSchemaValueException as e:
             raise SettingsError(f"{path}: line {number}: {e.message.removeprefix('data.')[:200]}") from e
         try:
-            at = datetime.fromisoformat(value["at"]).timestamp()
+            arrived_at = datetime.fromisoformat(value["at"]).timestamp()
         except ValueError as e:
             raise SettingsError(f"{path}: line {number}: at: {e}") from e
-        yield Arrival(at, msgspec.convert(value, Submission).to_spec(round(at * 1000)))
+        yield Arrival(arrived_at, msgspec.convert(value, Submission).to_spec(round(arrived_at * 1000)))
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -1,9 +1,9 @@
-"""Recorded load in simulated time, against a stand-in provider, with the service's own planning code.
+"""Replays recorded load in simulated time with the service's scheduling and scaling code and a simulated provider.
 
-The board, the planning passes, rental, give-back and renting ahead are those that a leader runs. What is left
-out: reports, records and failures, so orders reach machines at once. Weeks before the measured one are only
-counted, as a leader would have counted them. Boot times and run times are drawn by machine and by task, so
-every policy meets the same ones.
+The cluster state, scheduling passes, scale-out, scale-in and predictive scaling are those that a leader runs.
+Heartbeats, stored records and failures are left out, so placements reach machines at once. Arrivals before the measured
+time are only counted in the demand history, as a leader would have done. Boot times and run times are drawn for each
+machine and task from the seed, so that they are the same under every policy.
 """
 
 import math
@@ -37,12 +37,12 @@
 from roseweir.submissions.jobs import GANG, SERVICE, completed_job
 from roseweir.workers import messages as wire
 
-# Rental decides every second while something is under way, else this often.
+# Scale-out and scale-in are decided at the first interval while tasks wait or machines boot, else at the second.
 BUSY_DECISION_INTERVAL_S, IDLE_DECISION_INTERVAL_S = 1.0, 10.0
 LIMIT_RENEWAL_INTERVAL_S = 1.0
-# Boots, as multiples of the catalog's figure: mostly within these, a few several times as long.
+# Boot times as multiples of the catalog's figure: within the range, and a few of them longer by the slow factor.
 BOOT_FACTOR_RANGE, SLOW_BOOT_FACTOR, SLOW_BOOT_PROBABILITY = (0.6, 1.5), 3.0, 0.03
-# Images come a third faster or slower than the catalog's rate.
+# Image fetch times as multiples of those at the catalog's rate: rates up to a third higher or lower.
 FETCH_FACTOR_RANGE = (0.75, 1.5)
 RUN_TIME_SPREAD = 0.25
 MIN_CHARGED_S = 60.0
@@ -62,13 +62,13 @@
     starts: list[TaskStart] = field(default_factory=list)
     idle_machine_hours: float = 0.0
     machine_hours: float = 0.0
-    prewarmed_machine_hours: float = 0.0  # of them, kept or rented ahead while idle
+    prewarmed_machine_hours: float = 0.0  # part of machine_hours: kept idle for expected demand
     cost: float = 0.0
     unfinished_jobs: int = 0
     refusals: int = 0
-    # (seconds since 1970, units offered, units standing, units held ahead), a row a slot
+    # a row for each slot: (seconds since 1970, units offered, units available, units needed by the forecast)
     timeline: list[tuple[float, float, float, float]] = field(default_factory=list)
-    # machine-hours held ahead by local day
+    # machine-hours kept idle for expected demand, by local day
     prewarmed_hours_by_day: dict[str, float] = field(default_factory=dict)
     longest_wait: float = 0.0
 
@@ -80,7 +80,7 @@
         operator_config: OperatorConfig,
         scaling_settings: PredictiveScalingSettings,
         arrivals: list[Arrival],
-        measure_from: float,
+        measured_from: float,
         seed: int,
         is_predictive: bool,
         progress: Callable[[float], None] = lambda share: None,
@@ -88,7 +88,7 @@
         self.provider = provider
         self.settings = scaling_settings
         self.arrivals = arrivals
-        self.measured_from = measure_from
+        self.measured_from = measured_from
         self.ends_at = arrivals[-1].arrived_at
         self.seed = seed
         self.is_predictive = is_predictive
@@ -117,14 +117,14 @@
         self._prewarmed_counted_at = -math.inf
 
     def _monotonic_at(self, at: float) -> datetime:
-        # The board's clock must begin well after its NEVER.
+        # Instants of the cluster state's clock must lie well after its NEVER.
         return MONOTONIC_ORIGIN + seconds(at - self.measured_from)
 
-    def _schedule(self, at: float, act: Callable[[float], None]) -> None:
+    def _schedule(self, at: float, action: Callable[[float], None]) -> None:
         self._event_count += 1
-        heappush(self._events, (at, self._event_count, act))
+        heappush(self._events, (at, self._event_count, action))
 
-    # -- the course of time -------------------------------------------------------------------
+    # -- main loop ----------------------------------------------------------------------------
 
     def run(self) -> ReplayOutcome:
         history = self.planner.history
@@ -141,15 +141,15 @@
                 history.covered_s[slot % history.slot_count] = history.slot_s
         at = next_decision_at = self.measured_from
         watched_until = self.measured_from
-        # A while longer than the load, so that what was asked for last can end.
-        close = self.ends_at + 6 * 3600
+        # Continues after the last arrival, so that the last jobs can end.
+        latest_end = self.ends_at + 6 * 3600
         while True:
             next_at = min(self._events[0][0] if self._events else math.inf, next_decision_at)
             if index < len(self.arrivals):
                 next_at = min(next_at, self.arrivals[index].arrived_at)
             elif not self.cluster_state.jobs and at > self.ends_at:
                 break
-            if next_at > close:
+            if next_at > latest_end:
                 break
             at = next_at
             history.advance_to(at)
@@ -164,8 +164,8 @@
                 self._run_scheduling_pass(at)
             if at >= next_decision_at:
                 self._scale(at)
-                busy = self.last_pass.unplaced or any(m.is_booting for m in self.cluster_state.machines.values())
-                next_decision_at = at + (BUSY_DECISION_INTERVAL_S if busy else IDLE_DECISION_INTERVAL_S)
+                is_busy = self.last_pass.unplaced or any(m.is_booting for m in self.cluster_state.machines.values())
+                next_decision_at = at + (BUSY_DECISION_INTERVAL_S if is_busy else IDLE_DECISION_INTERVAL_S)
             self._record_timeline(at)
         self._finish_replay(at)
         return self.outcome
@@ -183,17 +183,17 @@
                 machine.last_heartbeat_at = now
         if at - self._limits_renewed_at >= LIMIT_RENEWAL_INTERVAL_S:
             self._limits_renewed_at = at
-            up = [
+            running_machines = [
                 (m.zone, m.machine_type)
                 for m in cluster_state.machines.values()
                 if m.has_acknowledged_term and not m.is_marked_for_release
             ]
-            renew_fetch_limits(cluster_state.limits, up, cluster_state.operator_config, now)
+            renew_fetch_limits(cluster_state.limits, running_machines, cluster_state.operator_config, now)
             renew_class_limits(cluster_state.limits, cluster_state.operator_config, now)
             cluster_state.limits.remove_expired(now)
         cluster_state.needs_scheduling = False
-        waiting = any(run.pending_count > 0 for run in cluster_state.jobs.values())
-        self.last_pass = run_scheduling_pass(cluster_state, now) if waiting else SchedulingPassResult()
+        has_pending_tasks = any(run.pending_count > 0 for run in cluster_state.jobs.values())
+        self.last_pass = run_scheduling_pass(cluster_state, now) if has_pending_tasks else SchedulingPassResult()
         for placement in cluster_state.planned_placements:
             if placement.run.placements.get(placement.index) is placement and placement.phase == PlacementPhase.PLANNED:
                 placement.phase = PlacementPhase.CONFIRMED
@@ -296,8 +296,8 @@
         if name in self._idle_since:
             self._count_idle(name, at)
 
-    def _charge(self, machine: Machine, rented: float, at: float) -> None:
-        hours = max(MIN_CHARGED_S, at - rented) / 3600
+    def _charge(self, machine: Machine, rented_at: float, at: float) -> None:
+        hours = max(MIN_CHARGED_S, at - rented_at) / 3600
         self.outcome.machine_hours += hours
         self.outcome.cost += hours * (
             machine.machine_type.spot_price if machine.is_spot else machine.machine_type.price
@@ -321,35 +321,35 @@
         if spec.image and not (spec.image in machine.image_cache and key in self._image_ready_at):
             rng = np.random.default_rng([self.seed, 3, int(machine.name[2:]), len(machine.image_cache)])
             factor = float(rng.uniform(*FETCH_FACTOR_RANGE))
-            fetch = spec.image_gb / max(machine.machine_type.fetch_gb_per_s, 0.01) * factor
-            times = self.cluster_state.image_fetch_ratios.setdefault(
+            fetch_s = spec.image_gb / max(machine.machine_type.fetch_gb_per_s, 0.01) * factor
+            fetch_ratios = self.cluster_state.image_fetch_ratios.setdefault(
                 machine.machine_type.name, deque(maxlen=MAX_RATIO_SAMPLES)
             )
-            times.append((self._monotonic_at(at + fetch), factor))
-            self._image_ready_at[key] = max(self._image_ready_at.get(key, 0.0), at + fetch)
+            fetch_ratios.append((self._monotonic_at(at + fetch_s), factor))
+            self._image_ready_at[key] = max(self._image_ready_at.get(key, 0.0), at + fetch_s)
             machine.record_image_use(spec.image, spec.image_gb)
-        begins = max(at, self._image_ready_at.get(key, at))
+        starts_at = max(at, self._image_ready_at.get(key, at))
         if spec.job_type == GANG:
-            mates = placement.run.placements.values()
-            begins = max(begins, *(self._image_ready_at.get((m.machine.name, spec.image), at) for m in mates))
+            members = placement.run.placements.values()
+            starts_at = max(starts_at, *(self._image_ready_at.get((m.machine.name, spec.image), at) for m in members))
         placement.state = wire.RUNNING
-        placement.running_since = self._monotonic_at(begins)
+        placement.running_since = self._monotonic_at(starts_at)
         started_indices = self._started_indices.setdefault(spec.id, set())
         if placement.index not in started_indices:
             started_indices.add(placement.index)
-            submitted = spec.accepted_ms / 1000
-            self.outcome.starts.append(TaskStart(spec.job_class, submitted, begins - submitted))
+            submitted_at = spec.accepted_ms / 1000
+            self.outcome.starts.append(TaskStart(spec.job_class, submitted_at, starts_at - submitted_at))
         remaining_s = self._remaining_s.get((spec.id, placement.index))
-        ends = begins + (self._run_time(placement) if remaining_s is None else remaining_s)
+        ends_at = starts_at + (self._run_time(placement) if remaining_s is None else remaining_s)
         if spec.job_type != SERVICE:
-            self._schedule(ends, lambda then: self._complete_task(placement, then))
+            self._schedule(ends_at, lambda ended_at: self._complete_task(placement, ended_at))
 
     def _run_time(self, placement: Placement) -> float:
         spec = placement.run.spec
         factors = self._run_time_factors.get(spec.id)
         if factors is None:
             rng = np.random.default_rng([self.seed, 2, self._arrival_index[spec.id]])
-            # A gang runs as fast as its slowest.
+            # One run time is drawn for a gang, that of its slowest task.
             size = 1 if spec.job_type == GANG else spec.task_count
             factors = self._run_time_factors[spec.id] = rng.lognormal(0.0, RUN_TIME_SPREAD, size)
             if len(self._run_time_factors) > 2000:
@@ -366,9 +366,9 @@
         self._mark_idle_if_empty(machine, at)
         run.uncommitted_completions.clear()
         if run.spec.job_type == GANG:
-            for mate in list(run.placements.values()):
-                self.cluster_state.remove_placement(mate, now)
-                self._mark_idle_if_empty(mate.machine, at)
+            for member in list(run.placements.values()):
+                self.cluster_state.remove_placement(member, now)
+                self._mark_idle_if_empty(member.machine, at)
         if run.is_complete and not run.final_state:
             self.cluster_state.end_job(run.spec.id, completed_job(run.spec, "done"), now)
             self._started_indices.pop(run.spec.id, None)
@@ -379,19 +379,19 @@
             self._idle_since[machine.name] = at
 
     def _stop_task(self, placement: Placement, at: float) -> None:
-        """A task that makes way saves, if it can, and goes."""
+        """Stop a preempted task after its checkpoint, if it has checkpoints."""
         spec = placement.run.spec
         key = (spec.id, placement.index, placement.attempt)
         if key in self._stopping:
             return
         self._stopping.add(key)
         if spec.checkpoint_interval_s > 0 and placement.running_since is not None:
-            ran = (self._monotonic_at(at) - placement.running_since).total_seconds()
-            before = self._remaining_s.get((spec.id, placement.index)) or self._run_time(placement)
-            self._remaining_s[spec.id, placement.index] = max(1.0, before - max(0.0, ran))
+            ran_s = (self._monotonic_at(at) - placement.running_since).total_seconds()
+            remaining_before_s = self._remaining_s.get((spec.id, placement.index)) or self._run_time(placement)
+            self._remaining_s[spec.id, placement.index] = max(1.0, remaining_before_s - max(0.0, ran_s))
         self._schedule(
             at + (spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else 0.0),
-            lambda then: self._remove_stopped_task(placement, then),
+            lambda ended_at: self._remove_stopped_task(placement, ended_at),
         )
 
     def _remove_stopped_task(self, placement: Placement, at: float) -> None:
@@ -400,7 +400,7 @@
             self.cluster_state.remove_placement(placement, self._monotonic_at(at))
             self._mark_idle_if_empty(placement.machine, at)
 
-    # -- what is drawn ------------------------------------------------------------------------
+    # -- timeline -----------------------------------------------------------------------------
 
     def _record_timeline(self, at: float) -> None:
         slot = self.planner.history.slot_of(at)
@@ -408,23 +408,27 @@
             return
         self._recorded_slot = slot
         history = self.planner.history
-        offered = sum(peak for key, _, peak, _ in history.loads(slot - 1) if not key.pool.gpus)
-        there = sum(m.machine_type.cpus for m in self.cluster_state.machines.values() if m.machine_type.gpus <= 0)
-        held = sum(need.units for need in self.planner.needs if not need.pool.gpus) if self.is_predictive else 0.0
-        self.outcome.timeline.append(((slot - 1) * float(history.slot_s), offered, there, held))
+        offered_units = sum(peak for key, _, peak, _ in history.loads(slot - 1) if not key.pool.gpus)
+        available_units = sum(
+            m.machine_type.cpus for m in self.cluster_state.machines.values() if m.machine_type.gpus <= 0
+        )
+        needed_units = (
+            sum(need.units for need in self.planner.needs if not need.pool.gpus) if self.is_predictive else 0.0
+        )
+        self.outcome.timeline.append(((slot - 1) * float(history.slot_s), offered_units, available_units, needed_units))
         if self.ends_at > self.measured_from:
             self.progress(min(1.0, (at - self.measured_from) / (self.ends_at - self.measured_from)))
 
 
 def actual_peaks(replay: Replay) -> dict[int, dict[Pool, float]]:
-    """What each pool will have been asked for in each slot of the measured time: a forecast that knows the future."""
+    """The actual demand of each pool in each measured slot, as a perfect forecast would give it."""
     planner = ScalingPlanner(replay.settings, replay.cluster_state)
-    found: dict[int, dict[Pool, float]] = {}
+    demand_by_slot: dict[int, dict[Pool, float]] = {}
     for arrival in replay.arrivals:
         run = JobRun(arrival.spec, 0, bytearray())
         planner.history.record_accepted_job(planner.demand_of(run, arrival.arrived_at))
     planner.history.advance_to(replay.ends_at)
     for slot in range(planner.history.slot_of(replay.measured_from), planner.history.slot_of(replay.ends_at) + 1):
         if planner.history.has_slot(slot):
-            found[slot] = planner.forecaster.past_demand(slot)
-    return found
+            demand_by_slot[slot] = planner.forecaster.past_demand(slot)
+    return demand_by_slot
--- a/roseweir/forecast/tools/simulated_provider.py
+++ b/roseweir/forecast/tools/simulated_provider.py
@@ -1,4 +1,4 @@
-"""The stand-in provider that load is replayed against: machine types, how many there are, teams."""
+"""The simulated provider of a replay: machine types, the number of machines of each, and teams."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -21,17 +21,17 @@
 class SimulatedProvider(msgspec.Struct):
     settings: Settings
     catalog: dict[str, MachineType]
-    machines_per_offer: int  # machines of each type, zone and kind
+    machines_per_offer: int  # limit of machines for each type, zone and spot or on-demand
 
 
 def load_provider(config: Path | None, catalog: Path | None, capacity: int, teams: Iterable[str]) -> SimulatedProvider:
-    """From the platform's settings and a catalog as the cloud answers it, or small ones made up here.
+    """Load the platform's settings and a catalog as answered by the cloud; small defaults replace a missing file.
 
-    With made-up settings every team of the load has a guarantee, but one called `guests`.
+    With default settings each team of the load has a guarantee, except a team called `guests`.
     """
     machine_types = DEFAULT_CATALOG if catalog is None else _read_catalog(catalog)
     settings = _default_settings(machine_types, teams) if config is None else load_settings(config)
-    return SimulatedProvider(settings, {kind.name: kind for kind in machine_types}, capacity)
+    return SimulatedProvider(settings, {machine_type.name: machine_type for machine_type in machine_types}, capacity)
 
 
 def _read_catalog(path: Path) -> list[MachineType]:
