--- a/benchmarks/forecast.py
+++ b/benchmarks/forecast.py
@@ -1,6 +1,8 @@
-"""What renting ahead costs a leader: `python3 -m benchmarks.forecast --machines 723 --series 48 [--json]`.
+"""Measures the cost of predictive scaling on a leader.
 
-A board with so many machines and a history of full weeks; no network. Times are processor seconds.
+    python3 -m benchmarks.forecast --machines 723 --series 48 [--json]
+
+The cluster state has the given machines and the demand history full weeks; there is no network. Times are CPU times.
 """
 
 import argparse
@@ -24,11 +26,11 @@
 BEGIN_S = 1_780_272_000.0  # a Monday, UTC
 
 
-def seconds_per_call(action: Callable[[int], object], times: int) -> float:
-    began = time.process_time()
-    for number in range(times):
+def seconds_per_call(action: Callable[[int], object], call_count: int) -> float:
+    started_at = time.process_time()
+    for number in range(call_count):
         action(number)
-    return (time.process_time() - began) / times
+    return (time.process_time() - started_at) / call_count
 
 
 def peak_mb() -> float:
@@ -53,15 +55,15 @@
     planner = ScalingPlanner(
         PredictiveScalingSettings(series_most=series, weeks=weeks), make_cluster_state(machines, now)
     )
-    before = peak_mb()
+    peak_before_mb = peak_mb()
     history = planner.history
     pools = [
         Pool(gpus, None, zone, spot) for gpus in (False, True) for zone in (None, "a", "b") for spot in (True, False)
     ]
     at, number = BEGIN_S, 0
-    counts: list[float] = []
+    count_times_s: list[float] = []
     while at < BEGIN_S + weeks * 7 * 86400:
-        begun = time.process_time()
+        started_at = time.process_time()
         for row in range(series):
             pool = pools[row % len(pools)]
             shape = TaskShape(2.0, 1.0 if pool.gpus else 0.0, 8.0, 4.0)
@@ -69,17 +71,17 @@
             history.record_accepted_job(Demand(f"j-{number}", key, shape, at, 1500.0, 20.0, 30000.0, 10))
             number += 1
         history.mark_watched(at - 1800, at)
-        counts.append((time.process_time() - begun) / series)
+        count_times_s.append((time.process_time() - started_at) / series)
         at += 1800
         for block in history.open_blocks.values():
             block.is_dirty = False
     history.advance_to(at)
-    memory = peak_mb() - before
+    history_mb = peak_mb() - peak_before_mb
     block = max(history.open_blocks.values(), key=lambda b: len(b.cells_by_series))
     return {
         "machines": machines,
         "series": len(history.series),
-        "count_us": round(sum(counts) / len(counts) * 1e6, 1),
+        "count_us": round(sum(count_times_s) / len(count_times_s) * 1e6, 1),
         "first_needs_ms": round(seconds_per_call(lambda n: planner.forecaster.needs(at, {}), 1) * 1e3, 2),
         "needs_ms": round(seconds_per_call(lambda n: planner.forecaster.needs(at + n, {}), 20) * 1e3, 2),
         "decide_ms": round(
@@ -87,7 +89,7 @@
         ),
         "encode_ms": round(seconds_per_call(lambda n: history.encode(block, 8192), 20) * 1e3, 2),
         "value_bytes": len(orjson.dumps(history.encode(block, 8192))),
-        "history_mb": round(memory, 1),
+        "history_mb": round(history_mb, 1),
     }
 
 
@@ -98,11 +100,11 @@
     parser.add_argument("--weeks", type=int, default=8)
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
-    found = measure(args.machines, args.series, args.weeks)
+    figures = measure(args.machines, args.series, args.weeks)
     if args.json:
-        print(json.dumps(found))
+        print(json.dumps(figures))
     else:
-        for name, value in found.items():
+        for name, value in figures.items():
             print(f"{name:16} {value}")
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks import traffic
-from benchmarks.traffic import Message, first_difference, make_world, play
+from benchmarks.traffic import Message, first_difference, make_cluster, run_day
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.leader_election import election
 from roseweir.settings import Peer
@@ -22,24 +22,24 @@
 @pytest.fixture(scope="module")
 def messages() -> list[Message]:
     """Those of one play of the present tree."""
-    found = play(SEED, PRESENT, LENGTH_S, JOBS)
+    found = run_day(SEED, PRESENT, LENGTH_S, JOBS)
     assert not found.errors
     return found.messages
 
 
 def test_two_plays_of_the_present_tree_are_equal(messages: list[Message]) -> None:
-    assert first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages) is None
+    assert first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages) is None
     # All that the comparison is about is among them.
     for kind in ("sends POST /txn to 10.2.0.1:1", "sends GET /machines", "is asked POST /hello at its public"):
-        assert any(kind in f"{message.kind} {message.what}" for message in messages), kind
-    assert any(":9000" in message.what for message in messages)
-    assert any("at its back address" in message.what for message in messages)
+        assert any(kind in f"{message.event} {message.summary}" for message in messages), kind
+    assert any(":9000" in message.summary for message in messages)
+    assert any("at its back address" in message.summary for message in messages)
     assert len({message.controller for message in messages}) == 3
 
 
 def test_a_retry_one_millisecond_later_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(election, "RETRY_INTERVAL", election.RETRY_INTERVAL + timedelta(milliseconds=1))
-    difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
+    difference = first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages)
     assert difference is not None and "base: " in difference and "present: " in difference
 
 
@@ -54,7 +54,7 @@
         return await plain(self, key, *more, **options)
 
     monkeypatch.setattr(KeyValueStoreClient, "get", get)
-    difference = first_difference(messages, play(SEED, PRESENT, LENGTH_S, JOBS).messages)
+    difference = first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages)
     assert len(calls) > 10
     assert difference is not None and "/store/" in difference
 
@@ -65,8 +65,8 @@
         replace(message, instant=1.001),
         replace(message, controller="n1"),
         replace(message, exchange=2),
-        replace(message, kind="gets"),
-        replace(message, what="GET /store/b"),
+        replace(message, event="gets"),
+        replace(message, summary="GET /store/b"),
         replace(message, body=b"2"),
     ]
     assert first_difference([message], [message]) is None
@@ -76,13 +76,13 @@
 
 
 def test_a_version_of_the_history_plays_as_recorded() -> None:
-    found = play(1, production(), 10.0, 3)
+    found = run_day(1, production(), 10.0, 3)
     assert not found.errors and found.messages
-    assert first_difference(found.messages, play(1, production(), 10.0, 3).messages) is None
+    assert first_difference(found.messages, run_day(1, production(), 10.0, 3).messages) is None
 
 
 def test_the_seed_alone_makes_the_world() -> None:
-    one, other = make_world(SEED, PRESENT), make_world(SEED, production())
+    one, other = make_cluster(SEED, PRESENT), make_cluster(SEED, production())
     assert (type(one), one.controller_count, one.max_clock_skew_s) == (
         type(other),
         other.controller_count,
