--- a/benchmarks/forecast.py
+++ b/benchmarks/forecast.py
@@ -94,7 +94,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="What renting ahead costs a leader.")
+    parser = argparse.ArgumentParser(description="Measures the cost of predictive scaling on a leader.")
     parser.add_argument("--machines", type=int, default=723)
     parser.add_argument("--series", type=int, default=48)
     parser.add_argument("--weeks", type=int, default=8)
--- a/roseweir/forecast/demand_history.py
+++ b/roseweir/forecast/demand_history.py
@@ -103,7 +103,7 @@
     """An hour as stored in the key-value store: [unit-seconds accepted, tasks, peak, area] by series and slot."""
 
     number: int
-    covered: list[float]
+    watched_s: list[float]
     cells_by_series: dict[SeriesKey, dict[int, list[float]]] = field(default_factory=dict)
     revision: int = 0
     is_dirty: bool = True
@@ -126,11 +126,11 @@
     slots: dict[str, tuple[NonNegativeFloat, NonNegativeFloat, NonNegativeFloat, NonNegativeFloat]]
 
 
-class StoredBlock(msgspec.Struct, rename={"start_s": "start", "counted_revision": "mark", "covered_s": "covered"}):
+class StoredBlock(msgspec.Struct, rename={"start_s": "start", "counted_revision": "mark", "watched_s": "covered"}):
     slot_s: int
     start_s: int
     counted_revision: Annotated[int, Meta(ge=0)]
-    covered_s: list[NonNegativeFloat]
+    watched_s: list[NonNegativeFloat]
     pools: list[tuple[bool, list[BoundedName] | None, BoundedName | None, bool]]
     series: list[StoredSeries]
     boots: dict[BoundedName, list[Ratio]] = {}
@@ -150,7 +150,7 @@
         self.series_most = series_most
         self.days = weeks * 7 + 1
         self.slot_count = self.days * 86400 // slot_s
-        self.covered_s = array("d", bytes(8 * self.slot_count))
+        self.watched_s = array("d", bytes(8 * self.slot_count))
         self.series: dict[SeriesKey, Series] = {}
         self.open_blocks: dict[int, Block] = {}
         # Revision of the key-value store up to which every accepted job has been counted, by this or an earlier leader.
@@ -213,7 +213,7 @@
             return
         for number in range(max(self.newest_slot + 1, slot - self.slot_count + 1), slot + 1):
             ring_index = number % self.slot_count
-            self.covered_s[ring_index] = 0.0
+            self.watched_s[ring_index] = 0.0
             for series in self.series.values():
                 series.peaks[ring_index] = series.areas[ring_index] = 0.0
         if slot * self.slot_s // 86400 != self.newest_slot * self.slot_s // 86400:
@@ -243,17 +243,17 @@
         """Record that every job accepted between the two instants has been counted."""
         slot = self.slot_of(begin_s)
         while begin_s < end_s:
-            covered_until = min(end_s, (slot + 1) * self.slot_s)
+            watched_until = min(end_s, (slot + 1) * self.slot_s)
             block = self._get_or_create_block(slot)
             if block is not None:
                 offset = slot - block.number * BLOCK_DURATION_S // self.slot_s
-                block.covered[offset] = min(float(self.slot_s), block.covered[offset] + covered_until - begin_s)
-                self.covered_s[slot % self.slot_count] = block.covered[offset]
+                block.watched_s[offset] = min(float(self.slot_s), block.watched_s[offset] + watched_until - begin_s)
+                self.watched_s[slot % self.slot_count] = block.watched_s[offset]
                 block.is_dirty = True
-            begin_s, slot = covered_until, slot + 1
+            begin_s, slot = watched_until, slot + 1
 
     def is_watched(self, slot: int, min_share: float) -> bool:
-        return self.has_slot(slot) and self.covered_s[slot % self.slot_count] >= min_share * self.slot_s
+        return self.has_slot(slot) and self.watched_s[slot % self.slot_count] >= min_share * self.slot_s
 
     # -- counting -----------------------------------------------------------------------------
 
@@ -432,7 +432,7 @@
             "slot_s": self.slot_s,
             "start": block.number * BLOCK_DURATION_S,
             "mark": self.counted_revision,
-            "covered": [round(x) for x in block.covered],
+            "covered": [round(x) for x in block.watched_s],
             "pools": [[p.gpus, None if p.types is None else list(p.types), p.zone, p.spot] for p in pools],
             "series": rows,
             "boots": {name: [_round_to_four_digits(x) for x in ratios] for name, ratios in self.boot_ratios.items()},
@@ -453,7 +453,7 @@
             raise InvalidStoredBlock(f"the slot length is {stored.slot_s} s")
         if (
             stored.start_s % BLOCK_DURATION_S
-            or len(stored.covered_s) != slots_per_block
+            or len(stored.watched_s) != slots_per_block
             or key_of_block(stored.start_s // BLOCK_DURATION_S) != key
         ):
             raise InvalidStoredBlock("the start or the number of slots does not match the key")
@@ -476,10 +476,10 @@
         self._clear_up_to(
             max(self.newest_slot, min(first_slot + slots_per_block - 1, self.slot_of(now) + slots_per_block))
         )
-        block = Block(number, [min(float(self.slot_s), c) for c in stored.covered_s], {}, revision, is_dirty=False)
-        for offset, covered_s in enumerate(block.covered):
+        block = Block(number, [min(float(self.slot_s), c) for c in stored.watched_s], {}, revision, is_dirty=False)
+        for offset, watched_s in enumerate(block.watched_s):
             if self.has_slot(first_slot + offset):
-                self.covered_s[(first_slot + offset) % self.slot_count] = covered_s
+                self.watched_s[(first_slot + offset) % self.slot_count] = watched_s
         for stored_key, shape, slots in rows:
             is_full = stored_key not in self.series and len(self.series) >= self.series_most + MAX_TEAM_WIDE_SERIES
             chosen = self._coarse_key(stored_key) if is_full else stored_key
--- a/roseweir/forecast/predictive_scaler.py
+++ b/roseweir/forecast/predictive_scaler.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-ROLL_INTERVAL = timedelta(seconds=1)
+HISTORY_ADVANCE_INTERVAL = timedelta(seconds=1)
 # The current hour's block is written this often, and twice after the hour has ended: at most 57 writes an hour. When
 # the leader changes, what is lost of a slot's watched time leaves enough for the slot to be used.
 SAVE_INTERVAL = timedelta(seconds=65)
@@ -75,7 +75,7 @@
         log.exception("predictive scaling stopped for this term after an error")
 
     def record_accepted_job(self, run: JobRun, revision: int) -> None:
-        """Count an accepted job. `revision`: of the key-value store, made by the write that accepted the job."""
+        """Count an accepted job. `revision`: the key-value store's revision of the write that accepted the job."""
         self._run_guarded(lambda: self._record_accepted_job(run, revision), None)
 
     def record_ended_job(self, job_id: str) -> None:
@@ -143,7 +143,7 @@
         self._apply_pending_changes()
         saved_at = logged_at = monotonic_now()
         while not self.failure:
-            await sleep(ROLL_INTERVAL)
+            await sleep(HISTORY_ADVANCE_INTERVAL)
             self.history.advance_to(_wall_s())
             now = monotonic_now()
             if now - saved_at >= SAVE_INTERVAL:
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -17,7 +17,7 @@
 from roseweir.scheduler.quota import max_concurrent_tasks
 from roseweir.submissions.jobs import SERVICE, JobSpec
 
-# Needs change only with the slots, which are much longer; computing them more often has no effect.
+# Needs change with the slots, which are much longer than this; computing them more often only costs CPU time.
 FORECAST_INTERVAL_S = 10.0
 # Each recent refusal by the cloud lengthens the lead time of requests by this much, up to the maximum.
 EXTRA_LEAD_PER_REFUSAL_S, REFUSAL_MEMORY_S, MAX_EXTRA_LEAD_S = 12.0, 600.0, 120.0
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -138,7 +138,7 @@
         first_arrival_at = self.arrivals[0].arrived_at
         for slot in range(history.slot_of(first_arrival_at), history.slot_of(self.measured_from)):
             if history.has_slot(slot):
-                history.covered_s[slot % history.slot_count] = history.slot_s
+                history.watched_s[slot % history.slot_count] = history.slot_s
         at = next_decision_at = self.measured_from
         watched_until = self.measured_from
         # Continues after the last arrival, so that the last jobs can end.
