--- a/tests/simulation/demand_weeks.py
+++ b/tests/simulation/demand_weeks.py
@@ -8,7 +8,7 @@
 from roseweir.forecast.demand_history import Demand, Pool, SeriesKey, TaskShape
 from roseweir.forecast.scaling_planner import ScalingPlanner
 from roseweir.forecast.settings import PredictiveScalingSettings
-from tests.test_scheduler import new_board
+from tests.test_scheduler import make_cluster_state
 
 CPU_POOL = Pool(False, None, None, True)
 TORONTO = "America/Toronto"
@@ -29,7 +29,7 @@
         calendar = calendar or Calendar()
         calendar.time_zone = zone
         self.settings = PredictiveScalingSettings(calendar=calendar, **settings)  # type: ignore[arg-type]
-        self.cluster_state = new_board()
+        self.cluster_state = make_cluster_state()
         self.planner = ScalingPlanner(self.settings, self.cluster_state)
         self.history, self.forecast = self.planner.history, self.planner.forecast
         self.zone = ZoneInfo(zone)
--- a/tests/test_capacity_snapshot.py
+++ b/tests/test_capacity_snapshot.py
@@ -17,7 +17,7 @@
 from roseweir.scheduler.model import JobRun, Machine
 from roseweir.submissions.jobs import ARRAY, GANG, JobSpec
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board, record
+from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
 
 
 def scan(
@@ -114,11 +114,11 @@
 def play(seed: int) -> list[list[tuple[str, int, str, int]]]:
     """What each pass of a drawn stretch of work placed: job, task, machine, attempt."""
     draw = random.Random(seed)
-    cluster_state, now = new_board(), NOW
+    cluster_state, now = make_cluster_state(), NOW
     hands = []
     for n in range(14):
-        hands.append(Hand(cluster_state, f"i-{n:03d}", draw.choice(["cpu", "gpu"]), draw.choice("ab")))
-        hands[-1].report(now)
+        hands.append(FakeWorker(cluster_state, f"i-{n:03d}", draw.choice(["cpu", "gpu"]), draw.choice("ab")))
+        hands[-1].send_heartbeat(now)
         hands[-1].machine.is_spot = draw.random() < 0.4
     told: list[list[tuple[str, int, str, int]]] = []
     for number in range(40):
@@ -138,13 +138,13 @@
             sorted((p.run.spec.id, p.index, p.machine.name, p.attempt) for p in cluster_state.planned_placements)
         )
         cluster_state.planned_placements.clear()
-        record(cluster_state)
+        commit_placements(cluster_state)
         for hand in hands:
             if draw.random() < 0.8:
-                hand.report(now)
+                hand.send_heartbeat(now)
             for key, task in list(hand.tasks.items()):
                 if task.state == "running" and draw.random() < 0.15:
-                    hand.ends(key[0], draw.choice(["done", "done", "error", "halted"]))
+                    hand.end_task(key[0], draw.choice(["done", "done", "error", "halted"]))
         recount(cluster_state)
     return told
 
@@ -171,11 +171,11 @@
 
 def test_a_job_that_finds_no_room_spares_larger_ones_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a full fleet each of hundreds of waiting jobs looked at the machines again."""
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n}") for n in range(20)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n}") for n in range(20)]
     for hand in hands:
-        hand.report(NOW)
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
+        hand.send_heartbeat(NOW)
     cluster_state.add_job(job(1, task_count=20 * 8 - 10, accepted_ms=1), 1)
     planning.run_scheduling_pass(cluster_state, NOW)
     for number in range(100):
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -36,7 +36,7 @@
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster, workflow_config
-from tests.test_scheduler import NOW, new_board
+from tests.test_scheduler import NOW, make_cluster_state
 from tests.test_simulated_days import check
 from tests.test_workflows import watched
 
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_hurry_moves_nobody_elses_place_and_what_cannot_be_kept_pushes_nobody(seed: int) -> None:
     draw = random.Random(seed)
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     for n in range(1, 60):
         cluster_state.add_job(job(n, team=draw.choice(["t0", "t1"]), priority=draw.randint(1, 3), accepted_ms=n), n)
     plain = build_queue(cluster_state, NOW)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -38,7 +38,7 @@
 from tests.simulation.job_dependencies import DependencyCluster
 from tests.simulation.job_specs import make_job_spec
 from tests.simulation.workflows import WorkflowCluster
-from tests.test_scheduler import NOW, new_board
+from tests.test_scheduler import NOW, make_cluster_state
 from tests.test_simulated_days import check
 
 Patch = pytest.MonkeyPatch
@@ -373,7 +373,7 @@
 
 
 def test_a_job_that_waits_counts_for_nothing_and_its_times_count_from_its_release() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     first, last = cluster_state.add_job(make_job_spec(1, priority=3, accepted_ms=5_000), 1), None
     last = cluster_state.add_job(
         make_job_spec(
@@ -394,7 +394,7 @@
 
 
 def test_a_job_has_the_rank_of_what_needs_it_as_preemptor_and_as_victim() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     low, normal = (
         cluster_state.add_job(make_job_spec(1, priority=3), 1),
         cluster_state.add_job(make_job_spec(2, priority=2), 2),
@@ -409,7 +409,7 @@
 
 
 def test_stages_behind_which_time_runs_out_come_first_and_what_is_lost_makes_way() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     names = {1: [], 2: [1], 3: [2], 4: [], 5: [4]}
     due = {3: 200.0, 5: 4000.0}
     graph = DependencyGraph()
@@ -481,7 +481,7 @@
 
 
 def test_the_call_that_confirms_the_last_end_releases_the_job() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, recorder, _ = new_reconciler(cluster_state)
     first, second = cluster_state.add_job(make_job_spec(1), 1), cluster_state.add_job(make_job_spec(2), 2)
     last = waiting(cluster_state, 3, 1, 2)
@@ -504,7 +504,7 @@
 
 
 def test_an_end_that_is_not_there_yet_keeps_a_job_held_and_is_asked_for_again() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, _, store = new_reconciler(cluster_state)
     late, lost, bad = waiting(cluster_state, 3, 1), waiting(cluster_state, 4, 2), waiting(cluster_state, 5, 9)
     for run in (late, lost, bad):
@@ -527,7 +527,7 @@
 
 
 def test_a_new_leader_goes_on_with_what_was_released_and_holds_the_rest() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, recorder, store = new_reconciler(cluster_state)
     placed, begun, held, unreadable = (waiting(cluster_state, n, 1, task_count=3) for n in (3, 4, 5, 6))
     machine = cluster_state.restore_machine("i-1", next(iter(cluster_state.catalog.values())), "a", True, NOW)
@@ -550,7 +550,7 @@
 
 
 def test_a_new_leader_learns_of_many_ends_by_one_request() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, _, store = new_reconciler(cluster_state)
     runs = [waiting(cluster_state, n, n - 100) for n in range(101, 150)]
     store.keys |= {f"over/j-{n:06d}": over("done") for n in range(1, 45)}
@@ -560,7 +560,7 @@
 
 
 def test_the_names_that_cannot_be_read_hold_up_their_own_job_alone() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, _, store = new_reconciler(cluster_state)
     parts = split_dependencies("j-000004", ["j-000001", "j-000002"])
     unreadable = cluster_state.add_job(make_job_spec(3, depends_on=StoredDependencies(part_count=1, digest="d")), 3)
@@ -578,7 +578,7 @@
 
 def test_the_sweep_obeys_a_limit_that_falls_unannounced() -> None:
     """The settings' 24 changes a transaction were asked for again and again, and no end was ever written."""
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     reconciler, _, _ = new_reconciler(cluster_state)
     sizes: list[int] = []
 
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -45,7 +45,7 @@
 from roseweir.sexp import SettingsError
 from roseweir.submissions.jobs import GANG, SERVICE
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board, record
+from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
 
 WALL = datetime(2026, 3, 4, 12, tzinfo=UTC)
 MS = round(WALL.timestamp() * 1000)
@@ -201,7 +201,7 @@
 
 def test_bounds_for_a_minute_and_an_hour_outlive_a_take_over() -> None:
     settings = DrainSettings(budgets=[DisruptionBudget(tasks=50, per_minute=3, per_hour=5)])
-    account, cluster_state = DisruptionAccount(settings), new_board()
+    account, cluster_state = DisruptionAccount(settings), make_cluster_state()
     run = running(cluster_state, 40)
     account.usage_of(run).tasks_running = 40
 
@@ -224,9 +224,9 @@
 
 
 def test_after_a_take_over_what_may_be_down_counts_until_it_is_seen_to_run() -> None:
-    cluster_state = new_board()
-    hand = Hand(cluster_state, "i-1")
-    hand.report(NOW)
+    cluster_state = make_cluster_state()
+    hand = FakeWorker(cluster_state, "i-1")
+    hand.send_heartbeat(NOW)
     run = cluster_state.add_job(job(1, task_count=8), 1)
     for index in (0, 1, 5):
         cluster_state.restore_placement(run, index, hand.machine, 7, NOW)
@@ -238,7 +238,7 @@
     cluster_state.lifecycle_listener = DrainLifecycleObserver(cluster_state, account, MachineHealth())
     for index in (0, 1, 5):
         hand.tasks[f"j-000001/{index}", 7] = task_report(f"j-000001/{index}", 7)
-    hand.report(NOW)
+    hand.send_heartbeat(NOW)
     assert sorted(account.down_tasks[run.spec.id]) == [3, 4, 6]
 
 
@@ -249,16 +249,16 @@
 
 
 def test_services_lose_one_replica_at_a_time_and_never_more_than_their_least() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n}") for n in range(3)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n}") for n in range(3)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     run = cluster_state.add_job(job(1, task_count=3, job_type=SERVICE), 1)
     run_scheduling_pass(cluster_state, NOW)
-    record(cluster_state)
+    commit_placements(cluster_state)
     for _ in range(2):
         for hand in hands:
-            hand.report(NOW)
+            hand.send_heartbeat(NOW)
     account = DisruptionAccount(DrainSettings(budgets=[DisruptionBudget(tasks=9, replicas_least=2)]))
     account.count_running([run])
     assert account.reserve_disruption(run, [0], NOW) == ""
@@ -272,7 +272,7 @@
 
 
 def drained(
-    cluster_state: ClusterState, hands: list[Hand], settings: DrainSettings | None = None
+    cluster_state: ClusterState, hands: list[FakeWorker], settings: DrainSettings | None = None
 ) -> EvictionStateMachine:
     """A drain of the first machine, begun with."""
     settings = settings or DrainSettings(hole=1.0)
@@ -287,10 +287,10 @@
     return steps
 
 
-def heard(hands: list[Hand], now: datetime) -> None:
+def heard(hands: list[FakeWorker], now: datetime) -> None:
     for hand in hands:
-        hand.report(now)
-        hand.report(now)
+        hand.send_heartbeat(now)
+        hand.send_heartbeat(now)
 
 
 def decide(steps: EvictionStateMachine, now: datetime) -> Decision:
@@ -299,17 +299,17 @@
     return decision
 
 
-def placed(cluster_state: ClusterState, hands: list[Hand], run: JobRun) -> None:
+def placed(cluster_state: ClusterState, hands: list[FakeWorker], run: JobRun) -> None:
     run_scheduling_pass(cluster_state, NOW)
-    record(cluster_state)
+    commit_placements(cluster_state)
     heard(hands, NOW)
     heard(hands, NOW)
     assert all(p.state == "running" for p in run.placements.values()) and run.placements
 
 
 def test_a_gang_is_stopped_as_a_whole_just_after_a_checkpoint_and_with_room_elsewhere() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n}", "gpu") for n in range(4)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n}", "gpu") for n in range(4)]
     heard(hands, NOW)
     run = cluster_state.add_job(
         job(
@@ -340,8 +340,8 @@
 
 
 def test_what_is_soon_over_is_waited_for_and_what_cannot_save_until_the_grace_is_over() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, "i-0"), Hand(cluster_state, "i-1")]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, "i-0"), FakeWorker(cluster_state, "i-1")]
     heard(hands, NOW)
     soon = cluster_state.add_job(
         job(1, task_count=2, estimated_duration_s=30.0, checkpoint_interval_s=5.0, checkpoint_duration_s=1.0), 1
@@ -363,8 +363,8 @@
 
 
 def test_an_empty_machine_leaves_once_what_it_told_is_recorded_and_an_overlapping_drain_takes_over() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, "i-0"), Hand(cluster_state, "i-1")]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, "i-0"), FakeWorker(cluster_state, "i-1")]
     heard(hands, NOW)
     steps = drained(cluster_state, hands)
     other = Drain(DrainRequest("y", zones=["a"], replace=False), MS + 1, MS + 10_000_000, 300.0, "i-9")
@@ -382,8 +382,8 @@
 
 def test_a_machine_that_waits_for_long_tasks_before_it_goes_back_is_emptied_too() -> None:
     """It counted as leaving already, and a drain of all waited for it for ever."""
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, "i-0"), Hand(cluster_state, "i-1")]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, "i-0"), FakeWorker(cluster_state, "i-1")]
     heard(hands, NOW)
     run = cluster_state.add_job(
         job(1, task_count=9, estimated_duration_s=9000.0, checkpoint_interval_s=5.0, checkpoint_duration_s=1.0), 1
@@ -399,8 +399,8 @@
 
 
 def test_more_forced_machines_than_the_record_has_room_for_go_in_turns() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n}") for n in range(6)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n}") for n in range(6)]
     heard(hands, NOW)
     steps = drained(cluster_state, hands)
     steps.max_cordons = 2
@@ -417,8 +417,8 @@
 
 
 def test_replacements_come_first_while_they_can_be_had_and_the_hole_is_bounded_where_they_cannot() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n:02d}") for n in range(20)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n:02d}") for n in range(20)]
     heard(hands, NOW)
     pool = SurgePool(cluster_state, 0.1, NOW)
     machines = list(cluster_state.machines.values())
@@ -436,9 +436,9 @@
     pool.record_departure(cordons.pop(), NOW)
     assert pool.cordon_capacity("cpu", False, True, cordons, NOW) == 0, "gone is not replaced"
     # One that was rented since is in place once it has reported and holds an image.
-    new = Hand(cluster_state, "i-99")
-    new.report(NOW + seconds(5))
-    new.report(NOW + seconds(6))
+    new = FakeWorker(cluster_state, "i-99")
+    new.send_heartbeat(NOW + seconds(5))
+    new.send_heartbeat(NOW + seconds(6))
     new.machine.scaled_out_at = NOW + seconds(1)
     pool.update([False], refused, NOW + seconds(7))
     assert pool.cordon_capacity("cpu", False, True, cordons, NOW) == 0
@@ -454,9 +454,9 @@
 # -- reasons of its own -----------------------------------------------------------------------
 
 
-def old_board(count: int) -> tuple[ClusterState, list[Hand]]:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n:03d}") for n in range(count)]
+def old_board(count: int) -> tuple[ClusterState, list[FakeWorker]]:
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}") for n in range(count)]
     heard(hands, NOW)
     for hand in hands:
         hand.machine.scaled_out_at = NOW - seconds(100)
@@ -488,7 +488,7 @@
     evidence = MachineHealth()
     own = AutoReplacement(AutoReplacementSettings(slow=1.5, failing=2), evidence)
 
-    def slow(hand: Hand) -> None:
+    def slow(hand: FakeWorker) -> None:
         for _ in range(10):
             evidence.record_run(hand.machine, 3.0)
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -45,7 +45,7 @@
 from tests.test_job_durability import ANSWERED, watched
 from tests.test_rebalancing import Pieces
 from tests.test_rebalancing import tuning as pieces_tuning
-from tests.test_scheduler import NOW, TERM, Hand, new_board, record
+from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 from tests.test_workflows import watched as seen_in_the_viewer
 
@@ -456,16 +456,16 @@
 
 
 def test_a_report_that_makes_no_sense_gets_400_and_changes_nothing() -> None:
-    cluster_state = new_board()
-    hand = Hand(cluster_state, "i-1")
-    hand.report(NOW)
+    cluster_state = make_cluster_state()
+    hand = FakeWorker(cluster_state, "i-1")
+    hand.send_heartbeat(NOW)
     run = cluster_state.add_job(job(1, task_count=2, cpus=2.0), 1)
     run_scheduling_pass(cluster_state, NOW)
-    record(cluster_state)
-    hand.report(NOW)
-    hand.report(NOW)
+    commit_placements(cluster_state)
+    hand.send_heartbeat(NOW)
+    hand.send_heartbeat(NOW)
     term = LeaderLease(TERM, 1, 1, NOW)
-    good = orjson.loads(orjson.dumps(msgspec.to_builtins(hand.body())))
+    good = orjson.loads(orjson.dumps(msgspec.to_builtins(hand.make_heartbeat())))
 
     async def main() -> None:
         desk = HeartbeatHandler(cluster_state, term, Notifier(), asyncio.Event(), lambda *_: None, lambda: True)  # type: ignore[arg-type]
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -27,7 +27,7 @@
 from roseweir.submissions.jobs import GANG
 from tests.simulation import virtual_time
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board
+from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
 
 
 class Counting:
@@ -53,11 +53,13 @@
         return self.changes
 
 
-def fleet(machines: int) -> tuple[ClusterState, list[Hand]]:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n:06d}", "gpu" if n % 8 == 0 else "cpu", "ab"[n % 2]) for n in range(machines)]
+def fleet(machines: int) -> tuple[ClusterState, list[FakeWorker]]:
+    cluster_state = make_cluster_state()
+    hands = [
+        FakeWorker(cluster_state, f"i-{n:06d}", "gpu" if n % 8 == 0 else "cpu", "ab"[n % 2]) for n in range(machines)
+    ]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     return cluster_state, hands
 
 
@@ -92,13 +94,13 @@
     assert state.changes <= 60
     # Then a few starts and ends anywhere in the fleet cost a change or two.
     for hand in hands:
-        hand.report(NOW)
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
+        hand.send_heartbeat(NOW)
     ended = 0
     for hand in hands[1:40]:
         for key in list(hand.tasks)[:1]:
-            hand.ends(key[0], "done")
-            hand.report(NOW)
+            hand.end_task(key[0], "done")
+            hand.send_heartbeat(NOW)
             ended += 1
     assert ended > 20
     before = state.changes
@@ -108,10 +110,10 @@
 
 
 def test_gang_starts_whole_in_one_zone_with_one_attempt() -> None:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(16)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(16)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     gang = cluster_state.add_job(
         job(
             2, team="t1", job_type=GANG, task_count=3, gpus=2.0, cpus=6.0, requires_single_zone=True, allows_spot=False
@@ -125,17 +127,17 @@
 
 def test_waiting_gang_keeps_its_part_of_the_teams_limit() -> None:
     """Arrays took what came free one task at a time, and the gang before them never began."""
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n}", "gpu") for n in range(2)]
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n}", "gpu") for n in range(2)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     # The limit is 6 GPUs: the gang wants all of them, and there are 4 in sight.
     gang = cluster_state.add_job(job(1, job_type=GANG, task_count=3, gpus=2.0), 1)
     array = cluster_state.add_job(job(2, task_count=6, gpus=1.0), 2)
     run_scheduling_pass(cluster_state, NOW)
     assert len(gang.placements) == 0 and len(array.placements) == 0
-    third = Hand(cluster_state, "i-9", "gpu")
-    third.report(NOW)
+    third = FakeWorker(cluster_state, "i-9", "gpu")
+    third.send_heartbeat(NOW)
     run_scheduling_pass(cluster_state, NOW)
     assert len(gang.placements) == 3 and len(array.placements) == 0
 
@@ -156,8 +158,8 @@
     cluster_state.dirty_jobs.add(owner.spec.id)
     cluster_state.add_job(job(6000, task_count=50), 1)
     for hand in hands:
-        hand.report(now)
-        hand.report(now)
+        hand.send_heartbeat(now)
+        hand.send_heartbeat(now)
     run_scheduling_pass(cluster_state, now)
     assert cluster_state.planned_placements
     recorder = LogWriter(cast(KeyValueStoreClient, Counting()), cluster_state, 1, Notifier())
@@ -174,7 +176,7 @@
     """They gave back a part of the limit that they had not claimed, and an array went over it."""
     cluster_state, hands = fleet(80)
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     gang = cluster_state.add_job(job(1, task_count=4, gpus=1.0, job_type=GANG), 1)
     run_scheduling_pass(cluster_state, NOW)
     assert len(gang.placements) == 4
@@ -209,8 +211,8 @@
     cluster_state, hands = fleet(200)
     now = NOW + seconds(1)
     for hand in hands:
-        hand.report(now)
-        hand.report(now)
+        hand.send_heartbeat(now)
+        hand.send_heartbeat(now)
     cluster_state.add_job(job(1, task_count=200 * 8 - 40), 1)
     run_scheduling_pass(cluster_state, now)
     for number in range(500):
@@ -230,9 +232,9 @@
 
 
 def test_machine_full_of_small_jobs_fits_the_smallest_value_without_its_images() -> None:
-    cluster_state = new_board()
-    hand = Hand(cluster_state, "i-000001", "gpu")
-    hand.report(NOW)
+    cluster_state = make_cluster_state()
+    hand = FakeWorker(cluster_state, "i-000001", "gpu")
+    hand.send_heartbeat(NOW)
     machine = cluster_state.machines["i-000001"]
     for number in range(16):
         machine.record_image_use(f"image-of-a-long-name-{number:03d}", 0.1)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -23,7 +23,7 @@
 from roseweir.workers.messages import TaskStatus
 from tests.simulation.demand_weeks import CPU_POOL, TORONTO, DemandWeeks, make_demand
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import CPU, GPU, NOW, Hand, new_board, start
+from tests.test_scheduler import CPU, GPU, NOW, FakeWorker, make_cluster_state, place_and_start
 
 FIRST = "2026-04-06"  # a Monday; four weeks from here end on Sunday, 3 May
 
@@ -176,7 +176,7 @@
 
 
 def test_reactive_orders_count_and_are_not_changed() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     cluster_state.add_job(job(1, task_count=40, estimated_duration_s=300.0), 1)
     wants, _ = plan_scale_out(cluster_state, run_scheduling_pass(cluster_state, NOW), {}, 1, NOW)
     before = list(wants)
@@ -188,7 +188,7 @@
 
 
 def test_held_machines_stay_until_the_reason_lapses() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     for number in range(3):
         machine = Machine(f"i-{number}", CPU, "a", False, known_since=NOW, scaled_out_at=NOW)
         machine.idle_since = machine.last_heartbeat_at = NOW
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_drawn_plans_keep_their_ceilings_and_buy_nothing_twice(seed: int) -> None:
     draw = random.Random(seed)
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     for number in range(draw.randint(0, 12)):
         kind, zone = draw.choice([CPU, CPU, GPU]), draw.choice("ab")
         machine = Machine(f"i-{number}", kind, zone, draw.random() < 0.4, known_since=NOW, scaled_out_at=NOW)
@@ -266,15 +266,15 @@
 
 
 def test_fetches_are_learned_from_reports_and_kept_with_the_history() -> None:
-    cluster_state = new_board()
-    hand = Hand(cluster_state, "i-1")
-    hand.report(NOW)
+    cluster_state = make_cluster_state()
+    hand = FakeWorker(cluster_state, "i-1")
+    hand.send_heartbeat(NOW)
     cluster_state.add_job(job(1, image="img", image_gb=6.0), 1)
-    start(cluster_state, NOW, hand)
+    place_and_start(cluster_state, NOW, hand)
     key = next(iter(hand.tasks))
     for state, second in (("pulling", 1.0), ("running", 10.0)):
         hand.tasks[key] = TaskStatus(*key, state)
-        hand.report(NOW + seconds(second))
+        hand.send_heartbeat(NOW + seconds(second))
     planner = ScalingPlanner(PredictiveScalingSettings(), cluster_state)
     for _ in range(2):
         planner.history.record_times(cluster_state.boot_ratios, cluster_state.image_fetch_ratios)
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -26,7 +26,7 @@
 from tests.simulation.cluster import LEASE_DURATION_S, SimulatedCluster, SimulatedKeyValueStore, make_settings
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board, record
+from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 
 Patch = pytest.MonkeyPatch
@@ -39,8 +39,8 @@
 
     def __init__(self, seed: int) -> None:
         self.draw = Random(seed)
-        self.board = new_board()
-        self.hand = Hand(self.board, "i-1")
+        self.board = make_cluster_state()
+        self.hand = FakeWorker(self.board, "i-1")
         self.lease = seconds(LEASE_DURATION_S)
         self.now = NOW
         self.session, self.renewed = 1, NOW
@@ -49,14 +49,14 @@
         self.overtaken = self.copied = self.lapsed = 0
 
     def body(self) -> wire.Heartbeat:
-        return self.hand.body(session=self.session)
+        return self.hand.make_heartbeat(incarnation=self.session)
 
     def place(self) -> None:
         if not self.hand.machine.placements and self.hand.machine.has_acknowledged_term:
             if not any(run.pending_count for run in self.board.jobs.values()):
                 self.board.add_job(job(len(self.board.jobs) + 1, cpus=8.0), 1)
             run_scheduling_pass(self.board, self.now)
-            record(self.board)
+            commit_placements(self.board)
 
     def arrives(self, sent: datetime, report: wire.Heartbeat, copy: bool = False) -> None:
         machine = HeartbeatReconciler(self.board).apply_heartbeat(report, self.now)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -18,15 +18,15 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.scheduling_pass import SchedulingPassResult
-from tests.test_scheduler import NOW, Hand, new_board
+from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
 
 
-def fleet(count: int) -> tuple[ClusterState, list[Hand]]:
-    cluster_state = new_board()
-    hands = [Hand(cluster_state, f"i-{n:03d}") for n in range(count)]
+def fleet(count: int) -> tuple[ClusterState, list[FakeWorker]]:
+    cluster_state = make_cluster_state()
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}") for n in range(count)]
     for hand in hands:
-        hand.report(NOW)
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
+        hand.send_heartbeat(NOW)
     return cluster_state, hands
 
 
@@ -47,7 +47,7 @@
         now += seconds(0.5)
         for hand in hands:
             if now <= fell or hand.name not in names:
-                hand.report(now)
+                hand.send_heartbeat(now)
         ask(cluster_state, now, hung)
         for machine, why in plan_scale_in(cluster_state, SchedulingPassResult(), now):
             if why == "silent":
@@ -70,7 +70,7 @@
     machine: Machine = hands[0].machine
     now = NOW + seconds(4.5)
     for hand in hands[1:]:
-        hand.report(now)
+        hand.send_heartbeat(now)
     plan_scale_in(cluster_state, SchedulingPassResult(), now)  # sees that the zone is heard
     for n in range(MIN_FAILED_PROBES):
         assert machines_to_probe(cluster_state, now + seconds(n)) == [machine]
@@ -81,7 +81,7 @@
         )
     assert not is_lost(cluster_state, machine, now + seconds(MIN_FAILED_PROBES))
     asked = now + seconds(MIN_FAILED_PROBES)
-    hands[0].report(asked + seconds(0.2))
+    hands[0].send_heartbeat(asked + seconds(0.2))
     record_probe_result(cluster_state, machine, asked, False, asked + PROBE_TIMEOUT)
     assert (
         machine.missed_probe_count == 0
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -25,7 +25,7 @@
     virtual_now,
 )
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import CPU, NOW, TERM, Hand, new_board, start
+from tests.test_scheduler import CPU, NOW, TERM, FakeWorker, make_cluster_state, place_and_start
 from tests.test_simulated_days import check
 
 ALL = [*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS, *PARTIAL_PARTITION_FAULTS]
@@ -52,18 +52,18 @@
 
 
 def test_what_is_not_sent_to_a_machine_that_hears_nothing_goes_elsewhere_and_its_tasks_as_its_tenure_ends() -> None:
-    cluster_state = new_board()
-    hand, other = Hand(cluster_state, "i-1"), Hand(cluster_state, "i-2")
-    hand.report(NOW)
+    cluster_state = make_cluster_state()
+    hand, other = FakeWorker(cluster_state, "i-1"), FakeWorker(cluster_state, "i-2")
+    hand.send_heartbeat(NOW)
     runs = cluster_state.add_job(job(1, cpus=8.0), 1)
-    start(cluster_state, NOW, hand)
+    place_and_start(cluster_state, NOW, hand)
     waits = cluster_state.add_job(job(2, cpus=8.0), 2)
     machine, at = hand.machine, NOW
-    record_answer(machine, hand.seq, at)
+    record_answer(machine, hand.sequence_number, at)
     # It went to other nodes meanwhile, though it was answered here: answers seem lost.
-    hand.seq += 2
+    hand.sequence_number += 2
     at += WORKER_ANSWER_TIMEOUT + seconds(2)
-    HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), at)
+    HeartbeatReconciler(cluster_state).apply_heartbeat(hand.make_heartbeat(), at)
     assert machine.is_suspected and cluster_state.collect_commands(machine, at, True) == []
     for _ in range(MIN_FAILED_PROBES):
         assert machines_to_probe(cluster_state, at) == [machine]
@@ -73,8 +73,8 @@
     assert machine.is_unreachable and machine not in list(available_machines(cluster_state, at)), (
         "another is rented in its place"
     )
-    other.report(at)
-    other.report(at)
+    other.send_heartbeat(at)
+    other.send_heartbeat(at)
     run_scheduling_pass(cluster_state, at)
     assert waits.placements[0].machine.name == "i-2"
     cluster_state.apply_timeouts(at)
@@ -82,7 +82,7 @@
     # The next tenure is the earliest proof that it does not any more.
     machine_of = runs.placements[0].machine
     assert (
-        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(session=2), at) is machine_of
+        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.make_heartbeat(incarnation=2), at) is machine_of
         and not runs.placements
     )
     assert ("deaf" in [why for _, why in plan_scale_in(cluster_state, SchedulingPassResult(), at)]) is False
@@ -92,7 +92,7 @@
         machine.unreachable_since + cluster_state.max_lease_duration + seconds(0.1),
     )
     # It answers a question of ours: the way is open.
-    report = hand.body(session=2)
+    report = hand.make_heartbeat(incarnation=2)
     HeartbeatReconciler(cluster_state).apply_probe_response(report, (machine.incarnation, machine.sequence), at)
     assert not machine.is_unreachable and not machine.is_suspected
 
@@ -165,7 +165,7 @@
 
 def test_a_copy_as_the_first_word_of_a_machine_proves_nothing() -> None:
     """The recorded attempt was taken for the copy's, the real one's then for a stranger's, and was stopped."""
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     run = cluster_state.add_job(job(1, task_count=2, cpus=2.0), 1)
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     cluster_state.restore_placement(run, 0, machine, 9, NOW)
@@ -204,14 +204,14 @@
 
 
 def test_copies_keep_no_lost_machines_tasks_and_bring_no_released_machine_back() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     run = cluster_state.add_job(job(1, cpus=8.0), 1)
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     cluster_state.restore_placement(run, 0, machine, 9, NOW)
-    hand, at = Hand(cluster_state, "i-1"), NOW
+    hand, at = FakeWorker(cluster_state, "i-1"), NOW
     while at < NOW + seconds(120) and run.placements:
         at += seconds(0.5)
-        word = hand.body(TERM - 1)
+        word = hand.make_heartbeat(TERM - 1)
         assert HeartbeatReconciler(cluster_state).apply_heartbeat(word, at) is None
         decide_lease_renewal(cluster_state, word, at)
         cluster_state.apply_timeouts(at)
@@ -221,12 +221,12 @@
     ), "words renew for a lease at the most"
     cluster_state.forget_machine("i-1", at, "released")
     assert (
-        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.body(), at + seconds(600)) is None
+        HeartbeatReconciler(cluster_state).apply_heartbeat(hand.make_heartbeat(), at + seconds(600)) is None
         and "i-1" not in cluster_state.machines
     )
-    stranger = Hand(cluster_state, "i-9")
+    stranger = FakeWorker(cluster_state, "i-9")
     assert (
-        HeartbeatReconciler(cluster_state).apply_heartbeat(stranger.body(TERM - 1), at) is None
+        HeartbeatReconciler(cluster_state).apply_heartbeat(stranger.make_heartbeat(TERM - 1), at) is None
         and "i-9" not in cluster_state.machines
     )
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -37,22 +37,23 @@
 from tests.simulation.cluster import SimulatedCluster, virtual_now
 from tests.simulation.eviction import EvictionCluster
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import CPU, NOW, Hand, new_board, record
+from tests.test_scheduler import CPU, NOW, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 
 BIG = MachineType("gpu", 96, 8, 384, 200, 1.0, 24.0, 9.0, 50, ("a", "b"))
 LARGE: TaskSize = (80.0, 8.0, 304.0)
 
 
-def place_of(count: int, ordinary: int = 0) -> tuple[ClusterState, list[Hand]]:
-    cluster_state = new_board()
+def place_of(count: int, ordinary: int = 0) -> tuple[ClusterState, list[FakeWorker]]:
+    cluster_state = make_cluster_state()
     cluster_state.catalog = {"cpu": CPU, "gpu": BIG}
     cluster_state.teams["t0"].max_gpus = cluster_state.teams["t1"].max_gpus = 0.0
     hands = [
-        Hand(cluster_state, f"i-{n:02d}", "gpu" if n < count else "cpu", "ab"[n % 2]) for n in range(count + ordinary)
+        FakeWorker(cluster_state, f"i-{n:02d}", "gpu" if n < count else "cpu", "ab"[n % 2])
+        for n in range(count + ordinary)
     ]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     return cluster_state, hands
 
 
@@ -125,7 +126,7 @@
         for hand in hands:
             hand.machine.last_heartbeat_at = at
         run_scheduling_pass(cluster_state, at)
-        record(cluster_state)
+        commit_placements(cluster_state)
         alive.append(small)
         if large is not None:
             begun += bool(large.placements)
--- a/tests/test_reserved_headroom.py
+++ b/tests/test_reserved_headroom.py
@@ -12,11 +12,11 @@
 from roseweir.workers.messages import RUNNING
 from tests.simulation.cluster import make_settings
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, TERM, Hand, new_board
+from tests.test_scheduler import NOW, TERM, FakeWorker, make_cluster_state
 
 
 def board_with_aim(within_s: float) -> ClusterState:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     given = msgspec.structs.replace(
         make_settings(0).params,
         objectives=[
@@ -42,11 +42,11 @@
     )
 
 
-def full(within_s: float = 1.0) -> tuple[ClusterState, list[Hand]]:
+def full(within_s: float = 1.0) -> tuple[ClusterState, list[FakeWorker]]:
     cluster_state = board_with_aim(within_s)
-    hands = [Hand(cluster_state, f"i-{n:03d}", "cpu", "ab"[n % 2]) for n in range(40)]
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}", "cpu", "ab"[n % 2]) for n in range(40)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     cluster_state.add_job(viewer(1), 1)  # type: ignore[arg-type]
     cluster_state.add_job(job(2, task_count=400, cpus=1.0, priority=2, image="w"), 2)
     run_scheduling_pass(cluster_state, NOW)
@@ -76,7 +76,7 @@
 def test_no_more_than_a_part_of_a_zone_is_kept() -> None:
     cluster_state = board_with_aim(1.0)
     for n in range(8):
-        Hand(cluster_state, f"i-{n:03d}", "cpu", "ab"[n % 2]).report(NOW)
+        FakeWorker(cluster_state, f"i-{n:03d}", "cpu", "ab"[n % 2]).send_heartbeat(NOW)
     cluster_state.add_job(viewer(1, tasks=30), 1)  # type: ignore[arg-type]
     cluster_state.add_job(job(2, task_count=400, cpus=1.0, priority=2), 2)
     run_scheduling_pass(cluster_state, NOW)
@@ -98,8 +98,8 @@
     run_scheduling_pass(cluster_state, NOW)
     assert len(first.placements) == 4 and len(second.placements) == 0
     for hand in hands:
-        hand.report(NOW)
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
+        hand.send_heartbeat(NOW)
     low = cluster_state.jobs["j-000002"]
     for placement in low.placements.values():
         placement.phase, placement.state = PlacementPhase.CONFIRMED, RUNNING
@@ -125,9 +125,9 @@
 
 def test_after_a_while_it_uses_machines_kept_clear_for_gpu_work_of_lower_rank() -> None:
     cluster_state = board_with_aim(1.0)
-    hands = [Hand(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(2)]
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(2)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     cluster_state.add_job(job(1, task_count=1, gpus=2.0, cpus=8.0, priority=2, zone="c"), 1)
     run = cluster_state.add_job(viewer(2), 2)  # type: ignore[arg-type]
     run_scheduling_pass(cluster_state, NOW)
@@ -135,7 +135,7 @@
     run_scheduling_pass(cluster_state, NOW + seconds(4))
     assert len(run.placements) == 0
     for hand in hands:
-        hand.report(NOW + seconds(5))
+        hand.send_heartbeat(NOW + seconds(5))
     run_scheduling_pass(cluster_state, NOW + seconds(5))
     assert len(run.placements) == 4
 
@@ -143,9 +143,9 @@
 def test_gangs_are_never_stopped_for_a_few_cpus() -> None:
     """One that saves loses little by it, so it was the first to be stopped."""
     cluster_state = board_with_aim(1.0)
-    hands = [Hand(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(2)]
+    hands = [FakeWorker(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(2)]
     for hand in hands:
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
     gang = cluster_state.add_job(
         job(
             1,
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -28,16 +28,16 @@
 )
 from tests.test_fault_combinations import leases_of_the_last_leader_forgotten
 from tests.test_machine_faults import Break, Checked, Patch
-from tests.test_scheduler import NOW, Hand, new_board
+from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
 from tests.test_simulated_days import check
 
 
 def test_a_machine_is_rented_for_cpu_work_in_a_zone_that_has_only_gpu_machines_left() -> None:
     """The machine with GPUs suits the job, but its CPUs are kept for its GPUs, and the other zone's idle machine made
     the sums come out even: the job waited for ever (drawn day 85)."""
-    cluster_state = new_board()
-    Hand(cluster_state, "i-1", "gpu", "a").report(NOW)
-    Hand(cluster_state, "i-2", "cpu", "b").report(NOW)
+    cluster_state = make_cluster_state()
+    FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
+    FakeWorker(cluster_state, "i-2", "cpu", "b").send_heartbeat(NOW)
     cluster_state.add_job(
         job(1, cpus=4.0, gpus=1.0, zone="b"), 1
     )  # brings along as many CPUs for each GPU as there are
@@ -55,9 +55,9 @@
 def test_machines_are_rented_for_a_gang_for_which_the_empty_ones_that_suit_it_are_too_few() -> None:
     """An idle machine of another zone made the sums come out even: the gang waited, and its team's later jobs with it,
     since it holds its part of the team's limit (drawn day 6)."""
-    cluster_state = new_board()
-    Hand(cluster_state, "i-1", "gpu", "a").report(NOW)
-    Hand(cluster_state, "i-2", "gpu", "b").report(NOW)
+    cluster_state = make_cluster_state()
+    FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
+    FakeWorker(cluster_state, "i-2", "gpu", "b").send_heartbeat(NOW)
     at = NOW + seconds(1)
     here = int(cluster_state.machines["i-1"].machine_type.gpus) // 2
     fits = cluster_state.add_job(job(1, job_type="gang", task_count=here, gpus=2.0, zone="a"), 1)
@@ -71,7 +71,7 @@
     wants, _ = plan_scale_out(cluster_state, left, {}, 0, at)
     assert [(w.type_name, w.zone, w.count) for w in wants] == [("gpu", "a", 1)]
     # What boots already is not asked for twice.
-    Hand(cluster_state, "i-3", "gpu", "a").report(at)
+    FakeWorker(cluster_state, "i-3", "gpu", "a").send_heartbeat(at)
     assert not plan_scale_out(cluster_state, left, {}, 0, at)[0]
 
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -19,7 +19,7 @@
 from roseweir.workers import messages as wire
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board
+from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
 from tests.test_simulated_days import check
 
 
@@ -140,9 +140,9 @@
 
 
 def test_service_with_half_of_its_replicas_down_is_told_as_badly_served() -> None:
-    cluster_state: ClusterState = new_board()
-    hand = Hand(cluster_state, "i-1")
-    hand.report(NOW)
+    cluster_state: ClusterState = make_cluster_state()
+    hand = FakeWorker(cluster_state, "i-1")
+    hand.send_heartbeat(NOW)
     run = cluster_state.add_job(job(1, job_type=SERVICE, task_count=5), 1)
     account = ServiceLevelAccount()
     account.add_job(run.spec)
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -34,18 +34,18 @@
 from roseweir.submissions.jobs import GANG, JobSpec
 from tests.simulation.cluster import SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import NOW, Hand, new_board, record
+from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 
 
 def stream(kind: str, minutes: float) -> float:
     """Small jobs of a team within its guarantee for ever, and a large one of another that is not: when it begins."""
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     draw = random.Random(11)
-    hands = [Hand(cluster_state, f"i-{n}", "gpu", "a") for n in range(6)]
+    hands = [FakeWorker(cluster_state, f"i-{n}", "gpu", "a") for n in range(6)]
     for hand in hands:
-        hand.report(NOW)
-        hand.report(NOW)
+        hand.send_heartbeat(NOW)
+        hand.send_heartbeat(NOW)
     ends: dict[str, float] = {}
     shapes: dict[str, dict[str, Any]] = {
         "gang": {"job_type": GANG, "task_count": 3, "gpus": 2.0, "requires_single_zone": True},
@@ -67,15 +67,15 @@
             for task, _ in list(hand.tasks):
                 name = task.rpartition("/")[0]
                 if name != big.spec.id and ends.setdefault(task, at + draw.uniform(10, 30)) <= at:
-                    hand.ends(task, "done")
-            hand.report(now)
+                    hand.end_task(task, "done")
+            hand.send_heartbeat(now)
         for run in list(cluster_state.jobs.values()):
             run.uncommitted_completions.clear()
             if run.is_complete:
                 run.final_state = "done"
                 cluster_state._forget_finished_job(run)
         run_scheduling_pass(cluster_state, now)
-        record(cluster_state)
+        commit_placements(cluster_state)
         if len(big.placements) == big_needs:
             return at
         at += 1.0
@@ -136,11 +136,11 @@
 
 
 def test_capacity_is_asked_for_a_job_that_waits_in_pieces() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     late = NOW + starvation.LARGE_JOB_STARVATION_THRESHOLD + seconds(6)
     for n in range(4):
-        hand = Hand(cluster_state, f"i-{n}", "gpu")
-        hand.report(NOW)
+        hand = FakeWorker(cluster_state, f"i-{n}", "gpu")
+        hand.send_heartbeat(NOW)
         cluster_state.add_placement(cluster_state.add_job(job(n + 10, gpus=1.0), 1), 0, hand.machine, 1, NOW)
         hand.machine.last_heartbeat_at = late
     gang = cluster_state.add_job(job(2, job_type=GANG, gpus=2.0, allows_spot=False), 2)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -32,7 +32,7 @@
 from tests.simulation import virtual_time
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import CPU, NOW, new_board
+from tests.test_scheduler import CPU, NOW, make_cluster_state
 from tests.test_settings import EXAMPLE, changed
 from tests.test_simulated_days import check
 
@@ -220,7 +220,7 @@
 
 
 def busy_fleet(draw: Random, machines: int) -> ClusterState:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     runs = [cluster_state.add_job(job(n, task_count=4000, cpus=0.01, memory_gb=0.01), 1) for n in range(40)]
     for n in range(machines):
         machine = cluster_state.restore_machine(f"i-{n:06d}", CPU, "a", False, NOW)
@@ -284,7 +284,7 @@
 
 
 def test_machine_that_no_value_holds_keeps_some_tasks_in_notes() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
         run = cluster_state.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
@@ -311,7 +311,7 @@
 
 
 def test_entry_of_a_higher_limit_that_no_value_holds_stays_as_stored_until_it_fits() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
         run = cluster_state.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
@@ -390,7 +390,7 @@
 
 
 def test_recorder_learns_a_limit_that_no_setting_announced() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     start_tasks(cluster_state, 100, 12)
     store = Store()
     virtual_time.run_in_virtual_time(
@@ -404,7 +404,7 @@
     """As before: the same was written again and again, and nothing else got through."""
     monkeypatch.setattr(TransactionLimits, "lower_after_refusal", lambda *args: False)
     monkeypatch.setattr(LogWriter, "_handle_refused_batch", lambda *args: None)
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     start_tasks(cluster_state, 100, 12)
     store = Store()
     virtual_time.run_in_virtual_time(
@@ -414,7 +414,7 @@
 
 
 def test_recorder_that_learns_nothing_finds_what_is_refused_and_goes_on_with_the_rest() -> None:
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     start_tasks(cluster_state, 100, 12)
     store = Store(learns=False)
     store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
@@ -441,7 +441,7 @@
     store = Store()
     store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
     store.keys = dict(wide.keys)
-    heir = new_board()
+    heir = make_cluster_state()
     heir_recorder = LogWriter(cast(KeyValueStoreClient, store), heir, 2, Notifier())
     for run in cluster_state.jobs.values():
         heir.add_job(run.spec, 1)
@@ -459,7 +459,7 @@
 
 def starts_in(store: Store) -> dict[tuple[str, int], tuple[int, int]]:
     """Of each task the newest start that a new leader would find."""
-    cluster_state = new_board()
+    cluster_state = make_cluster_state()
     recorder = LogWriter(cast(KeyValueStoreClient, store), cluster_state, 3, Notifier())
     for entry in store.places():
         for job_id in referenced_types_and_jobs(entry.value)[1]:
