--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -1,4 +1,4 @@
-"""Combined faults of machines that are lost and limits: nobody waits beside room, and nobody passes a limit."""
+"""Lost machines combined with limits: no job waits beside free capacity, and no team exceeds its limit."""
 
 import asyncio
 from typing import Any
@@ -32,63 +32,61 @@
 from tests.test_simulated_days import check
 
 
-def test_a_machine_is_rented_for_cpu_work_in_a_zone_that_has_only_gpu_machines_left() -> None:
-    """The machine with GPUs suits the job, but its CPUs are kept for its GPUs, and the other zone's idle machine made
-    the sums come out even: the job waited for ever (drawn day 85)."""
+def test_scale_out_rents_cpu_machine_in_zone_with_only_gpu_machines() -> None:
+    """The GPU machine fits the job, but its CPUs are kept for GPU tasks. The idle machine of the other zone counted as
+    enough total capacity, so nothing was rented and the job waited for ever (generated day 85)."""
     cluster_state = make_cluster_state()
     FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
     FakeWorker(cluster_state, "i-2", "cpu", "b").send_heartbeat(NOW)
-    cluster_state.add_job(
-        job(1, cpus=4.0, gpus=1.0, zone="b"), 1
-    )  # brings along as many CPUs for each GPU as there are
-    bound = cluster_state.add_job(job(2, cpus=2.0, zone="a"), 2)
+    cluster_state.add_job(job(1, cpus=4.0, gpus=1.0, zone="b"), 1)  # uses as many CPUs for each GPU as the machine has
+    zone_bound = cluster_state.add_job(job(2, cpus=2.0, zone="a"), 2)
     at = NOW + seconds(1)
-    left = run_scheduling_pass(cluster_state, at)
-    assert not bound.placements
-    wants, _ = plan_scale_out(cluster_state, left, {}, 0, at)
-    assert [(w.type_name, w.zone) for w in wants if w.type_name == "cpu"] == [("cpu", "a")]
-    # None to be had: then it may use the CPUs of the idle GPUs.
+    pass_result = run_scheduling_pass(cluster_state, at)
+    assert not zone_bound.placements
+    requests, _ = plan_scale_out(cluster_state, pass_result, {}, 0, at)
+    assert [(request.type_name, request.zone) for request in requests if request.type_name == "cpu"] == [("cpu", "a")]
+    # When no CPU machine is available, the job may use the CPUs of the idle GPU machine.
     refused = {MachineOffer("cpu", "a", spot): at + seconds(9) for spot in (True, False)}
-    assert plan_scale_out(cluster_state, left, refused, 0, at)[1]
+    assert plan_scale_out(cluster_state, pass_result, refused, 0, at)[1]
 
 
-def test_machines_are_rented_for_a_gang_for_which_the_empty_ones_that_suit_it_are_too_few() -> None:
-    """An idle machine of another zone made the sums come out even: the gang waited, and its team's later jobs with it,
-    since it holds its part of the team's limit (drawn day 6)."""
+def test_scale_out_rents_machines_when_too_few_idle_ones_fit_a_gang() -> None:
+    """An idle machine of another zone counted as enough total capacity, so nothing was rented: the gang waited, and its
+    team's later jobs too, since the gang holds its share of the team's limit (generated day 6)."""
     cluster_state = make_cluster_state()
     FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
     FakeWorker(cluster_state, "i-2", "gpu", "b").send_heartbeat(NOW)
     at = NOW + seconds(1)
-    here = int(cluster_state.machines["i-1"].machine_type.gpus) // 2
-    fits = cluster_state.add_job(job(1, job_type="gang", task_count=here, gpus=2.0, zone="a"), 1)
-    assert run_scheduling_pass(cluster_state, at).placed_count == here and len(fits.placements) == here
-    for placement in list(fits.placements.values()):
+    gang_size = int(cluster_state.machines["i-1"].machine_type.gpus) // 2
+    fitting = cluster_state.add_job(job(1, job_type="gang", task_count=gang_size, gpus=2.0, zone="a"), 1)
+    assert run_scheduling_pass(cluster_state, at).placed_count == gang_size and len(fitting.placements) == gang_size
+    for placement in list(fitting.placements.values()):
         cluster_state.remove_placement(placement, at)
-    del cluster_state.jobs[fits.spec.id]
-    gang = cluster_state.add_job(job(2, job_type="gang", task_count=here + 1, gpus=2.0, zone="a"), 2)
-    left = run_scheduling_pass(cluster_state, at)
+    del cluster_state.jobs[fitting.spec.id]
+    gang = cluster_state.add_job(job(2, job_type="gang", task_count=gang_size + 1, gpus=2.0, zone="a"), 2)
+    pass_result = run_scheduling_pass(cluster_state, at)
     assert not gang.placements
-    wants, _ = plan_scale_out(cluster_state, left, {}, 0, at)
-    assert [(w.type_name, w.zone, w.count) for w in wants] == [("gpu", "a", 1)]
-    # What boots already is not asked for twice.
+    requests, _ = plan_scale_out(cluster_state, pass_result, {}, 0, at)
+    assert [(request.type_name, request.zone, request.count) for request in requests] == [("gpu", "a", 1)]
+    # A machine that has joined since is not rented a second time.
     FakeWorker(cluster_state, "i-3", "gpu", "a").send_heartbeat(at)
-    assert not plan_scale_out(cluster_state, left, {}, 0, at)[0]
+    assert not plan_scale_out(cluster_state, pass_result, {}, 0, at)[0]
 
 
-# -- teams at their limits while machines can't be asked, jobs are cancelled, and leaders change -------
+# -- teams at their limits while machines are unreachable, jobs are cancelled and leaders change -------
 
 
-# Of jobs that run, as their machines can't be asked.
-CANCELLED_A_TURN = 2
+# Running jobs that are cancelled while their machines are unreachable.
+JOBS_CANCELLED_PER_ROUND = 2
 
 
-class AtLimit(Checked):
-    """Arrays of GPU tasks, more than the two teams' limits allow; room that is proven free is used within 40 s."""
+class TeamLimitCluster(Checked):
+    """Arrays of GPU tasks beyond the limits of both teams; quota that is proven free must be used within 40 s."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
         self.max_wait_s = 40.0
-        self.most_in_use = 0.0
+        self.peak_gpus_in_use = 0.0
 
     def make_job(self) -> dict[str, Any]:
         gpus = {"accelerators": 1.0, "parcels": 4, "crew": self.rng.choice(["t0", "t1"])}
@@ -96,102 +94,106 @@
 
     def check_start(self, worker: Any, task: Any) -> None:
         super().check_start(worker, task)
-        crew = self.jobs[task.job_id]["crew"]
-        there = [self.jobs[t.job_id] for _, t in self.active_tasks() if t is not task]
-        in_use = 1.0 + sum(other["accelerators"] for other in there if other["crew"] == crew)
-        self.most_in_use = max(self.most_in_use, in_use)
+        team = self.jobs[task.job_id]["crew"]
+        other_jobs = [self.jobs[t.job_id] for _, t in self.active_tasks() if t is not task]
+        in_use = 1.0 + sum(other["accelerators"] for other in other_jobs if other["crew"] == team)
+        self.peak_gpus_in_use = max(self.peak_gpus_in_use, in_use)
 
 
-async def lose_some(cluster: SimulatedCluster, way: str) -> None:
-    """Machines hang, are cut off, mute or deaf, and jobs that run on them are cancelled in that spell."""
-    if way == "hang":
+async def make_machines_unreachable(cluster: SimulatedCluster, fault: str) -> None:
+    """Makes machines hang or lose the network in one or both directions, and cancels jobs that run meanwhile."""
+    if fault == "hang":
         await cancel_running_jobs(cluster, cluster.rng.choice([3.0, 9.0]))
         return
     jobs = running_jobs(cluster)
-    for job_id in cluster.rng.sample(jobs, min(len(jobs), CANCELLED_A_TURN)):
+    for job_id in cluster.rng.sample(jobs, min(len(jobs), JOBS_CANCELLED_PER_ROUND)):
         cluster.spawn(cancel_until_confirmed(cluster, job_id))
-    if way == "cut":
+    if fault == "cut":
         zone = cluster.rng.choice(ZONES)
         cluster.partitioned_zones.add(zone)
         await asyncio.sleep(cluster.lease_duration_s * 1.4)
         cluster.partitioned_zones.discard(zone)
         cluster.partition_healed_at[zone] = virtual_now()
     else:
-        await partition_workers(cluster, way, 9.0)
+        await partition_workers(cluster, fault, 9.0)
 
 
-def at_limit(seed: int) -> AtLimit:
-    cluster = AtLimit(seed)
+def team_limit_cluster(seed: int) -> TeamLimitCluster:
+    cluster = TeamLimitCluster(seed)
 
-    async def act(cluster: SimulatedCluster) -> None:
+    async def inject_faults(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(22)
-        for turn in range(4):
-            # Without this a drawn day may bring no jobs to cancel until the last of the four is over.
-            while len(running_jobs(cluster)) < CANCELLED_A_TURN:
+        for round_index in range(4):
+            # A generated day may otherwise have no running jobs to cancel before the last of the four faults is over.
+            while len(running_jobs(cluster)) < JOBS_CANCELLED_PER_ROUND:
                 await asyncio.sleep(0.5)
-            losing = cluster.spawn(lose_some(cluster, ("hang", "cut", "mute", "deaf")[(seed + turn) % 4]))
-            # Before the cancellations are known, or after others may have begun in their place.
+            fault_task = cluster.spawn(
+                make_machines_unreachable(cluster, ("hang", "cut", "mute", "deaf")[(seed + round_index) % 4])
+            )
+            # The leader fails before it has read the cancellations, or after other jobs may have started instead.
             await asyncio.sleep(cluster.rng.choice([0.3, 1.5, 5.0, 5.0]))
             await cluster.restart_controller(cluster.current_leader())
             await asyncio.sleep(cluster.rng.uniform(2, 5))
             await cluster.restart_controller(cluster.current_leader())
-            await asyncio.wait([losing])
+            await asyncio.wait([fault_task])
             await asyncio.sleep(3)
 
-    cluster.schedule_action(act)
+    cluster.schedule_action(inject_faults)
     return cluster
 
 
-def released_as_cancelled(patch: Patch) -> None:
-    """A cancelled job's part of the limit is free at once, and not when its tasks are proven gone."""
+def quota_released_at_cancellation(patch: Patch) -> None:
+    """A cancelled job's quota is released at once, instead of when its tasks are proven gone."""
     end_job = ClusterState.end_job
 
-    def hasty(self: ClusterState, job_id: str, ended: CompletedJob, at: Any) -> None:
+    def end_job_and_free_quota(self: ClusterState, job_id: str, ended: CompletedJob, at: Any) -> None:
         run = self.jobs.get(job_id)
         end_job(self, job_id, ended, at)
         for placement in [] if run is None else list(run.placements.values()):
             self.remove_placement(placement, at)
 
-    patch.setattr(ClusterState, "end_job", hasty)
+    patch.setattr(ClusterState, "end_job", end_job_and_free_quota)
 
 
-def never_released(patch: Patch) -> None:
-    """What a cancelled job's tasks used of the limit is not given back as they are proven gone."""
-    remove = ClusterState.remove_placement
+def quota_never_released(patch: Patch) -> None:
+    """The quota of a cancelled job's tasks is not released when they are proven gone."""
+    remove_placement = ClusterState.remove_placement
 
-    def keeping(self: ClusterState, placement: Placement, *rest: Any) -> None:
-        there = placement.run.placements.get(placement.index) is placement
-        remove(self, placement, *rest)
-        if there and placement.run.final_state:
+    def remove_without_freeing_quota(self: ClusterState, placement: Placement, *rest: Any) -> None:
+        was_placed = placement.run.placements.get(placement.index) is placement
+        remove_placement(self, placement, *rest)
+        if was_placed and placement.run.final_state:
             self.usage_by_team[placement.run.spec.team].gpus += placement.run.spec.gpus
 
-    patch.setattr(ClusterState, "remove_placement", keeping)
+    patch.setattr(ClusterState, "remove_placement", remove_without_freeing_quota)
 
 
-def test_at_their_limits_teams_count_what_may_be_there_and_use_what_is_proven_free() -> None:
+def test_team_limit_counts_unconfirmed_tasks_until_they_are_gone() -> None:
     for seed in range(8200, 8204):
-        cluster = at_limit(seed)
+        cluster = team_limit_cluster(seed)
         check(cluster.run(length_s=150, job_count=16))
-        assert cluster.most_in_use >= 6.0 and len(cluster.cancelled_at) >= 4
+        assert cluster.peak_gpus_in_use >= 6.0 and len(cluster.cancelled_at) >= 4
 
 
-LIMIT_VARIANTS: list[tuple[Break, str]] = [
-    (released_as_cancelled, "quota"),
-    (never_released, "waits_beside_room"),
+BROKEN_TEAM_LIMIT_VARIANTS: list[tuple[Break, str]] = [
+    (quota_released_at_cancellation, "quota"),
+    (quota_never_released, "waits_beside_room"),
     (leases_of_the_last_leader_forgotten, ""),
 ]
 
 
-@pytest.mark.parametrize(("broken", "rule"), LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_at_their_limits_catch(broken: Break, rule: str, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize(
+    ("broken", "rule"), BROKEN_TEAM_LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None)
+)
+def test_broken_team_limit_accounting_is_caught(broken: Break, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
-    assert is_caught(at_limit, range(8200, 8220), rule, 150, 16)
+    assert is_caught(team_limit_cluster, range(8200, 8220), rule, 150, 16)
 
 
-# -- zones: bound jobs lose machines, a zone and its controller are cut off, all controllers are away --
+# -- zones: single-zone jobs lose machines, a zone with its leader is partitioned, all controllers stop --
 
 
-class Bound(Checked):
+class SingleZoneCluster(Checked):
     """Arrays that may run in one zone only."""
 
     def __init__(self, seed: int) -> None:
@@ -202,17 +204,17 @@
         return super().make_job() | {"yard": self.rng.choice(ZONES), "cores": 2.0, "guess_s": 12.0, "builds": ["cpu"]}
 
 
-def zones(seed: int) -> Bound:
-    cluster = Bound(seed)
+def single_zone_cluster(seed: int) -> SingleZoneCluster:
+    cluster = SingleZoneCluster(seed)
 
-    async def act(cluster: SimulatedCluster) -> None:
+    async def inject_faults(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(15)
-        for turn in range(3):
-            zone = ZONES[(seed + turn) % 2]
-            if turn != 1:
+        for round_index in range(3):
+            zone = ZONES[(seed + round_index) % 2]
+            if round_index != 1:
                 await fail_half_of_zone(cluster, zone)
             leader = cluster.current_leader()
-            # The leader's own zone, with it in there: its workers go on hearing it for as long as it may answer.
+            # The partition contains the leader: workers of its zone still reach it while it may answer heartbeats.
             cluster.partitioned_zones.add(leader.zone)
             for node in cluster.nodes:
                 if node.zone == leader.zone:
@@ -228,67 +230,67 @@
             await asyncio.sleep(2)
             await stop_all_controllers(cluster)
 
-    cluster.schedule_action(act)
+    cluster.schedule_action(inject_faults)
     return cluster
 
 
-def zone_not_asked(patch: Patch) -> None:
-    def anywhere(spec: JobSpec, machine: Machine) -> bool:
+def zone_constraint_ignored(patch: Patch) -> None:
+    def allows_any_zone(spec: JobSpec, machine: Machine) -> bool:
         return spec.machine_types is None or machine.machine_type.name in spec.machine_types
 
-    patch.setattr("roseweir.scheduler.task_placement.allows_machine", anywhere)
-    patch.setattr("roseweir.scheduler.preemption.allows_machine", anywhere)
-    patch.setattr("roseweir.scheduler.capacity_snapshot.allows_machine", anywhere)
+    patch.setattr("roseweir.scheduler.task_placement.allows_machine", allows_any_zone)
+    patch.setattr("roseweir.scheduler.preemption.allows_machine", allows_any_zone)
+    patch.setattr("roseweir.scheduler.capacity_snapshot.allows_machine", allows_any_zone)
 
 
-def recorded_tasks_stay(patch: Patch) -> None:
-    """What an earlier leader recorded counts as there although its machine reports that it is not."""
-    conclude = HeartbeatReconciler._remove_unlisted_tasks
+def recovered_placements_kept(patch: Patch) -> None:
+    """A placement recorded by an earlier leader stays although the machine's heartbeat does not list its task."""
+    remove_unlisted = HeartbeatReconciler._remove_unlisted_tasks
 
-    def believe(self: HeartbeatReconciler, machine: Machine, listed: set[tuple[str, int]], *rest: Any) -> None:
-        recorded = {key for key, p in machine.placements.items() if p.phase == PlacementPhase.RECOVERED}
-        conclude(self, machine, listed | recorded, *rest)
+    def keep_recovered(self: HeartbeatReconciler, machine: Machine, listed: set[tuple[str, int]], *rest: Any) -> None:
+        recovered = {key for key, p in machine.placements.items() if p.phase == PlacementPhase.RECOVERED}
+        remove_unlisted(self, machine, listed | recovered, *rest)
 
-    patch.setattr(HeartbeatReconciler, "_remove_unlisted_tasks", believe)
+    patch.setattr(HeartbeatReconciler, "_remove_unlisted_tasks", keep_recovered)
 
 
-def test_work_bound_to_a_zone_goes_on_there_once_the_zone_and_the_controllers_are_back() -> None:
+def test_single_zone_jobs_resume_after_zone_and_controller_outages() -> None:
     for seed in range(8220, 8223):
-        check(zones(seed).run(length_s=190, job_count=20))
+        check(single_zone_cluster(seed).run(length_s=190, job_count=20))
 
 
-ZONE_VARIANTS: list[tuple[Break, str]] = [
-    (zone_not_asked, "wrong_place"),
-    (recorded_tasks_stay, "waits_beside_room"),
+BROKEN_ZONE_VARIANTS: list[tuple[Break, str]] = [
+    (zone_constraint_ignored, "wrong_place"),
+    (recovered_placements_kept, "waits_beside_room"),
     (leases_of_the_last_leader_forgotten, ""),
 ]
 
 
-@pytest.mark.parametrize(("broken", "rule"), ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_work_bound_to_a_zone_catches(broken: Break, rule: str, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize(("broken", "rule"), BROKEN_ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
+def test_broken_zone_placement_is_caught(broken: Break, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
-    assert is_caught(zones, range(8220, 8235), rule, 190, 20)
+    assert is_caught(single_zone_cluster, range(8220, 8235), rule, 190, 20)
 
 
-# -- the checks of whole days: no wait beside room once faults are over, no start after a cancellation ---
+# -- checks over whole days: no wait beside free capacity after the last fault, no start after a cancellation ---
 
 
-def ends_are_not_learnt(patch: Patch) -> None:
-    """A leader does not take in that jobs are over."""
-    learn = LiveJobWatcher._apply_live_job
+def job_ends_not_applied(patch: Patch) -> None:
+    """The leader does not apply the deletion of live jobs that ended."""
+    apply_live_job = LiveJobWatcher._apply_live_job
 
-    def keep(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
+    def ignore_job_ends(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
         if value is not None:
-            learn(self, job_id, value, version, revision)
+            apply_live_job(self, job_id, value, version, revision)
 
-    patch.setattr(LiveJobWatcher, "_apply_live_job", keep)
+    patch.setattr(LiveJobWatcher, "_apply_live_job", ignore_job_ends)
 
 
-def cancelled_in_the_queue(seed: int) -> AtLimit:
-    """Jobs that wait for their team's limit are cancelled as a leader has just begun, and other work ends later."""
-    cluster = AtLimit(seed)
+def queued_jobs_cancelled_cluster(seed: int) -> TeamLimitCluster:
+    """Jobs that wait for their team's limit are cancelled just after a failover, before quota becomes free."""
+    cluster = TeamLimitCluster(seed)
 
-    async def act(cluster: SimulatedCluster) -> None:
+    async def inject_faults(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(25)
         for _ in range(3):
             await cluster.restart_controller(cluster.current_leader())
@@ -298,35 +300,35 @@
                 await cancel_until_confirmed(cluster, job_id)
             await asyncio.sleep(15)
 
-    cluster.schedule_action(act)
+    cluster.schedule_action(inject_faults)
     return cluster
 
 
-def test_what_is_cancelled_in_the_queue_is_never_told_to_start_later() -> None:
-    cancelled = 0
+def test_job_cancelled_while_queued_gets_no_start_command() -> None:
+    cancelled_count = 0
     for seed in range(8230, 8233):
-        cluster = cancelled_in_the_queue(seed)
+        cluster = queued_jobs_cancelled_cluster(seed)
         check(cluster.run(length_s=110, job_count=16))
-        cancelled += len(cluster.cancelled_at)
-    assert cancelled >= 6
+        cancelled_count += len(cluster.cancelled_at)
+    assert cancelled_count >= 6
 
 
-def test_start_orders_after_a_cancellation_are_caught(monkeypatch: Patch) -> None:
-    ends_are_not_learnt(monkeypatch)
-    assert is_caught(cancelled_in_the_queue, range(8230, 8236), "start_after_cancel", 110, 16)
+def test_start_command_after_cancellation_is_caught(monkeypatch: Patch) -> None:
+    job_ends_not_applied(monkeypatch)
+    assert is_caught(queued_jobs_cancelled_cluster, range(8230, 8236), "start_after_cancel", 110, 16)
 
 
-def day_of(seed: int) -> FaultCombinationCluster:
-    """All controllers are away for longer than a lease while tasks run; then nothing goes wrong any more."""
+def day_without_controllers(seed: int) -> FaultCombinationCluster:
+    """All controllers are stopped for longer than a lease while tasks run; no further fault follows."""
     return FaultSchedule(seed, ((30.0, "all away"), (50.0, "all away")), quiet_s=QUIET_S).run()
 
 
-def test_drawn_days_check_what_waits_once_faults_are_over() -> None:
-    day = day_of(8240)
+def test_generated_days_check_for_waiting_jobs_after_the_last_fault() -> None:
+    day = day_without_controllers(8240)
     check(day)
     assert day.quiet_s > MAX_WAIT_S and day.longest_wait < MAX_WAIT_S
 
 
-def test_a_job_that_waits_beside_room_once_faults_are_over_is_caught(monkeypatch: Patch) -> None:
-    recorded_tasks_stay(monkeypatch)
-    assert any("waits_beside_room" in day_of(seed).first_failure for seed in range(8240, 8246))
+def test_job_that_waits_beside_free_capacity_after_faults_is_caught(monkeypatch: Patch) -> None:
+    recovered_placements_kept(monkeypatch)
+    assert any("waits_beside_room" in day_without_controllers(seed).first_failure for seed in range(8240, 8246))
