--- a/tests/test_capacity_snapshot.py
+++ b/tests/test_capacity_snapshot.py
@@ -1,4 +1,4 @@
-"""What a pass remembers changes no decision: the plain scan of every machine for every job is the reference."""
+"""Caches of a scheduling pass change no decision: the reference scans every machine for every job, uncached."""
 
 import random
 from collections.abc import Iterator
@@ -10,8 +10,7 @@
 
 from roseweir.clock import FOREVER, seconds
 from roseweir.limits.rules import renew_fetch_limits
-from roseweir.scheduler import quota, reservations, task_placement
-from roseweir.scheduler import scheduling_pass as planning
+from roseweir.scheduler import quota, reservations, scheduling_pass, task_placement
 from roseweir.scheduler.capacity_snapshot import CapacitySnapshot, MachineWithRoom, allows_machine
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import JobRun, Machine
@@ -20,174 +19,176 @@
 from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
 
 
-def scan(
-    look: CapacitySnapshot,
+def scan_all_machines(
+    snapshot: CapacitySnapshot,
     run: JobRun,
     machines: list[Machine],
-    reserved: dict[str, datetime],
-    unwanted: Any,
-    reserves: Any,
+    reserved_from: dict[str, datetime],
+    avoided_limits: Any,
+    capacity_reservations: Any,
 ) -> list[Machine]:
-    """As it was written first: each job looks at every machine and remembers nothing."""
-    spec, cluster_state, now = run.spec, look.cluster_state, look.now
-    ends = (
+    """The reference for `candidate_machines`: checks every machine for each job and caches nothing."""
+    spec, cluster_state, now = run.spec, snapshot.cluster_state, snapshot.now
+    expected_end = (
         now + cluster_state.estimate_runtime(spec)
         if spec.job_type == ARRAY and spec.estimated_duration_s > 0
         else FOREVER
     )
-    fit = [
+    candidates = [
         m
         for m in machines
         if allows_machine(spec, m)
-        and ends <= reserved.get(m.name, FOREVER)
+        and expected_end <= reserved_from.get(m.name, FOREVER)
         and not reservations.is_reserved_for_other_job(cluster_state, m, spec, now)
         and m.name not in run.failed_machines
-        and reserves.task_capacity(m, spec) > 0
-        and not any(limit.matches(spec, m) for limit in unwanted)
+        and capacity_reservations.task_capacity(m, spec) > 0
+        and not any(limit.matches(spec, m) for limit in avoided_limits)
     ]
-    return sorted(fit, key=lambda m: task_placement._placement_score(look, spec, m))
+    return sorted(candidates, key=lambda m: task_placement._placement_score(snapshot, spec, m))
 
 
 @contextmanager
-def plainly() -> Iterator[None]:
-    """Nothing of what was found out for one job serves another."""
+def uncached_references() -> Iterator[None]:
+    """Replaces the cached computations by references that compute everything again for each job."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(planning, "candidate_machines", scan)
+        patch.setattr(scheduling_pass, "candidate_machines", scan_all_machines)
         patch.setattr(CapacitySnapshot, "is_full", lambda self, spec, access: False)
-        patch.setattr(CapacitySnapshot, "earliest_machines_with_room", soonest)
-        patch.setattr(CapacitySnapshot, "_expected_ends", fresh_timeline)
-        patch.setattr(Machine, "has_image", has_image)
+        patch.setattr(CapacitySnapshot, "earliest_machines_with_room", scan_machines_with_room)
+        patch.setattr(CapacitySnapshot, "_expected_ends", compute_expected_ends)
+        patch.setattr(Machine, "has_image", scan_for_image)
         yield
 
 
-def soonest(look: CapacitySnapshot, spec: JobSpec, zone: str | None, wanted: int, passed_over: Any) -> list[Any]:
+def scan_machines_with_room(
+    snapshot: CapacitySnapshot, spec: JobSpec, zone: str | None, tasks_wanted: int, is_excluded: Any
+) -> list[Any]:
     times: list[tuple[datetime, str, Machine]] = []
-    for machine in look.machines:
-        fits = (
+    for machine in snapshot.machines:
+        is_candidate = (
             machine.machine_type.gpus > 0
             and allows_machine(spec, machine)
             and spec.fits_machine_type(machine.machine_type)
         )
-        if fits and zone in (None, machine.zone) and not passed_over(machine):
-            times += [(when, machine.name, machine) for when in look._room_times(machine, spec, wanted)]
-    return [MachineWithRoom(when, machine) for when, _, machine in sorted(times, key=lambda t: t[:2])[:wanted]]
+        if is_candidate and zone in (None, machine.zone) and not is_excluded(machine):
+            times += [(when, machine.name, machine) for when in snapshot._room_times(machine, spec, tasks_wanted)]
+    return [MachineWithRoom(when, machine) for when, _, machine in sorted(times, key=lambda t: t[:2])[:tasks_wanted]]
 
 
-def fresh_timeline(look: CapacitySnapshot, machine: Machine) -> list[Any]:
-    ends = [
-        (p.expected_end(look.now, look.cluster_state.estimate_runtime(p.run.spec)), p)
+def compute_expected_ends(snapshot: CapacitySnapshot, machine: Machine) -> list[Any]:
+    expected_ends = [
+        (p.expected_end(snapshot.now, snapshot.cluster_state.estimate_runtime(p.run.spec)), p)
         for p in machine.placements.values()
     ]
-    return sorted(ends, key=lambda pair: pair[0])
+    return sorted(expected_ends, key=lambda pair: pair[0])
 
 
-def has_image(machine: Machine, image: str) -> bool:
+def scan_for_image(machine: Machine, image: str) -> bool:
     return image in machine.image_cache or any(
         p.run.spec.image == image and p.stop_requested_at is None for p in machine.placements.values()
     )
 
 
-def drawn(draw: random.Random, number: int) -> JobSpec:
-    gpus = draw.choice([0.0, 0.0, 1.0, 2.0])
-    kind = draw.choice([ARRAY, ARRAY, GANG])
+def make_random_job(rng: random.Random, number: int) -> JobSpec:
+    gpus = rng.choice([0.0, 0.0, 1.0, 2.0])
+    job_type = rng.choice([ARRAY, ARRAY, GANG])
     return job(
         number,
-        team=draw.choice(["t0", "t1", "guest"]),
-        job_type=kind,
-        task_count=draw.randint(1, 2) if kind == GANG else draw.randint(1, 12),
+        team=rng.choice(["t0", "t1", "guest"]),
+        job_type=job_type,
+        task_count=rng.randint(1, 2) if job_type == GANG else rng.randint(1, 12),
         gpus=gpus,
-        cpus=round(draw.uniform(0.5, 3.0), 1),
-        memory_gb=round(draw.uniform(1.0, 9.0), 1),
-        priority=draw.randint(0, 3),
-        image=f"img-{draw.randint(0, 3)}",
+        cpus=round(rng.uniform(0.5, 3.0), 1),
+        memory_gb=round(rng.uniform(1.0, 9.0), 1),
+        priority=rng.randint(0, 3),
+        image=f"img-{rng.randint(0, 3)}",
         image_gb=2.0,
-        zone=draw.choice([None, None, "a"]),
-        requires_single_zone=draw.random() < 0.2,
-        spread_across_zones=draw.random() < 0.1,
-        allows_spot=draw.random() < 0.6,
-        estimated_duration_s=draw.choice([0.0, 5.0, 60.0]),
-        checkpoint_interval_s=draw.choice([0.0, 10.0]),
+        zone=rng.choice([None, None, "a"]),
+        requires_single_zone=rng.random() < 0.2,
+        spread_across_zones=rng.random() < 0.1,
+        allows_spot=rng.random() < 0.6,
+        estimated_duration_s=rng.choice([0.0, 5.0, 60.0]),
+        checkpoint_interval_s=rng.choice([0.0, 10.0]),
         accepted_ms=number,
     )
 
 
-def play(seed: int) -> list[list[tuple[str, int, str, int]]]:
-    """What each pass of a drawn stretch of work placed: job, task, machine, attempt."""
-    draw = random.Random(seed)
+def run_random_workload(seed: int) -> list[list[tuple[str, int, str, int]]]:
+    """Returns what each scheduling pass over a generated workload placed: job, task, machine, attempt."""
+    rng = random.Random(seed)
     cluster_state, now = make_cluster_state(), NOW
-    hands = []
+    workers = []
     for n in range(14):
-        hands.append(FakeWorker(cluster_state, f"i-{n:03d}", draw.choice(["cpu", "gpu"]), draw.choice("ab")))
-        hands[-1].send_heartbeat(now)
-        hands[-1].machine.is_spot = draw.random() < 0.4
-    told: list[list[tuple[str, int, str, int]]] = []
+        workers.append(FakeWorker(cluster_state, f"i-{n:03d}", rng.choice(["cpu", "gpu"]), rng.choice("ab")))
+        workers[-1].send_heartbeat(now)
+        workers[-1].machine.is_spot = rng.random() < 0.4
+    placements_by_pass: list[list[tuple[str, int, str, int]]] = []
     for number in range(40):
-        now += seconds(draw.choice([0.2, 1.0, 4.0]))
+        now += seconds(rng.choice([0.2, 1.0, 4.0]))
         renew_fetch_limits(
             cluster_state.limits,
             [(m.zone, m.machine_type) for m in cluster_state.machines.values()],
             cluster_state.operator_config,
             now,
         )
-        for _ in range(draw.randint(0, 3)):
-            spec = drawn(draw, number * 10 + len(cluster_state.jobs))
+        for _ in range(rng.randint(0, 3)):
+            spec = make_random_job(rng, number * 10 + len(cluster_state.jobs))
             if spec.id not in cluster_state.jobs:
                 cluster_state.add_job(spec, 1)
-        planning.run_scheduling_pass(cluster_state, now)
-        told.append(
+        scheduling_pass.run_scheduling_pass(cluster_state, now)
+        placements_by_pass.append(
             sorted((p.run.spec.id, p.index, p.machine.name, p.attempt) for p in cluster_state.planned_placements)
         )
         cluster_state.planned_placements.clear()
         commit_placements(cluster_state)
-        for hand in hands:
-            if draw.random() < 0.8:
-                hand.send_heartbeat(now)
-            for key, task in list(hand.tasks.items()):
-                if task.state == "running" and draw.random() < 0.15:
-                    hand.end_task(key[0], draw.choice(["done", "done", "error", "halted"]))
-        recount(cluster_state)
-    return told
-
-
-def recount(cluster_state: ClusterState) -> None:
-    """What is kept by addition is what a sum over everything gives."""
+        for worker in workers:
+            if rng.random() < 0.8:
+                worker.send_heartbeat(now)
+            for key, task in list(worker.tasks.items()):
+                if task.state == "running" and rng.random() < 0.15:
+                    worker.end_task(key[0], rng.choice(["done", "done", "error", "halted"]))
+        check_incremental_state(cluster_state)
+    return placements_by_pass
+
+
+def check_incremental_state(cluster_state: ClusterState) -> None:
+    """Checks that incrementally updated values equal those computed from scratch."""
     for machine in cluster_state.machines.values():
         for image in ("img-0", "img-1", "img-2", "img-3"):
-            assert machine.has_image(image) == has_image(machine, image)
-    covered = {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
+            assert machine.has_image(image) == scan_for_image(machine, image)
+    within_quota = {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
     if not cluster_state.needs_quota_update:
         cluster_state.needs_quota_update = True
         quota.mark_within_quota(cluster_state)
-        assert covered == {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
+        assert within_quota == {run.spec.id: run.is_within_quota for run in cluster_state.jobs.values()}
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_what_a_pass_remembers_changes_no_decision(seed: int) -> None:
-    with plainly():
-        expected = play(seed)
-    assert play(seed) == expected
+def test_caches_of_a_pass_change_no_decision(seed: int) -> None:
+    with uncached_references():
+        expected = run_random_workload(seed)
+    assert run_random_workload(seed) == expected
     assert sum(map(len, expected)) > 40
 
 
-def test_a_job_that_finds_no_room_spares_larger_ones_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a full fleet each of hundreds of waiting jobs looked at the machines again."""
+def test_job_without_capacity_spares_larger_jobs_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
+    """On a full fleet each of hundreds of waiting jobs searched all machines again."""
     cluster_state = make_cluster_state()
-    hands = [FakeWorker(cluster_state, f"i-{n}") for n in range(20)]
-    for hand in hands:
-        hand.send_heartbeat(NOW)
-        hand.send_heartbeat(NOW)
+    workers = [FakeWorker(cluster_state, f"i-{n}") for n in range(20)]
+    for worker in workers:
+        worker.send_heartbeat(NOW)
+        worker.send_heartbeat(NOW)
     cluster_state.add_job(job(1, task_count=20 * 8 - 10, accepted_ms=1), 1)
-    planning.run_scheduling_pass(cluster_state, NOW)
+    scheduling_pass.run_scheduling_pass(cluster_state, NOW)
     for number in range(100):
         cluster_state.add_job(job(2 + number, task_count=3, cpus=7.0 + number / 200, accepted_ms=2 + number), 1)
-    searches = 0
-    search = task_placement.candidate_machines
+    search_count = 0
+    candidate_machines = task_placement.candidate_machines
 
-    def counted(*args: Any) -> list[Machine]:
-        nonlocal searches
-        searches += 1
-        return search(*args)
+    def counting_candidate_machines(*args: Any) -> list[Machine]:
+        nonlocal search_count
+        search_count += 1
+        return candidate_machines(*args)
 
-    monkeypatch.setattr(planning, "candidate_machines", counted)
-    assert planning.run_scheduling_pass(cluster_state, NOW).placed_count <= 3
-    assert searches <= 4
+    monkeypatch.setattr(scheduling_pass, "candidate_machines", counting_candidate_machines)
+    assert scheduling_pass.run_scheduling_pass(cluster_state, NOW).placed_count <= 3
+    assert search_count <= 4
