--- a/tests/test_capacity_snapshot.py
+++ b/tests/test_capacity_snapshot.py
@@ -171,7 +171,7 @@
 
 
 def test_job_without_capacity_spares_larger_jobs_the_search(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a full fleet each of hundreds of waiting jobs searched all machines again."""
+    """Guards against hundreds of waiting jobs that each search all machines of a full fleet again."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, f"i-{n}") for n in range(20)]
     for worker in workers:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -126,7 +126,7 @@
 
 
 def test_waiting_gang_holds_its_share_of_the_team_limit() -> None:
-    """Arrays took quota that became free one task at a time, and the gang queued before them never started."""
+    """Otherwise arrays take quota that becomes free task by task, and the gang queued before them never starts."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, f"i-{n}", "gpu") for n in range(2)]
     for worker in workers:
@@ -151,11 +151,11 @@
         run.mark_completed(0)
         run.uncommitted_completions.add(0)
         cluster_state.dirty_jobs.add(run.spec.id)
-    quota_run = cluster_state.add_job(job(5000, gpus=1.0), 1)
-    quota_run.is_within_quota = True
-    quota_run.mark_completed(0)
-    quota_run.uncommitted_completions.add(0)
-    cluster_state.dirty_jobs.add(quota_run.spec.id)
+    within_quota_run = cluster_state.add_job(job(5000, gpus=1.0), 1)
+    within_quota_run.is_within_quota = True
+    within_quota_run.mark_completed(0)
+    within_quota_run.uncommitted_completions.add(0)
+    cluster_state.dirty_jobs.add(within_quota_run.spec.id)
     cluster_state.add_job(job(6000, task_count=50), 1)
     for worker in workers:
         worker.send_heartbeat(now)
@@ -173,7 +173,7 @@
 
 
 def test_replaced_gang_tasks_do_not_raise_the_team_limit() -> None:
-    """Replaced gang tasks returned quota that they had not claimed, and an array exceeded the team's limit."""
+    """Guards against replaced gang tasks that return quota they never claimed, so that an array exceeds the limit."""
     cluster_state, workers = make_fleet(80)
     for worker in workers:
         worker.send_heartbeat(NOW)
@@ -190,7 +190,7 @@
 
 
 def test_scale_out_scans_the_fleet_once_for_all_waiting_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each waiting job computed the available machines and boot times again."""
+    """Guards against computing the available machines and boot times again for each waiting job."""
     cluster_state, _ = make_fleet(50)
     pass_result = SchedulingPassResult(unplaced=[(cluster_state.add_job(job(number), 1), 1) for number in range(100)])
     call_count = 0
@@ -207,7 +207,7 @@
 
 
 def test_pass_over_many_small_jobs_checks_only_machines_with_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of 500 one-task jobs checked every one of 700 machines, although almost all were full."""
+    """Guards against each of 500 one-task jobs checking all 700 machines, almost all of them full."""
     cluster_state, workers = make_fleet(200)
     now = NOW + seconds(1)
     for worker in workers:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,8 +16,8 @@
 MACHINE_TYPE = MachineType("big", 8, 0, 32, 50, 1.0, 1.0, 0.3, 30, ("a", "b"))
 
 
-def job(number: int = 1, **more: Any) -> JobSpec:
-    return make_job_spec(number, **({"task_count": 10, "image": "img", "image_gb": 4.0} | more))
+def job(number: int = 1, **fields: Any) -> JobSpec:
+    return make_job_spec(number, **({"task_count": 10, "image": "img", "image_gb": 4.0} | fields))
 
 
 def machine(zone: str = "a") -> Machine:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -36,7 +36,7 @@
         record_probe_result(cluster_state, machine, now, machine.name in hung_machines, now + PROBE_TIMEOUT)
 
 
-def test_of_many_silent_machines_hung_ones_are_kept_and_lost_ones_released() -> None:
+def test_hung_machines_are_waited_for_and_lost_machines_released() -> None:
     rng = random.Random(5)
     cluster_state, workers = make_fleet(30)
     silent = rng.sample([worker.name for worker in workers], 9)
--- a/tests/test_reserved_headroom.py
+++ b/tests/test_reserved_headroom.py
@@ -28,12 +28,12 @@
     return configured
 
 
-def viewer_service(number: int, tasks: int = 4) -> object:
+def viewer_service(number: int, task_count: int = 4) -> object:
     return job(
         number,
         job_class="viewer",
         job_type=SERVICE,
-        task_count=tasks,
+        task_count=task_count,
         cpus=2.0,
         priority=0,
         spread_across_zones=True,
@@ -77,7 +77,7 @@
     cluster_state = make_cluster_state_with_objective(1.0)
     for n in range(8):
         FakeWorker(cluster_state, f"i-{n:03d}", "cpu", "ab"[n % 2]).send_heartbeat(NOW)
-    cluster_state.add_job(viewer_service(1, tasks=30), 1)  # type: ignore[arg-type]
+    cluster_state.add_job(viewer_service(1, task_count=30), 1)  # type: ignore[arg-type]
     cluster_state.add_job(job(2, task_count=400, cpus=1.0, priority=2), 2)
     run_scheduling_pass(cluster_state, NOW)
     # 6% of a zone's 32 CPUs are fewer than one task needs.
@@ -94,7 +94,7 @@
 def test_without_enough_headroom_shortest_running_tasks_are_preempted() -> None:
     cluster_state, workers = make_full_cluster()
     first = cluster_state.add_job(viewer_service(5), 5)  # type: ignore[arg-type]
-    second = cluster_state.add_job(viewer_service(6, tasks=8), 6)  # type: ignore[arg-type]
+    second = cluster_state.add_job(viewer_service(6, task_count=8), 6)  # type: ignore[arg-type]
     run_scheduling_pass(cluster_state, NOW)
     assert len(first.placements) == 4 and len(second.placements) == 0
     for worker in workers:
@@ -143,7 +143,7 @@
 
 
 def test_gangs_are_never_preempted_for_a_few_cpus() -> None:
-    """A gang with checkpoints loses little work when preempted, so it was preempted first for a few CPUs."""
+    """A gang with checkpoints loses little work when preempted, but must not be the first victim for a few CPUs."""
     cluster_state = make_cluster_state_with_objective(1.0)
     workers = [FakeWorker(cluster_state, f"i-{n:03d}", "gpu", "ab"[n % 2]) for n in range(2)]
     for worker in workers:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -392,7 +392,7 @@
 
 
 def test_booting_machine_gets_time_for_a_heartbeat_after_failover() -> None:
-    """A new leader released working machines at once, because the cloud had rented them long before (inc-1d61)."""
+    """Guards against a new leader releasing working machines at once because they were rented long ago (inc-1d61)."""
     cluster_state = make_cluster_state()
     machine = add_booting_machine(cluster_state, "i-1", NOW - seconds(900))
     machine.is_autoscaled, machine.known_since = False, NOW
@@ -542,7 +542,7 @@
 
 
 def test_service_with_healthy_replicas_is_not_blamed_for_faulty_machines() -> None:
-    """Failures over a service's whole life added up: three faulty machines moved it behind all lower-priority jobs."""
+    """If failures over its whole life added up, three faulty machines would move it behind all lower-priority jobs."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, f"i-{n}") for n in range(6)]
     for worker in workers:
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -33,8 +33,8 @@
 
 
 def test_scale_out_rents_cpu_machine_in_zone_with_only_gpu_machines() -> None:
-    """The GPU machine fits the job, but its CPUs are kept for GPU tasks. The idle machine of the other zone counted as
-    enough total capacity, so nothing was rented and the job waited for ever (generated day 85)."""
+    """The GPU machine fits the job, but its CPUs are kept for GPU tasks. If an idle machine of the other zone counts as
+    enough total capacity, nothing is rented and the job waits for ever (generated day 85)."""
     cluster_state = make_cluster_state()
     FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
     FakeWorker(cluster_state, "i-2", "cpu", "b").send_heartbeat(NOW)
@@ -51,7 +51,7 @@
 
 
 def test_scale_out_rents_machines_when_too_few_idle_ones_fit_a_gang() -> None:
-    """An idle machine of another zone counted as enough total capacity, so nothing was rented: the gang waited, and its
+    """If an idle machine of another zone counts as enough total capacity, nothing is rented: the gang waits, and its
     team's later jobs too, since the gang holds its share of the team's limit (generated day 6)."""
     cluster_state = make_cluster_state()
     FakeWorker(cluster_state, "i-1", "gpu", "a").send_heartbeat(NOW)
@@ -159,9 +159,9 @@
     """The quota of a cancelled job's tasks is not released when they are proven gone."""
     remove_placement = ClusterState.remove_placement
 
-    def remove_without_freeing_quota(self: ClusterState, placement: Placement, *rest: Any) -> None:
+    def remove_without_freeing_quota(self: ClusterState, placement: Placement, *args: Any) -> None:
         was_placed = placement.run.placements.get(placement.index) is placement
-        remove_placement(self, placement, *rest)
+        remove_placement(self, placement, *args)
         if was_placed and placement.run.final_state:
             self.usage_by_team[placement.run.spec.team].gpus += placement.run.spec.gpus
 
@@ -247,9 +247,9 @@
     """A placement recorded by an earlier leader stays although the machine's heartbeat does not list its task."""
     remove_unlisted = HeartbeatReconciler._remove_unlisted_tasks
 
-    def keep_recovered(self: HeartbeatReconciler, machine: Machine, listed: set[tuple[str, int]], *rest: Any) -> None:
+    def keep_recovered(self: HeartbeatReconciler, machine: Machine, listed: set[tuple[str, int]], *args: Any) -> None:
         recovered = {key for key, p in machine.placements.items() if p.phase == PlacementPhase.RECOVERED}
-        remove_unlisted(self, machine, listed | recovered, *rest)
+        remove_unlisted(self, machine, listed | recovered, *args)
 
     patch.setattr(HeartbeatReconciler, "_remove_unlisted_tasks", keep_recovered)
 
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -23,8 +23,8 @@
 
 
 class ServiceCluster(SimulatedCluster):
-    def __init__(self, seed: int, **more: Any) -> None:
-        super().__init__(seed, write_rps=15.0, txn_ops=8, value_kb=4.0, scale=4, params_override=PARAMS, **more)
+    def __init__(self, seed: int, **options: Any) -> None:
+        super().__init__(seed, write_rps=15.0, txn_ops=8, value_kb=4.0, scale=4, params_override=PARAMS, **options)
         self.team_gpu_limit = None
         self.accepted_at: dict[str, float] = {}
         self.expected_replica_s = self.replica_up_s = 0.0
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -89,7 +89,7 @@
 def test_large_job_starts_despite_arriving_small_jobs_of_higher_rank(
     job_shape: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(scheduling_pass, "mark_within_quota", lambda board: None)
+    monkeypatch.setattr(scheduling_pass, "mark_within_quota", lambda cluster_state: None)
 
     def is_within_quota(run: JobRun) -> bool:
         return run.spec.team == "t0"
@@ -104,7 +104,7 @@
     assert first_large_start_s(job_shape, 6) < MAX_START_DELAY_S
     if job_shape == "gang":
         # Without starvation marks, capacity freed task by task never adds up to the gang.
-        monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
+        monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *args: None)
         assert first_large_start_s(job_shape, 6) >= 360
 
 
@@ -216,8 +216,8 @@
 class StarvationCluster(SimulatedCluster):
     """A team's small jobs of higher rank keep arriving while its largest job needs the team's whole limit."""
 
-    def __init__(self, seed: int, **more: Any) -> None:
-        super().__init__(seed, scale=2, restart_delay_range_s=(0.1, 1.0), **more)
+    def __init__(self, seed: int, **options: Any) -> None:
+        super().__init__(seed, scale=2, restart_delay_range_s=(0.1, 1.0), **options)
         self.large_job_id = "j-7000001"
         self.large_job_starts: list[float] = []
 
@@ -277,20 +277,20 @@
             await asyncio.sleep(5)
 
 
-@pytest.mark.parametrize("with_faults", [False, True])
+@pytest.mark.parametrize("with_failures", [False, True])
 def test_largest_job_starts_beside_small_ones_despite_failures(
-    with_faults: bool, monkeypatch: pytest.MonkeyPatch
+    with_failures: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(starvation, "LARGE_JOB_STARVATION_THRESHOLD", seconds(10))
     monkeypatch.setattr(starvation, "STARVATION_THRESHOLD", seconds(18))
     cluster = StarvationCluster(7900, is_calm=True)
     cluster.schedule_action(cluster.submit_jobs)
-    if with_faults:
+    if with_failures:
         cluster.schedule_action(cluster.fail_machines_and_leaders)
     check(cluster.run(length_s=75, job_count=3))
     assert cluster.large_job_starts and cluster.large_job_starts[0] < 8 + 45
     # Without starvation marks the small jobs overtake it for ever.
-    monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *more: None)
+    monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *args: None)
     unprotected_cluster = StarvationCluster(7900, is_calm=True)
     unprotected_cluster.schedule_action(unprotected_cluster.submit_jobs)
     check(unprotected_cluster.run(length_s=75, job_count=3))
