--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked, and what is wrong is said in one line that names the field."""
+"""Settings are validated; an error is printed as one line that names the wrong field."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -14,24 +14,24 @@
 EXAMPLE = Path(__file__).parent.parent / "examples" / "settings.json"
 
 
-def changed(tmp_path: Path, *path: str, value: object) -> Path:
+def write_changed_settings(tmp_path: Path, *path: str, value: object) -> Path:
     settings = orjson.loads(EXAMPLE.read_bytes())
-    at = settings
+    parent = settings
     for name in path[:-1]:
-        at = at[name]
-    at[path[-1]] = value
+        parent = parent[name]
+    parent[path[-1]] = value
     file = tmp_path / "settings.json"
     file.write_bytes(orjson.dumps(settings))
     return file
 
 
 def test_example_is_accepted_and_unknown_fields_are_ignored(tmp_path: Path) -> None:
-    settings = load_settings(changed(tmp_path, "something_new", value={"a": 1}))
+    settings = load_settings(write_changed_settings(tmp_path, "something_new", value={"a": 1}))
     assert settings.params.workers.lease_duration == timedelta(seconds=12)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "field"),
     [
         (("public_addr",), "nowhere", "public_addr"),
         (("public_addr",), "127.0.0.1:70000", "public_addr"),
@@ -44,12 +44,12 @@
         (("endpoints", "state"), None, "state"),
     ],
 )
-def test_wrong_setting_is_named_in_one_line(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], path: tuple[str, ...], value: object, named: str
+def test_invalid_setting_is_named_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], path: tuple[str, ...], value: object, field: str
 ) -> None:
-    assert main(["check-config", "--config", str(changed(tmp_path, *path, value=value))]) == 2
-    said = capsys.readouterr().err
-    assert named in said and said.count("\n") == 1
+    assert main(["check-config", "--config", str(write_changed_settings(tmp_path, *path, value=value))]) == 2
+    error_output = capsys.readouterr().err
+    assert field in error_output and error_output.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -62,8 +62,10 @@
         (("params", "objectives"), []),
     ],
 )
-def test_places_of_other_kinds_are_served(tmp_path: Path, path: tuple[str, ...], value: object) -> None:
-    assert main(["check-config", "--config", str(changed(tmp_path, *path, value=value))]) == 0
+def test_unusual_zones_store_limits_and_teams_are_accepted(
+    tmp_path: Path, path: tuple[str, ...], value: object
+) -> None:
+    assert main(["check-config", "--config", str(write_changed_settings(tmp_path, *path, value=value))]) == 0
 
 
 def test_missing_file_bad_json_and_bad_log_level_exit_2(
@@ -77,16 +79,16 @@
     assert capsys.readouterr().err.count("\n") == 3
 
 
-def test_operators_settings_are_read(tmp_path: Path) -> None:
+def test_operator_config_is_read(tmp_path: Path) -> None:
     file = tmp_path / "limits.sexp"
     file.write_text(
         """; evening
         (startup-limits (fetch-share 0.5) (failure-count 3) (ban-window 7)
           (limit (name "n") (job-class "x") (zone "a") (count 5) (window 60) (burst 2)))"""
     )
-    tuning = load_operator_config(file)
-    assert (tuning.fetch_share, tuning.failure_count, tuning.ban_window) == (0.5, 3, timedelta(seconds=7))
-    assert tuning.class_limits[0].zone == "a" and tuning.class_limits[0].window == timedelta(minutes=1)
+    config = load_operator_config(file)
+    assert (config.fetch_share, config.failure_count, config.ban_window) == (0.5, 3, timedelta(seconds=7))
+    assert config.class_limits[0].zone == "a" and config.class_limits[0].window == timedelta(minutes=1)
     assert load_operator_config(None).class_limits == []
 
 
@@ -105,7 +107,7 @@
         "startup-limits",
     ],
 )
-def test_wrong_operators_settings_are_refused(tmp_path: Path, text: str) -> None:
+def test_invalid_operator_config_is_refused(tmp_path: Path, text: str) -> None:
     file = tmp_path / "limits.sexp"
     file.write_text(text)
     with pytest.raises(SettingsError):
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -33,7 +33,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, new_board
-from tests.test_settings import EXAMPLE, changed
+from tests.test_settings import EXAMPLE, write_changed_settings
 from tests.test_simulated_days import check
 
 MS = 1_700_000_000_000
@@ -52,7 +52,9 @@
     ],
 )
 def test_lower_of_the_limits_now_and_to_come_holds(tmp_path: Path, following: object, lower: tuple[float, ...]) -> None:
-    state = load_settings(changed(tmp_path, "params", "state", value=WIDE | {"next": following})).params.kv_store
+    state = load_settings(
+        write_changed_settings(tmp_path, "params", "state", value=WIDE | {"next": following})
+    ).params.kv_store
     assert (state.max_requests_per_s, state.max_writes_per_s, state.max_value_kib, state.max_txn_ops) == lower
 
 
@@ -79,7 +81,16 @@
 def test_wrong_limit_to_come_is_named_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], following: object, named: str
 ) -> None:
-    assert main(["check-config", "--config", str(changed(tmp_path, "params", "state", "next", value=following))]) == 2
+    assert (
+        main(
+            [
+                "check-config",
+                "--config",
+                str(write_changed_settings(tmp_path, "params", "state", "next", value=following)),
+            ]
+        )
+        == 2
+    )
     said = capsys.readouterr().err
     assert named in said and said.count("\n") == 1
 
