--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -42,7 +42,7 @@
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
 from tests.test_eviction_days import world_of as replaced
-from tests.test_job_durability import ANSWERED, watched
+from tests.test_job_durability import MAX_UNANSWERED_S, schedule_polling_users
 from tests.test_rebalancing import Pieces
 from tests.test_rebalancing import tuning as pieces_tuning
 from tests.test_scheduler import NOW, TERM, Hand, new_board, record
@@ -292,7 +292,7 @@
 
 def asked_world(seed: int) -> tuple[SimulatedCluster, list[Any]]:
     cluster = SimulatedCluster(seed, is_calm=True, controller_count=3 if seed % 2 else 5)
-    found = watched(cluster, 72.0)
+    found = schedule_polling_users(cluster, 72.0)
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(15)
@@ -313,7 +313,7 @@
     for seed in range(7810, 7816):
         cluster, found = asked_world(seed)
         check(cluster.run(length_s=100, job_count=30))
-        assert found[0].longest_unanswered_s <= ANSWERED and not found[0].unanswered_since, (
+        assert found[0].longest_unanswered_s <= MAX_UNANSWERED_S and not found[0].unanswered_since, (
             found[0].longest_unanswered_s,
             found[0].unanswered_since,
         )
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -1,4 +1,4 @@
-"""An accepted job stays known for good: whoever asks about it gets an answer, however others fare."""
+"""Status requests about an accepted job are answered, through and after faults of nodes and floods of requests."""
 
 import asyncio
 
@@ -10,38 +10,39 @@
 from tests.simulation.load_balancer import LoadBalancer, PollingUsers
 from tests.test_simulated_days import check
 
-ANSWERED = 10.0
+MAX_UNANSWERED_S = 10.0
 
 
-def watched(cluster: SimulatedCluster, quiet_from: float) -> list[PollingUsers]:
-    found: list[PollingUsers] = []
+def schedule_polling_users(cluster: SimulatedCluster, faults_end_at_s: float) -> list[PollingUsers]:
+    """Schedule users that poll all accepted jobs; the returned list holds them once the simulation has started."""
+    pollers: list[PollingUsers] = []
 
-    async def ask(cluster: SimulatedCluster) -> None:
+    async def poll(cluster: SimulatedCluster) -> None:
         balancer = LoadBalancer(cluster)
         cluster.spawn(balancer.run())
-        asked = PollingUsers(cluster, balancer, lambda: virtual_now() >= quiet_from)
-        found.append(asked)
-        await asked.run()
+        users = PollingUsers(cluster, balancer, lambda: virtual_now() >= faults_end_at_s)
+        pollers.append(users)
+        await users.run()
 
-    cluster.faults_end_at = quiet_from
-    cluster.schedule_action(ask)
-    return found
+    cluster.faults_end_at = faults_end_at_s
+    cluster.schedule_action(poll)
+    return pollers
 
 
 @pytest.mark.parametrize("seed", range(9500, 9506))
-@pytest.mark.parametrize("controllers", [3, 5])
-def test_every_job_is_answered_within_seconds_of_the_end_of_all_troubles(seed: int, controllers: int) -> None:
+@pytest.mark.parametrize("controller_count", [3, 5])
+def test_every_job_is_answered_soon_after_all_faults_end(seed: int, controller_count: int) -> None:
     cluster = SimulatedCluster(
         seed,
         faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS],
-        controller_count=controllers,
+        controller_count=controller_count,
         restart_delay_range_s=(0.2, 4.0),
     )
-    found = watched(cluster, 80.0)
+    pollers = schedule_polling_users(cluster, 80.0)
 
-    async def calm_down(cluster: SimulatedCluster) -> None:
+    async def end_all_faults(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(80)
-        # All that was under way is over now; what the day drew for longer ends with it.
+        # Ends all faults now, also those whose drawn duration is longer.
         cluster.state.refused_controllers.clear()
         if cluster.state.is_down:
             cluster.state.end_outage()
@@ -54,48 +55,51 @@
         cluster.partitioned_zones.clear()
         cluster.is_calm = True
 
-    cluster.schedule_action(calm_down)
+    cluster.schedule_action(end_all_faults)
     check(cluster.run(length_s=130, job_count=40))
-    assert found[0].longest_unanswered_s <= ANSWERED and not found[0].unanswered_since, (
-        found[0].longest_unanswered_s,
-        found[0].unanswered_since,
+    assert pollers[0].longest_unanswered_s <= MAX_UNANSWERED_S and not pollers[0].unanswered_since, (
+        pollers[0].longest_unanswered_s,
+        pollers[0].unanswered_since,
     )
 
 
 @pytest.mark.parametrize("stays_healthy", [False, True])
-def test_lone_nodes_that_answer_503_leave_no_job_without_an_answer(
+def test_isolated_nodes_that_answer_503_leave_no_job_unanswered(
     stays_healthy: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two of three lack state service and peers for two minutes: the balancer prefers them, as they have no work."""
+    """Two of three nodes reach neither the key-value store nor their peers for two minutes.
+
+    The load balancer prefers them, as they have no load, unless they report themselves as failing.
+    """
     if stays_healthy:
         monkeypatch.setattr(StoreIsolationDetector, "evaluate_failing", lambda self, *args, **more: False)
     cluster = SimulatedCluster(7600, is_calm=True)
-    found = watched(cluster, 25.0)
+    pollers = schedule_polling_users(cluster, 25.0)
 
-    async def lose(cluster: SimulatedCluster) -> None:
+    async def isolate_followers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
         for node in [n for n in cluster.nodes if n is not cluster.current_leader()][:2]:
             node.network_faults |= {"state": "refused", "peers": "refused"}
 
-    cluster.schedule_action(lose)
+    cluster.schedule_action(isolate_followers)
     cluster.run(length_s=120, job_count=30)
     if stays_healthy:
-        # A job without an answer for so long breaks the world's own rule as well, on the days on which it shows.
-        assert not cluster.errors and all("forgotten" in str(broken) for broken in cluster.rule_violations)
-        assert found[0].longest_unanswered_s > ANSWERED
+        # A job that stays unanswered this long may also violate the simulated cluster's rule "forgotten".
+        assert not cluster.errors and all("forgotten" in str(violation) for violation in cluster.rule_violations)
+        assert pollers[0].longest_unanswered_s > MAX_UNANSWERED_S
     else:
         check(cluster)
-        assert found[0].longest_unanswered_s <= ANSWERED and not found[0].unanswered_since, (
-            found[0].longest_unanswered_s,
-            found[0].unanswered_since,
+        assert pollers[0].longest_unanswered_s <= MAX_UNANSWERED_S and not pollers[0].unanswered_since, (
+            pollers[0].longest_unanswered_s,
+            pollers[0].unanswered_since,
         )
 
 
-def test_a_flood_of_questions_keeps_no_ended_job_without_an_answer() -> None:
-    """Each question about a job that is over, or never was, takes a read; a flood used up what there is of them."""
+def test_flood_of_polls_leaves_no_ended_job_unanswered() -> None:
+    """Each poll of an ended or unknown job takes a read, so a flood of polls can use up the read budget."""
     cluster = SimulatedCluster(7601, is_calm=True, params_override=None)
-    found = watched(cluster, 0.0)
-    refused: list[int] = []
+    pollers = schedule_polling_users(cluster, 0.0)
+    refusals: list[int] = []
 
     async def flood(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(40)
@@ -103,33 +107,33 @@
             assert node.service is not None
             node.service.submission_handlers._terminal_states.states.clear()
 
-        async def one() -> None:
+        async def poll_unknown_jobs() -> None:
             while True:
                 job_id = f"j-8{cluster.rng.randrange(10**9)}"
                 node = cluster.rng.choice(cluster.nodes)
-                ask = Request("GET", f"/submissions/{job_id}", b"")
-                response = await node.serve(lambda service, ask=ask: service.serve_public(ask))  # type: ignore[misc]
+                request = Request("GET", f"/submissions/{job_id}", b"")
+                response = await node.serve(lambda service, request=request: service.serve_public(request))  # type: ignore[misc]
                 if response is not None and response.status == 429:
-                    refused.append(1)
+                    refusals.append(1)
                 await asyncio.sleep(cluster.rng.uniform(0.2, 0.6))
 
         for _ in range(150):
-            cluster.spawn(one())
+            cluster.spawn(poll_unknown_jobs())
 
     cluster.schedule_action(flood)
     check(cluster.run(length_s=100, job_count=30))
-    assert len(refused) > 500
-    assert found[0].longest_unanswered_s <= 20 and len(cluster.observed_ends) > 15, found[0].longest_unanswered_s
+    assert len(refusals) > 500
+    assert pollers[0].longest_unanswered_s <= 20 and len(cluster.observed_ends) > 15, pollers[0].longest_unanswered_s
 
 
-def test_a_job_whose_record_cannot_be_read_stays_known_and_says_so_and_others_run() -> None:
+def test_job_with_an_unreadable_record_is_held_and_other_jobs_run() -> None:
     cluster = SimulatedCluster(7602, is_calm=True)
-    told: list[object] = []
+    observed: list[object] = []
 
-    async def spoil(cluster: SimulatedCluster) -> None:
+    async def corrupt_job_record(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(25)
         job_id = "j-7654321"
-        plain = {
+        overrides = {
             "name_id": job_id,
             "shape": "sweep",
             "parcels": 400,
@@ -137,7 +141,7 @@
             "builds": None,
             "rank": "low",
         }
-        cluster.jobs[job_id] = cluster.make_job() | plain | {"mistaken": False, "yard": None}
+        cluster.jobs[job_id] = cluster.make_job() | overrides | {"mistaken": False, "yard": None}
         body = {k: v for k, v in cluster.jobs[job_id].items() if k != "mistaken"}
         assert (await cluster.ask("POST", "/submissions", body))[0] == 201
         cluster.accepted_jobs.add(job_id)
@@ -147,18 +151,18 @@
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(6)
         status, answer = await cluster.ask("GET", f"/submissions/{job_id}")
-        told.extend([status, answer["standing"]])
+        observed.extend([status, answer["standing"]])
         service = cluster.current_leader().service
         assert service is not None
-        told.append(service.status_reporter.describe_status()["jobs_held"])
-        told.append(service.leader_election.failed_terms)
+        observed.append(service.status_reporter.describe_status()["jobs_held"])
+        observed.append(service.leader_election.failed_terms)
         cluster.cancel_requested.add(job_id)
         status, answer = await cluster.ask("POST", f"/submissions/{job_id}/cancel")
-        told.extend([status, answer["standing"]])
+        observed.extend([status, answer["standing"]])
         cluster.observed_ends[job_id] = "aborted"
 
-    cluster.schedule_action(spoil)
+    cluster.schedule_action(corrupt_job_record)
     check(cluster.run(length_s=90, job_count=25))
-    assert told[:2] in ([200, "queued"], [200, "running"]) and told[3:] == [0, 200, "aborted"], told
-    assert isinstance(told[2], list) and "its record to be readable" in told[2][0]
+    assert observed[:2] in ([200, "queued"], [200, "running"]) and observed[3:] == [0, 200, "aborted"], observed
+    assert isinstance(observed[2], list) and "its record to be readable" in observed[2][0]
     assert len(cluster.observed_ends) > 15
