--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections are scarce: who is served, who makes way, and that no side pays for another's flood."""
+"""Admission of scarce connections: which are admitted or evicted, and that a flood only affects its own class."""
 
 import random
 
@@ -8,121 +8,129 @@
 from roseweir.connections.admission import CLASS_SHARES, MAX_KEEP_ALIVE_USAGE
 
 
-class Fleet:
-    """Workers that report to a room with fewer places than there are workers."""
+class SimulatedClients:
+    """Clients of an admission with fewer connections than there are workers."""
 
-    def __init__(self, room: ConnectionAdmission[str], machines: int, draw: random.Random) -> None:
-        self.room, self.draw = room, draw
+    def __init__(self, admission: ConnectionAdmission[str], worker_count: int, rng: random.Random) -> None:
+        self.admission, self.rng = admission, rng
         self.open: set[str] = set()
-        self.names = [f"w-{n}" for n in range(machines)]
-        self.turned_away = 0
+        self.workers = [f"w-{n}" for n in range(worker_count)]
+        self.rejected_count = 0
 
     def connect(self, name: str) -> bool:
         if name in self.open:
             return True
-        let_in, victim = self.room.admit(name)
+        is_admitted, victim = self.admission.admit(name)
         if victim is not None:
             self.open.discard(victim)
-        if let_in:
+        if is_admitted:
             self.open.add(name)
-        return let_in
+        return is_admitted
 
-    def talk(self, name: str, side: ConnectionClass) -> bool:
-        """One request and its answer."""
-        if not self.connect(name) or not self.room.admit_request(name, side):
+    def exchange(self, name: str, connection_class: ConnectionClass) -> bool:
+        """Send one request and receive its response; return False if the request is refused."""
+        if not self.connect(name) or not self.admission.admit_request(name, connection_class):
             self.close(name)
-            self.turned_away += 1
+            self.rejected_count += 1
             return False
-        if self.room.may_keep_alive(name, side):
-            self.room.mark_idle(name)
+        if self.admission.may_keep_alive(name, connection_class):
+            self.admission.mark_idle(name)
         else:
             self.close(name)
         return True
 
     def close(self, name: str) -> None:
-        self.room.remove(name)
+        self.admission.remove(name)
         self.open.discard(name)
 
 
-def test_more_machines_than_connections_and_everybody_gets_an_answer() -> None:
-    """1,515 workers on 1,048 places: the leader had all in use, and nobody had decided who is turned away."""
-    draw = random.Random(3)
-    room: ConnectionAdmission[str] = ConnectionAdmission(1048)
-    fleet = Fleet(room, 1515, draw)
+def test_more_workers_than_connections_are_all_answered() -> None:
+    """1,515 workers share 1,048 connections: without an eviction rule, all are in use and requests are refused."""
+    rng = random.Random(3)
+    admission: ConnectionAdmission[str] = ConnectionAdmission(1048)
+    clients = SimulatedClients(admission, 1515, rng)
     for _ in range(6):
-        for name in draw.sample(fleet.names, len(fleet.names)):
-            fleet.talk(name, ConnectionClass.WORKER if int(name[2:]) % 3 else ConnectionClass.IDLE_WORKER)
-            if draw.random() < 0.1:
-                assert fleet.talk(f"u-{draw.randint(0, 80)}", ConnectionClass.USER)
-            if draw.random() < 0.02:
-                assert fleet.talk("health", ConnectionClass.HEALTH)
-    assert fleet.turned_away == 0 and sum(room.refused_counts.values()) == 0
-    assert room.evicted_counts[ConnectionClass.USER] == room.evicted_counts[ConnectionClass.HEALTH] == 0
-    assert room.closed_counts[ConnectionClass.IDLE_WORKER] > 0 and not room.may_hold_response()
+        for name in rng.sample(clients.workers, len(clients.workers)):
+            clients.exchange(name, ConnectionClass.WORKER if int(name[2:]) % 3 else ConnectionClass.IDLE_WORKER)
+            if rng.random() < 0.1:
+                assert clients.exchange(f"u-{rng.randint(0, 80)}", ConnectionClass.USER)
+            if rng.random() < 0.02:
+                assert clients.exchange("health", ConnectionClass.HEALTH)
+    assert clients.rejected_count == 0 and sum(admission.refused_counts.values()) == 0
+    assert admission.evicted_counts[ConnectionClass.USER] == admission.evicted_counts[ConnectionClass.HEALTH] == 0
+    assert admission.closed_counts[ConnectionClass.IDLE_WORKER] > 0 and not admission.may_hold_response()
 
 
 @pytest.mark.parametrize("flood", [ConnectionClass.USER, ConnectionClass.NEW, ConnectionClass.WORKER])
-def test_a_flood_from_one_side_costs_that_side(flood: ConnectionClass) -> None:
-    draw = random.Random(flood)
-    room: ConnectionAdmission[str] = ConnectionAdmission(200)
-    fleet = Fleet(room, 60, draw)
+def test_flood_of_one_class_evicts_only_that_class(flood: ConnectionClass) -> None:
+    rng = random.Random(flood)
+    admission: ConnectionAdmission[str] = ConnectionAdmission(200)
+    clients = SimulatedClients(admission, 60, rng)
     users = [f"u-{n}" for n in range(20)]
-    for name in fleet.names:
-        assert fleet.talk(name, ConnectionClass.WORKER)
+    for name in clients.workers:
+        assert clients.exchange(name, ConnectionClass.WORKER)
     for name in users:
-        assert fleet.talk(name, ConnectionClass.USER)
+        assert clients.exchange(name, ConnectionClass.USER)
     for number in range(2000):
         name = f"x-{number}"
         if flood == ConnectionClass.NEW:
-            fleet.connect(name)  # and never says anything
+            clients.connect(name)  # sends no request
         else:
-            fleet.talk(name, flood)
+            clients.exchange(name, flood)
         if number % 7 == 0 and flood != ConnectionClass.USER:
-            assert fleet.talk(draw.choice(users), ConnectionClass.USER)
+            assert clients.exchange(rng.choice(users), ConnectionClass.USER)
         if number % 7 == 0 and flood != ConnectionClass.WORKER:
-            assert fleet.talk(draw.choice(fleet.names), ConnectionClass.WORKER)
-        assert fleet.talk("health", ConnectionClass.HEALTH)
-        assert len(room) <= room.max_connections
-    others = {ConnectionClass.USER, ConnectionClass.WORKER, ConnectionClass.HEALTH} - {flood}
-    assert all(room.evicted_counts[side] == 0 and room.refused_counts[side] == 0 for side in others)
-
-
-def test_users_above_their_share_are_told_to_come_back_and_others_are_not() -> None:
-    room: ConnectionAdmission[int] = ConnectionAdmission(100)
+            assert clients.exchange(rng.choice(clients.workers), ConnectionClass.WORKER)
+        assert clients.exchange("health", ConnectionClass.HEALTH)
+        assert len(admission) <= admission.max_connections
+    other_classes = {ConnectionClass.USER, ConnectionClass.WORKER, ConnectionClass.HEALTH} - {flood}
+    assert all(
+        admission.evicted_counts[connection_class] == 0 and admission.refused_counts[connection_class] == 0
+        for connection_class in other_classes
+    )
+
+
+def test_users_above_their_share_are_refused_and_workers_are_not() -> None:
+    admission: ConnectionAdmission[int] = ConnectionAdmission(100)
     share = int(100 * CLASS_SHARES[ConnectionClass.USER])
-    # All of them being answered: none is idle, none can make way.
-    for line in range(share + 70):
-        let_in, _ = room.admit(line)
-        if let_in and not room.admit_request(line, ConnectionClass.USER):
-            assert len(room) >= 100 * MAX_KEEP_ALIVE_USAGE
-            room.remove(line)
-    assert room.refused_counts[ConnectionClass.USER] > 0
-    assert room.admit(1000) == (True, None) and room.admit_request(1000, ConnectionClass.WORKER)
-
-
-def test_counts_stay_true_whatever_happens() -> None:
-    draw = random.Random(11)
-    room: ConnectionAdmission[int] = ConnectionAdmission(40)
-    inside: dict[int, ConnectionClass] = {}
+    # All connections have a request in progress, so none is idle and none can be evicted.
+    for connection in range(share + 70):
+        is_admitted, _ = admission.admit(connection)
+        if is_admitted and not admission.admit_request(connection, ConnectionClass.USER):
+            assert len(admission) >= 100 * MAX_KEEP_ALIVE_USAGE
+            admission.remove(connection)
+    assert admission.refused_counts[ConnectionClass.USER] > 0
+    assert admission.admit(1000) == (True, None) and admission.admit_request(1000, ConnectionClass.WORKER)
+
+
+def test_counts_match_the_open_connections_in_any_order_of_events() -> None:
+    rng = random.Random(11)
+    admission: ConnectionAdmission[int] = ConnectionAdmission(40)
+    class_by_connection: dict[int, ConnectionClass] = {}
     for step in range(20_000):
-        line = draw.randint(0, 70)
-        if line not in inside:
-            let_in, victim = room.admit(line)
+        connection = rng.randint(0, 70)
+        if connection not in class_by_connection:
+            is_admitted, victim = admission.admit(connection)
             if victim is not None:
-                del inside[victim]
-            if let_in:
-                inside[line] = ConnectionClass.NEW
-        elif draw.random() < 0.2:
-            room.remove(line)
-            del inside[line]
+                del class_by_connection[victim]
+            if is_admitted:
+                class_by_connection[connection] = ConnectionClass.NEW
+        elif rng.random() < 0.2:
+            admission.remove(connection)
+            del class_by_connection[connection]
         else:
-            side = draw.choice([s for s in ConnectionClass if s != ConnectionClass.NEW])
-            inside[line] = side
-            if not room.admit_request(line, side) or not room.may_keep_alive(line, side):
-                room.remove(line)
-                del inside[line]
-            elif draw.random() < 0.8:
-                room.mark_idle(line)
-        assert len(room) == len(inside) <= 40, step
-        told = room.describe()["by_side"]
-        assert all(told[s.name.lower()]["open"] == sum(k == s for k in inside.values()) for s in ConnectionClass), step
+            connection_class = rng.choice([s for s in ConnectionClass if s != ConnectionClass.NEW])
+            class_by_connection[connection] = connection_class
+            if not admission.admit_request(connection, connection_class) or not admission.may_keep_alive(
+                connection, connection_class
+            ):
+                admission.remove(connection)
+                del class_by_connection[connection]
+            elif rng.random() < 0.8:
+                admission.mark_idle(connection)
+        assert len(admission) == len(class_by_connection) <= 40, step
+        counts_by_class = admission.describe()["by_side"]
+        assert all(
+            counts_by_class[s.name.lower()]["open"] == sum(k == s for k in class_by_connection.values())
+            for s in ConnectionClass
+        ), step
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The server refuses malformed HTTP, bounds what it holds, and cuts off the slow; over real sockets."""
+"""The HTTP server over real sockets: malformed requests, size limits, and timeouts of slow clients."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from roseweir.connections import ConnectionAdmission
 from roseweir.http import Client, Request, Response, Unreachable, json_response, serve, server
 
-Talk = Callable[[int], Awaitable[None]]
+ClientScenario = Callable[[int], Awaitable[None]]
 
 
 async def echo(request: Request) -> Response:
@@ -22,16 +22,16 @@
     return json_response(200, {"path": request.path, "size": len(request.body), "large": request.is_too_large})
 
 
-def with_server(talk: Talk, most: int = 50) -> None:
+def run_with_server(scenario: ClientScenario, max_connections: int = 50) -> None:
     async def main() -> None:
-        listening = await serve("127.0.0.1", 0, echo, ConnectionAdmission(most))
-        async with listening:
-            await talk(listening.sockets[0].getsockname()[1])
+        http_server = await serve("127.0.0.1", 0, echo, ConnectionAdmission(max_connections))
+        async with http_server:
+            await scenario(http_server.sockets[0].getsockname()[1])
 
     asyncio.run(main())
 
 
-async def raw(port: int, data: bytes, timeout: float = 3.0) -> bytes:
+async def exchange_raw(port: int, data: bytes, timeout: float = 3.0) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
@@ -52,30 +52,30 @@
         b"POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_malformed_http_gets_400_and_the_connection_ends(data: bytes) -> None:
-    async def talk(port: int) -> None:
-        answer = await raw(port, data)
+def test_malformed_http_gets_400_and_the_connection_is_closed(data: bytes) -> None:
+    async def scenario(port: int) -> None:
+        answer = await exchange_raw(port, data)
         assert answer.startswith(b"HTTP/1.1 400")
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-def test_endless_head_is_cut_off() -> None:
-    async def talk(port: int) -> None:
+def test_oversized_request_head_is_rejected() -> None:
+    async def scenario(port: int) -> None:
         head = b"GET / HTTP/1.1\r\nhost: x\r\n" + b"a: b\r\n" * 30000
-        assert b"200" not in await raw_or_reset(port, head)
+        assert b"200" not in await exchange_raw_or_reset(port, head)
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-def test_noise_never_harms_the_next_user() -> None:
-    draw = random.Random(7)
+def test_random_bytes_do_not_affect_the_next_client() -> None:
+    rng = random.Random(7)
 
-    async def talk(port: int) -> None:
+    async def scenario(port: int) -> None:
         for _ in range(60):
-            noise = draw.randbytes(draw.randint(1, 400))
+            noise = rng.randbytes(rng.randint(1, 400))
             try:
-                await raw(port, b"POST /hello HTTP/1.1\r\n" * draw.randint(0, 1) + noise, timeout=0.02)
+                await exchange_raw(port, b"POST /hello HTTP/1.1\r\n" * rng.randint(0, 1) + noise, timeout=0.02)
             except (TimeoutError, ConnectionError):
                 pass
         client = Client(f"127.0.0.1:{port}")
@@ -83,28 +83,28 @@
         assert reply.json()["path"] == "/x"
         client.close()
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-def test_body_over_the_limit_is_told_and_not_kept() -> None:
-    async def talk(port: int) -> None:
+def test_body_over_the_limit_is_marked_as_too_large() -> None:
+    async def scenario(port: int) -> None:
         size = server.MAX_BODY_BYTES + 1
         head = f"POST /s HTTP/1.1\r\nhost: x\r\ncontent-length: {size}\r\n\r\n".encode()
-        answer = await raw(port, head + b"x" * size)
+        answer = await exchange_raw(port, head + b"x" * size)
         assert b'"large":true' in answer and b"connection: close" in answer.lower()
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-def test_slow_half_open_and_surplus_connections_are_cut_off_while_others_are_served(
+def test_slow_idle_and_surplus_connections_are_closed_while_others_are_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "READ_TIMEOUT", timedelta(milliseconds=200))
     monkeypatch.setattr(server, "IDLE_TIMEOUT", timedelta(milliseconds=400))
 
-    async def talk(port: int) -> None:
-        slow = [asyncio.create_task(raw(port, b"POST /hello HTTP/1.1\r\nhost: x\r\ncont")) for _ in range(10)]
-        idle = [asyncio.create_task(raw(port, b"")) for _ in range(10)]
+    async def scenario(port: int) -> None:
+        slow = [asyncio.create_task(exchange_raw(port, b"POST /hello HTTP/1.1\r\nhost: x\r\ncont")) for _ in range(10)]
+        idle = [asyncio.create_task(exchange_raw(port, b"")) for _ in range(10)]
         await asyncio.sleep(0.05)
         client = Client(f"127.0.0.1:{port}")
         for _ in range(20):
@@ -113,26 +113,26 @@
         assert await asyncio.gather(*slow, *idle) == [b""] * 20
         client.close()
         await asyncio.sleep(0.05)
-        # At the limit, the connection that has been idle the longest makes way for a worker's.
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(50)]
+        # At the limit, the connection that has been idle the longest is closed for a new one.
+        open_connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(50)]
         assert (await client.request("POST", "/hello", {}, timeout=timedelta(milliseconds=300))).status == 200
-        assert await asyncio.wait_for(held[0][0].read(), 0.2) == b""
+        assert await asyncio.wait_for(open_connections[0][0].read(), 0.2) == b""
         client.close()
-        for _, writer in held:
+        for _, writer in open_connections:
             writer.transport.abort()
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-async def raw_or_reset(port: int, data: bytes = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n") -> bytes:
+async def exchange_raw_or_reset(port: int, data: bytes = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n") -> bytes:
     try:
-        return await raw(port, data)
+        return await exchange_raw(port, data)
     except ConnectionError:
         return b""
 
 
-def test_client_keeps_connections_and_tells_when_no_answer_came() -> None:
-    async def talk(port: int) -> None:
+def test_client_reuses_connections_and_raises_unreachable_without_an_answer() -> None:
+    async def scenario(port: int) -> None:
         client = Client(f"127.0.0.1:{port}")
         for i in range(5):
             reply = await client.request("GET", f"/{i}", timeout=timedelta(seconds=1))
@@ -142,44 +142,47 @@
         with pytest.raises(Unreachable):
             await Client("127.0.0.1:1").request("GET", "/", timeout=timedelta(seconds=1))
 
-    with_server(talk)
+    run_with_server(scenario)
 
 
-def test_an_answer_leaves_in_the_step_that_makes_it_and_the_clock_is_read_in_that_step() -> None:
-    """uvloop keeps what is written to the end of an iteration, in which the right to it could end."""
+def test_response_is_sent_in_the_event_loop_iteration_that_creates_it() -> None:
+    """uvloop buffers writes until the end of an iteration, by when the lease that permits the response may expire.
 
-    async def talk() -> None:
+    The loop's clock has to advance within an iteration for the same reason.
+    """
+
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        asked, go = asyncio.Event(), asyncio.Event()
+        request_received, may_respond = asyncio.Event(), asyncio.Event()
 
-        async def slow(request: Request) -> Response:
-            asked.set()
-            await go.wait()
+        async def respond_when_allowed(request: Request) -> Response:
+            request_received.set()
+            await may_respond.wait()
             return json_response(200, {})
 
-        def work() -> None:
+        def block_event_loop() -> None:
             before = loop.time()
             time.sleep(0.4)
             assert loop.time() - before >= 0.39
 
-        async def busy() -> None:
-            await asked.wait()
-            loop.call_soon(go.set)
-            await go.wait()
-            # In the iteration in which the answer is made, and after it.
-            work()
-
-        def ask(port: int) -> float:
-            with socket.create_connection(("127.0.0.1", port)) as line:
-                sent = time.monotonic()
-                line.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
-                assert line.recv(4096).startswith(b"HTTP/1.1 200")
-                return time.monotonic() - sent
-
-        async with await serve("127.0.0.1", 0, slow, ConnectionAdmission(50)) as listening:
-            busy_too = asyncio.create_task(busy())
-            assert await asyncio.to_thread(ask, listening.sockets[0].getsockname()[1]) < 0.3
-            await busy_too
+        async def block_after_response() -> None:
+            await request_received.wait()
+            loop.call_soon(may_respond.set)
+            await may_respond.wait()
+            # Runs in the iteration that creates the response, after it.
+            block_event_loop()
+
+        def measure_response_s(port: int) -> float:
+            with socket.create_connection(("127.0.0.1", port)) as connection:
+                sent_at = time.monotonic()
+                connection.sendall(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+                assert connection.recv(4096).startswith(b"HTTP/1.1 200")
+                return time.monotonic() - sent_at
+
+        async with await serve("127.0.0.1", 0, respond_when_allowed, ConnectionAdmission(50)) as http_server:
+            blocking_task = asyncio.create_task(block_after_response())
+            assert await asyncio.to_thread(measure_response_s, http_server.sockets[0].getsockname()[1]) < 0.3
+            await blocking_task
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(talk())
+        runner.run(scenario())
