--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The real entry point on loopback, against the stand-ins of the simulated world over real sockets."""
+"""The real entry point on loopback, against the simulated key-value store and cloud over real sockets."""
 
 import asyncio
 import os
@@ -12,34 +12,34 @@
 from roseweir.connections import ConnectionAdmission
 from roseweir.http import Client, Request, Response, Unreachable, serve
 from tests.simulation.cluster import SimulatedCloud, SimulatedCluster, SimulatedKeyValueStore
-from tests.test_submissions import job
+from tests.test_submissions import submission_body
 
 ROOT = Path(__file__).parent.parent
 SECOND = timedelta(seconds=1)
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports below the range that outgoing connections take theirs from, so that none is lost before use."""
-    found: list[int] = []
+    """Return ports below the ephemeral range, so that no outgoing connection takes one before it is used."""
+    ports: list[int] = []
     port = 20_000 + os.getpid() % 2_500 * 4
-    while len(found) < count:
-        with socket.socket() as s:
-            if s.connect_ex(("127.0.0.1", port)) != 0:
-                found.append(port)
+    while len(ports) < count:
+        with socket.socket() as probe:
+            if probe.connect_ex(("127.0.0.1", port)) != 0:
+                ports.append(port)
         port += 1
-    return found
+    return ports
 
 
-async def scene(tmp_path: Path) -> None:
+async def serve_on_loopback(tmp_path: Path) -> None:
     cluster = SimulatedCluster(1, is_calm=True)
     cluster.state, cluster.cloud, cluster.nodes = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
 
-    async def state(request: Request) -> Response:
+    async def serve_store(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
         reply = await cluster.state.handle("n", request.method, request.path, body)
         return Response(reply.status, reply.body)
 
-    async def cloud(request: Request) -> Response:
+    async def serve_cloud(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
         reply = await cluster.cloud.handle("n", request.method, request.path, body)
         return Response(reply.status, reply.body)
@@ -49,18 +49,18 @@
     settings["public_addr"], settings["back"] = f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}"
     settings["endpoints"] = {"state": f"127.0.0.1:{ports[2]}", "cloud": f"127.0.0.1:{ports[3]}"}
     settings["params"]["teams"][0]["gpus_max"] = 8.0
-    file = tmp_path / "settings.json"
-    file.write_bytes(orjson.dumps(settings))
+    settings_file = tmp_path / "settings.json"
+    settings_file.write_bytes(orjson.dumps(settings))
     servers = [
-        await serve("127.0.0.1", ports[2], state, ConnectionAdmission(50)),
-        await serve("127.0.0.1", ports[3], cloud, ConnectionAdmission(50)),
+        await serve("127.0.0.1", ports[2], serve_store, ConnectionAdmission(50)),
+        await serve("127.0.0.1", ports[3], serve_cloud, ConnectionAdmission(50)),
     ]
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         str(ROOT / "run.py"),
         "serve",
         "--config",
-        str(file),
+        str(settings_file),
         env=os.environ | {"LOG_LEVEL": "info"},
         stderr=asyncio.subprocess.PIPE,
     )
@@ -73,26 +73,26 @@
             except Unreachable:
                 pass
             await asyncio.sleep(0.1)
-        accepted = await users.request("POST", "/submissions", job(crew="maps"), timeout=SECOND * 5)
+        accepted = await users.request("POST", "/submissions", submission_body(crew="maps"), timeout=SECOND * 5)
         assert accepted.status == 201
-        asked = await users.request("GET", "/submissions/j-000412", timeout=SECOND * 5)
-        assert asked.json()["standing"] == "queued"
-        own = Client(settings["back"])
+        polled = await users.request("GET", "/submissions/j-000412", timeout=SECOND * 5)
+        assert polled.json()["standing"] == "queued"
+        peers = Client(settings["back"])
         for _ in range(50):
-            status = (await own.request("GET", "/status", timeout=SECOND)).json()
+            status = (await peers.request("GET", "/status", timeout=SECOND)).json()
             if status.get("jobs") == 1:
                 break
             await asyncio.sleep(0.1)
         assert status["leader"] == "node-0" and status["jobs"] == 1
-        assert (await own.request("GET", "/limits", timeout=SECOND)).json()["limits"] == []
-        # Limits are never shown on the users' address.
+        assert (await peers.request("GET", "/limits", timeout=SECOND)).json()["limits"] == []
+        # Limits are not served on the public address.
         assert (await users.request("GET", "/limits", timeout=SECOND)).status == 404
-        shown = await asyncio.create_subprocess_exec(
+        status_command = await asyncio.create_subprocess_exec(
             sys.executable, str(ROOT / "run.py"), "status", "--at", settings["back"], stdout=asyncio.subprocess.PIPE
         )
-        out, _ = await shown.communicate()
-        assert shown.returncode == 0 and b"node-0" in out
-        own.close()
+        out, _ = await status_command.communicate()
+        assert status_command.returncode == 0 and b"node-0" in out
+        peers.close()
     finally:
         users.close()
         if process.returncode is None:
@@ -106,4 +106,4 @@
 
 
 def test_entry_point_serves_on_loopback(tmp_path: Path) -> None:
-    asyncio.run(scene(tmp_path))
+    asyncio.run(serve_on_loopback(tmp_path))
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""The users' API against the stand-in state service: statuses, retries, unanswered transactions."""
+"""The users' API against the simulated key-value store: statuses, retries, unanswered transactions."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 )
 
 
-def job(**more: Any) -> dict[str, Any]:
+def submission_body(**overrides: Any) -> dict[str, Any]:
     fields = {
         "name_id": "j-000412",
         "docket": "train",
@@ -45,13 +45,13 @@
         "mark_s": 4.0,
         "due_s": 900.0,
     }
-    return {k: v for k, v in (fields | more).items() if v is not ...}
+    return {k: v for k, v in (fields | overrides).items() if v is not ...}
 
 
-Scene = Callable[[SimulatedCluster], Awaitable[None]]
+Scenario = Callable[[SimulatedCluster], Awaitable[None]]
 
 
-def play(scene: Scene) -> None:
+def run_scenario(scenario: Scenario) -> None:
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
         cluster.state, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
@@ -60,7 +60,7 @@
             for node in cluster.nodes:
                 node.start()
             await asyncio.sleep(2)
-            await scene(cluster)
+            await scenario(cluster)
             for node in cluster.nodes:
                 node.crash()
             await asyncio.sleep(0)
@@ -69,7 +69,9 @@
     virtual_time.run_in_virtual_time(main())
 
 
-async def ask(cluster: SimulatedCluster, method: str, path: str, body: Any = None, node: int = 0) -> tuple[int, Any]:
+async def send_request(
+    cluster: SimulatedCluster, method: str, path: str, body: Any = None, node: int = 0
+) -> tuple[int, Any]:
     service = cluster.nodes[node].service
     assert service is not None
     raw = body if isinstance(body, bytes) else orjson.dumps(body) if body is not None else b""
@@ -79,177 +81,189 @@
     return response.status, orjson.loads(response.body)
 
 
-BAD = [
+MALFORMED_BODIES = [
     b"not json",
     b"[1]",
-    job(name_id="x-1"),
-    job(name_id="j-000412\n"),
-    job(name_id=...),
-    job(docket=...),
-    job(parcels=0),
-    job(parcels=100_001),
-    job(parcels="3"),
-    job(parcels=2.5),
-    job(cores=-1.0),
-    job(cores="2"),
-    job(shape="heap"),
-    job(rank="low-ish"),
-    job(together=1),
-    job(due_s=-1.0),
-    job(builds="gpu"),
-    job(guess_s=None),
+    submission_body(name_id="x-1"),
+    submission_body(name_id="j-000412\n"),
+    submission_body(name_id=...),
+    submission_body(docket=...),
+    submission_body(parcels=0),
+    submission_body(parcels=100_001),
+    submission_body(parcels="3"),
+    submission_body(parcels=2.5),
+    submission_body(cores=-1.0),
+    submission_body(cores="2"),
+    submission_body(shape="heap"),
+    submission_body(rank="low-ish"),
+    submission_body(together=1),
+    submission_body(due_s=-1.0),
+    submission_body(builds="gpu"),
+    submission_body(guess_s=None),
 ]
-NEVER = [
-    job(crew="nobody"),
-    job(cores=64.0),
-    job(builds=["cpu"]),
-    job(builds=["unheard"]),
-    job(yard="mars"),
-    job(shape="gang", parcels=7),
-    job(shape="daemon", parcels=7),
-    job(accelerators=4.0, memory_gb=100.0),
+UNSATISFIABLE_BODIES = [
+    submission_body(crew="nobody"),
+    submission_body(cores=64.0),
+    submission_body(builds=["cpu"]),
+    submission_body(builds=["unheard"]),
+    submission_body(yard="mars"),
+    submission_body(shape="gang", parcels=7),
+    submission_body(shape="daemon", parcels=7),
+    submission_body(accelerators=4.0, memory_gb=100.0),
 ]
 
 
 def test_statuses_of_submissions() -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
-        for body in BAD:
-            assert (await ask(cluster, "POST", "/submissions", body))[0] == 400, body
-        for body in NEVER:
-            assert (await ask(cluster, "POST", "/submissions", body))[0] == 422, body
-        assert (await ask(cluster, "GET", "/submissions/j-000412"))[0] == 404
-        assert (await ask(cluster, "POST", "/submissions/j-000412/cancel"))[0] == 404
-        plain = job(builds=..., yard=..., due_s=...)
-        assert await ask(cluster, "POST", "/submissions", plain) == (
+    async def scenario(cluster: SimulatedCluster) -> None:
+        for body in MALFORMED_BODIES:
+            assert (await send_request(cluster, "POST", "/submissions", body))[0] == 400, body
+        for body in UNSATISFIABLE_BODIES:
+            assert (await send_request(cluster, "POST", "/submissions", body))[0] == 422, body
+        assert (await send_request(cluster, "GET", "/submissions/j-000412"))[0] == 404
+        assert (await send_request(cluster, "POST", "/submissions/j-000412/cancel"))[0] == 404
+        without_optional_fields = submission_body(builds=..., yard=..., due_s=...)
+        assert await send_request(cluster, "POST", "/submissions", without_optional_fields) == (
             201,
             {"name_id": "j-000412", "standing": "queued"},
         )
-        # A known id is answered 200 before anything else about the request can refuse it.
-        for body in (job(), job(cores=-1.0), job(crew="nobody"), job(parcels=0)):
-            assert (await ask(cluster, "POST", "/submissions", body, node=2))[0] == 200
-        status, answer = await ask(cluster, "GET", "/submissions/j-000412", node=1)
+        # An id that is already accepted gets 200, before the rest of the request is validated.
+        for body in (
+            submission_body(),
+            submission_body(cores=-1.0),
+            submission_body(crew="nobody"),
+            submission_body(parcels=0),
+        ):
+            assert (await send_request(cluster, "POST", "/submissions", body, node=2))[0] == 200
+        status, answer = await send_request(cluster, "GET", "/submissions/j-000412", node=1)
         assert (status, answer["standing"]) == (200, "queued")
         cancelled = (200, {"name_id": "j-000412", "standing": "aborted"})
-        assert await ask(cluster, "POST", "/submissions/j-000412/cancel", node=1) == cancelled
-        assert await ask(cluster, "POST", "/submissions/j-000412/cancel") == cancelled
+        assert await send_request(cluster, "POST", "/submissions/j-000412/cancel", node=1) == cancelled
+        assert await send_request(cluster, "POST", "/submissions/j-000412/cancel") == cancelled
         for node in range(3):
-            assert (await ask(cluster, "POST", "/submissions", job(), node=node)) == cancelled
+            assert (await send_request(cluster, "POST", "/submissions", submission_body(), node=node)) == cancelled
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_outage_and_unknown_machine_types_get_503_not_a_guess() -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
-        await ask(cluster, "POST", "/submissions", job())
+def test_outage_and_unknown_machine_types_get_503() -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
+        await send_request(cluster, "POST", "/submissions", submission_body())
         service = cluster.nodes[0].service
         assert service is not None
         service.submission_handlers.set_catalog(None)
-        assert (await ask(cluster, "POST", "/submissions", job(name_id="j-000001")))[0] == 503
-        assert (await ask(cluster, "POST", "/submissions", job()))[0] == 200
+        assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id="j-000001")))[0] == 503
+        assert (await send_request(cluster, "POST", "/submissions", submission_body()))[0] == 200
         cluster.state.is_down = True
         for method, path in (("GET", ""), ("POST", "/cancel")):
-            assert (await ask(cluster, method, f"/submissions/j-000412{path}", node=1))[0] == 503
-        assert (await ask(cluster, "POST", "/submissions", job(name_id="j-000002"), node=1))[0] == 503
-        assert (await ask(cluster, "GET", "/submissions/j-000003", node=1))[0] == 503
+            assert (await send_request(cluster, method, f"/submissions/j-000412{path}", node=1))[0] == 503
+        assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id="j-000002"), node=1))[
+            0
+        ] == 503
+        assert (await send_request(cluster, "GET", "/submissions/j-000003", node=1))[0] == 503
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_flood_of_polls_is_refused_cheaply_and_does_not_starve_the_leader() -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
+def test_flood_of_polls_gets_429_and_does_not_end_the_leader_term() -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(5)
         leader = cluster.current_leader()
-        term = leader.service.leader_election.leader_lease if leader.service else None
-        floods = [ask(cluster, "GET", f"/submissions/j-7{i:06d}", node=i % 3) for i in range(3000)]
-        statuses = [status for status, _ in await asyncio.gather(*floods)]
+        lease_before = leader.service.leader_election.leader_lease if leader.service else None
+        polls = [send_request(cluster, "GET", f"/submissions/j-7{i:06d}", node=i % 3) for i in range(3000)]
+        statuses = [status for status, _ in await asyncio.gather(*polls)]
         assert set(statuses) <= {404, 429} and statuses.count(429) > 2000
-        assert (await ask(cluster, "GET", "/healthz"))[0] == 200
+        assert (await send_request(cluster, "GET", "/healthz"))[0] == 200
         await asyncio.sleep(5)
-        assert leader.service is not None and leader.service.leader_election.leader_lease is term
+        assert leader.service is not None and leader.service.leader_election.leader_lease is lease_before
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_polls_that_wait_share_one_read() -> None:
-    """With a read each, the polls of a swarm of small jobs took the leader's renewals with them."""
+def test_waiting_polls_share_one_read() -> None:
+    """If each poll needs a read of its own, polls about many small jobs use up the leader's lease renewals."""
 
-    async def scene(cluster: SimulatedCluster) -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         for i in range(40):
-            assert (await ask(cluster, "POST", "/submissions", job(name_id=f"j-{i:06d}")))[0] == 201
+            assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id=f"j-{i:06d}")))[
+                0
+            ] == 201
         reads = 0
         handle = cluster.state.handle
 
-        async def counted(node: str, method: str, path: str, body: Any) -> Any:
+        async def count_reads(node: str, method: str, path: str, body: Any) -> Any:
             nonlocal reads
-            # The leader's own watch waits for news; what polls ask for is answered at once.
+            # The leader's watch blocks until a change; reads for polls do not block.
             reads += node == "n1" and (path.startswith("/store/") or "block_ms=0" in path)
             return await handle(node, method, path, body)
 
-        cluster.state.handle = counted  # type: ignore[method-assign]
-        polls = [ask(cluster, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
+        cluster.state.handle = count_reads  # type: ignore[method-assign]
+        polls = [send_request(cluster, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
         answers = await asyncio.gather(*polls)
         assert {status for status, _ in answers} == {200}
         assert reads <= 3
-        assert (await ask(cluster, "POST", "/submissions/j-000007/cancel", node=0))[0] == 200
-        assert (await ask(cluster, "GET", "/submissions/j-000007", node=1))[1]["standing"] == "aborted"
+        assert (await send_request(cluster, "POST", "/submissions/j-000007/cancel", node=0))[0] == 200
+        assert (await send_request(cluster, "GET", "/submissions/j-000007", node=1))[1]["standing"] == "aborted"
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_guests_swarm_is_told_when_to_come_back_and_an_owners_job_goes_through() -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
-        def guest(i: int) -> dict[str, Any]:
-            wire = job(name_id=f"j-1{i:05d}", crew="guest", accelerators=0.0, parcels=1)
-            return cluster.jobs.setdefault(wire["name_id"], wire)
+def test_surplus_best_effort_submissions_get_429_and_an_owned_job_is_accepted() -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
+        def best_effort_body(i: int) -> dict[str, Any]:
+            body = submission_body(name_id=f"j-1{i:05d}", crew="guest", accelerators=0.0, parcels=1)
+            return cluster.jobs.setdefault(body["name_id"], body)
 
-        statuses = [(await ask(cluster, "POST", "/submissions", guest(i)))[0] for i in range(600)]
+        statuses = [(await send_request(cluster, "POST", "/submissions", best_effort_body(i)))[0] for i in range(600)]
         assert statuses[:20] == [201] * 20
         assert set(statuses) == {201, 429} and statuses.count(429) > 100
-        owners = cluster.jobs.setdefault("j-000412", job())  # a worker may get one of its tasks at once
-        assert (await ask(cluster, "POST", "/submissions", owners))[0] == 201
-        # A retry of an accepted job is answered as such, however full the share is.
-        assert (await ask(cluster, "POST", "/submissions", guest(0)))[0] == 200
-
-    play(scene)
-
-
-def test_group_commit_keeps_a_conflict_to_itself() -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
-        state = KeyValueStoreClient("10.2.0.1:1", make_settings(0).params.kv_store, cluster.nodes[0].connect)
-        commits = GroupCommitter(state, 100)
-        cluster.spawn(commits.run())
-        await state.compare_and_swap([], [{"put": "x/5", "v": 1}])
-        done = await asyncio.gather(
-            *(commits.commit([(f"x/{i}", 0)], [{"put": f"x/{i}", "v": i}]) for i in range(60)), return_exceptions=True
+        # Registered before the submission, as a worker may get one of its tasks at once.
+        owned_body = cluster.jobs.setdefault("j-000412", submission_body())
+        assert (await send_request(cluster, "POST", "/submissions", owned_body))[0] == 201
+        # A repeated submission of an accepted job gets 200, also when the team's share is used up.
+        assert (await send_request(cluster, "POST", "/submissions", best_effort_body(0)))[0] == 200
+
+    run_scenario(scenario)
+
+
+def test_conflict_in_a_group_commit_fails_only_its_own_write() -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
+        client = KeyValueStoreClient("10.2.0.1:1", make_settings(0).params.kv_store, cluster.nodes[0].connect)
+        committer = GroupCommitter(client, 100)
+        cluster.spawn(committer.run())
+        await client.compare_and_swap([], [{"put": "x/5", "v": 1}])
+        results = await asyncio.gather(
+            *(committer.commit([(f"x/{i}", 0)], [{"put": f"x/{i}", "v": i}]) for i in range(60)), return_exceptions=True
         )
-        assert [i for i, result in enumerate(done) if isinstance(result, CompareFailed)] == [5]
-        assert all(isinstance(result, int) for i, result in enumerate(done) if i != 5)
+        assert [i for i, result in enumerate(results) if isinstance(result, CompareFailed)] == [5]
+        assert all(isinstance(result, int) for i, result in enumerate(results) if i != 5)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("ran", [True, False])
-def test_transaction_without_an_answer_is_resolved_by_reading(ran: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(cluster: SimulatedCluster) -> None:
+@pytest.mark.parametrize("is_committed", [True, False])
+def test_transaction_without_an_answer_is_resolved_by_reading(
+    is_committed: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         service = cluster.nodes[0].service
         assert service is not None
-        txn = service.kv_store.compare_and_swap
+        compare_and_swap = service.kv_store.compare_and_swap
 
         async def unanswered(guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
-            if ran:
-                await txn(guards, ops)
+            if is_committed:
+                await compare_and_swap(guards, ops)
             raise Unreachable("no answer")
 
         monkeypatch.setattr(service.kv_store, "compare_and_swap", unanswered)
-        status, _ = await ask(cluster, "POST", "/submissions", job())
-        assert status == (200 if ran else 503)
+        status, _ = await send_request(cluster, "POST", "/submissions", submission_body())
+        assert status == (200 if is_committed else 503)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_largest_job_fits_the_value_size() -> None:
-    done = bytearray(b"\xa5" * 1024)
-    text = encode_bitmap(bytes(done))
+def test_bitmap_chunk_of_8192_tasks_fits_the_smallest_value_limit() -> None:
+    bitmap = bytearray(b"\xa5" * 1024)
+    text = encode_bitmap(bytes(bitmap))
     assert len(text) < 2048
     assert list(decode_task_numbers(text, 8192))[:3] == [8192, 8194, 8197]
     assert len(chunk_numbers(100_000)) == 13
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -28,7 +28,7 @@
     virtual_now,
     virtual_wall_clock,
 )
-from tests.test_submissions import job
+from tests.test_submissions import submission_body
 
 Patch = pytest.MonkeyPatch
 Body = dict[str, Any]
@@ -134,7 +134,7 @@
             await asyncio.sleep(1)
 
     async def user(self, number: int) -> None:
-        wire = job(name_id=f"j-{number:06d}", parcels=1, accelerators=0.0, cores=1.0)
+        wire = submission_body(name_id=f"j-{number:06d}", parcels=1, accelerators=0.0, cores=1.0)
         job_id = wire["name_id"]
         self.world.jobs[job_id] = wire
         await self.submit(wire)
