--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -96,7 +96,7 @@
     run_with_server(scenario)
 
 
-def test_slow_idle_and_surplus_connections_are_closed_while_others_are_served(
+def test_slow_idle_and_surplus_connections_are_closed_and_others_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "READ_TIMEOUT", timedelta(milliseconds=200))
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -207,7 +207,7 @@
     run_scenario(scenario)
 
 
-def test_surplus_best_effort_submissions_get_429_and_an_owned_job_is_accepted() -> None:
+def test_surplus_best_effort_submissions_get_429_and_owned_job_is_accepted() -> None:
     async def scenario(cluster: SimulatedCluster) -> None:
         def best_effort_body(i: int) -> dict[str, Any]:
             body = submission_body(name_id=f"j-1{i:05d}", crew="guest", accelerators=0.0, parcels=1)
