--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -1,6 +1,6 @@
-"""Combined faults on the users' side: each is brought about on purpose, and broken variants of the service are caught.
+"""Combined faults of user requests, injected on purpose; broken variants of the service are caught.
 
-The table of what each of them rests on: `docs/notes/combined-faults-users.md`.
+`docs/notes/combined-faults-users.md` lists the mechanism that each test relies on.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 from roseweir.clock import monotonic_now, seconds
 from roseweir.controller.leader import LeaderTerm
-from roseweir.delivery_deadlines.controller import NIGHT_REPORTS_KEY as PROMISES
+from roseweir.delivery_deadlines.controller import NIGHT_REPORTS_KEY
 from roseweir.drain import store as drain_store
 from roseweir.http import Reply, Request, Response, Unreachable, json_response
 from roseweir.kv_store import CompareFailed, Entry
@@ -37,7 +37,7 @@
 from roseweir.submissions.live_job_cache import LiveJobCache
 from roseweir.submissions.messages import status_response
 from roseweir.submissions.task_bitmap import chunk_key
-from roseweir.workflows import store as chain_store
+from roseweir.workflows import store as workflow_store
 from tests.simulation import user_faults
 from tests.simulation.cluster import (
     SimulatedCluster,
@@ -51,7 +51,7 @@
 from tests.simulation.linearizability import Action
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as replaced
+from tests.test_eviction_days import world_of as make_eviction_cluster
 from tests.test_simulated_days import check
 
 Patch = pytest.MonkeyPatch
@@ -59,73 +59,75 @@
 Guards = list[tuple[str, int]]
 Ops = list[dict[str, Any]]
 
-# The part of submissions that is to be answered within QUICK_S seconds.
-QUICK_SHARE, QUICK_S = 0.98, 0.2
-# Answers are lost up to this instant of a day, in seconds.
-LOSSES_END = 60.0
-# A record of which only the answer is lost is proven within this many seconds.
-RECORDED_S = 0.5
-# A record is refused so often at most over one version of a key: by the try that teaches its writer the next one, and
-# by one that was under way.
-AGAIN = 2
+# The share of submissions that must be answered within FAST_SUBMIT_S seconds.
+FAST_SUBMIT_SHARE, FAST_SUBMIT_S = 0.98, 0.2
+# Answers are lost until this virtual time, in seconds.
+LOST_ANSWERS_END_S = 60.0
+# A write of which only the answer is lost is confirmed within this many seconds.
+CONFIRMED_WITHIN_S = 0.5
+# Maximum number of conflicts of log writes on one version of a key: one write that makes its writer read the new
+# version, and one that was in flight.
+MAX_CONFLICTS = 2
 
-# -- users look at all nodes within milliseconds of each acceptance, end and cancel ---------------------
+# -- users poll all controllers within milliseconds of each acceptance, end and cancel ------------------
 
 
-def looked_at(seed: int) -> SimulatedCluster:
-    """What the state service has read is on its way back for some milliseconds, in which it may grow old."""
+def cluster_with_concurrent_polls(seed: int) -> SimulatedCluster:
+    """Answers of the key-value store are delayed by up to 40 ms, in which a read can become stale."""
     cluster = SimulatedCluster(seed, is_calm=True, controller_count=3 if seed % 2 else 5)
     cluster.max_store_delay_s = 0.04
     cluster.schedule_action(lambda cluster: user_faults.concurrent_polls(cluster, 70.0))
     return cluster
 
 
-def test_no_node_answers_something_older_than_any_node_has_within_milliseconds() -> None:
+def test_concurrent_polls_of_all_controllers_never_go_back() -> None:
     for seed in range(8000, 8003):
-        cluster = looked_at(seed)
+        cluster = cluster_with_concurrent_polls(seed)
         check(cluster.run(length_s=75, job_count=30))
         assert len(cluster.history.operations) > 700 and len(cluster.observed_ends) > 12
 
 
-def reads_under_way_answer_new_polls(patch: Patch) -> None:
-    """A poll that comes while the view is read is answered by that read, which was sent before it."""
-    answer = LiveJobCache._answer_polls
+def answer_new_polls_from_earlier_read(patch: Patch) -> None:
+    """A poll that arrives during a read is answered from that read, which was sent before the poll arrived."""
+    answer_polls = LiveJobCache._answer_polls
 
-    async def early(self: LiveJobCache, waiting: list[Any]) -> None:
-        came, self._pending_polls = self._pending_polls, []
-        await answer(self, waiting + came)
+    async def answer_polls_too_early(self: LiveJobCache, polls: list[Any]) -> None:
+        new_polls, self._pending_polls = self._pending_polls, []
+        await answer_polls(self, polls + new_polls)
 
-    patch.setattr(LiveJobCache, "_answer_polls", early)
+    patch.setattr(LiveJobCache, "_answer_polls", answer_polls_too_early)
 
 
-def _answered_before_they_are_durable(patch: Patch, prefix: str) -> None:
+def _answer_before_commit(patch: Patch, prefix: str) -> None:
     commit = GroupCommitter.commit
 
-    async def hasty(self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
+    async def answer_before_commit(
+        self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None
+    ) -> int:
         if not any(op.get("put", "").startswith(prefix) for op in ops):
             return await commit(self, guards, ops, confirm)
         task = asyncio.get_running_loop().create_task(commit(self, guards, ops, confirm))
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         return 0
 
-    patch.setattr(GroupCommitter, "commit", hasty)
+    patch.setattr(GroupCommitter, "commit", answer_before_commit)
 
 
-def accepted_before_it_is_durable(patch: Patch) -> None:
-    _answered_before_they_are_durable(patch, LIVE_JOB_PREFIX)
+def answer_submission_before_commit(patch: Patch) -> None:
+    _answer_before_commit(patch, LIVE_JOB_PREFIX)
 
 
-def cancelled_before_it_is_durable(patch: Patch) -> None:
-    _answered_before_they_are_durable(patch, COMPLETED_JOB_PREFIX)
+def answer_cancel_before_commit(patch: Patch) -> None:
+    _answer_before_commit(patch, COMPLETED_JOB_PREFIX)
 
 
-def ends_read_before_what_lives(patch: Patch) -> None:
-    """In this order a job that ends between the two reads is found under neither key."""
+def read_completed_job_before_live_job(patch: Patch) -> None:
+    """In this order a job that ends between the two reads has neither a completed nor a live key."""
 
     async def read(self: JobStatusReader, job_id: str) -> JobStatus | None:
-        over = await self.kv_store.get(COMPLETED_JOB_PREFIX + job_id)
-        if over is not None:
-            return JobStatus(decode_completed_job(over.value).state)
+        completed = await self.kv_store.get(COMPLETED_JOB_PREFIX + job_id)
+        if completed is not None:
+            return JobStatus(decode_completed_job(completed.value).state)
         live = await self.live_job_cache.read_progress(job_id)
         return None if live is None else JobStatus("running", *live)
 
@@ -135,27 +137,27 @@
 @pytest.mark.parametrize(
     "variant",
     [
-        reads_under_way_answer_new_polls,
-        accepted_before_it_is_durable,
-        cancelled_before_it_is_durable,
-        ends_read_before_what_lives,
+        answer_new_polls_from_earlier_read,
+        answer_submission_before_commit,
+        answer_cancel_before_commit,
+        read_completed_job_before_live_job,
     ],
 )
-def test_an_older_answer_within_milliseconds_is_caught(variant: Variant, monkeypatch: Patch) -> None:
+def test_stale_answer_to_concurrent_poll_is_caught(variant: Variant, monkeypatch: Patch) -> None:
     variant(monkeypatch)
-    assert is_caught(looked_at, range(8000, 8006), "history: ", 75, 30)
+    assert is_caught(cluster_with_concurrent_polls, range(8000, 8006), "history: ", 75, 30)
 
 
-# -- a cancel comes as its job is being accepted --------------------------------------------------------
+# -- a cancel arrives while its job is being accepted ---------------------------------------------------
 
 
-async def submitted(cluster: SimulatedCluster, job: dict[str, Any]) -> None:
+async def submit_after_delay(cluster: SimulatedCluster, job: dict[str, Any]) -> None:
     await asyncio.sleep(cluster.rng.uniform(0.0, 0.12))
     await user_faults.request_controller(cluster, cluster.nodes[0], "POST", "/submissions", user_faults.to_wire(job))
 
 
-def cancelled_at_once(seed: int) -> SimulatedCluster:
-    """Users call a job off at other nodes while its submission is under way."""
+def cluster_with_cancels_during_submission(seed: int) -> SimulatedCluster:
+    """Users cancel a job through other controllers while its submission is in progress."""
     cluster = SimulatedCluster(seed, is_calm=True)
     cluster.max_store_delay_s = 0.04
 
@@ -166,7 +168,7 @@
             job_id = job["name_id"]
             cluster.jobs[job_id] = job
             cluster.cancel_requested.add(job_id)
-            cluster.spawn(submitted(cluster, job))
+            cluster.spawn(submit_after_delay(cluster, job))
             await asyncio.sleep(cluster.rng.uniform(0.0, 0.12))
             await user_faults.cancel_until_answered(cluster, job_id, cluster.nodes[1])
             cluster.spawn(user_faults.cancel_until_answered(cluster, job_id, cluster.nodes[2]))
@@ -176,43 +178,45 @@
     return cluster
 
 
-def test_a_cancel_that_meets_the_acceptance_is_told_an_end_or_that_nobody_knows_the_job() -> None:
-    cluster = cancelled_at_once(8090)
+def test_cancel_during_submission_ends_job_or_gets_404() -> None:
+    cluster = cluster_with_cancels_during_submission(8090)
     check(cluster.run(length_s=60, job_count=2))
-    statuses = Counter(one.status for one in cluster.history.operations if one.action is Action.CANCEL)
+    statuses = Counter(
+        operation.status for operation in cluster.history.operations if operation.action is Action.CANCEL
+    )
     assert statuses[200] > 50 and statuses[404] > 20, statuses
 
 
-def a_cancel_is_answered_with_what_lives(patch: Patch) -> None:
-    """It finds no job, and then one that was accepted meanwhile: its user hears 200 and `queued`, and it runs."""
+def answer_cancel_with_live_status(patch: Patch) -> None:
+    """The cancel reads no job, then one accepted meanwhile: it answers 200 and `queued`, and the job still runs."""
     cancel = SubmissionHandlers._cancel
 
-    async def once(self: SubmissionHandlers, job_id: str) -> Response:
+    async def cancel_without_retry(self: SubmissionHandlers, job_id: str) -> Response:
         if await self.kv_store.get(LIVE_JOB_PREFIX + job_id) is None:
-            known = await self._respond_if_accepted(job_id)
-            return known or json_response(404, {"error": "no such job"})
+            accepted_response = await self._respond_if_accepted(job_id)
+            return accepted_response or json_response(404, {"error": "no such job"})
         return await cancel(self, job_id)
 
-    patch.setattr(SubmissionHandlers, "_cancel", once)
+    patch.setattr(SubmissionHandlers, "_cancel", cancel_without_retry)
 
 
-def test_a_cancel_that_is_answered_with_what_lives_is_caught(monkeypatch: Patch) -> None:
-    a_cancel_is_answered_with_what_lives(monkeypatch)
-    assert is_caught(cancelled_at_once, range(8090, 8091), "cancel_without_an_end", 60, 2)
+def test_cancel_answered_with_live_status_is_caught(monkeypatch: Patch) -> None:
+    answer_cancel_with_live_status(monkeypatch)
+    assert is_caught(cluster_with_cancels_during_submission, range(8090, 8091), "cancel_without_an_end", 60, 2)
 
 
-# -- a cancel, a question or a repeat meets the end of the last task ------------------------------------
+# -- a cancel, a poll or a repeated submission coincides with the end of the last task ------------------
 
 
-def met_at_the_end(seed: int) -> SimulatedCluster:
+def cluster_with_cancels_at_job_end(seed: int) -> SimulatedCluster:
     cluster = LongTaskCluster(seed)
     cluster.task_duration_s, cluster.max_tasks = 3.0, 3
     cluster.schedule_action(lambda cluster: user_faults.cancel_at_end(cluster, 60.0))
     return cluster
 
 
-def ends_that_met(cluster: SimulatedCluster) -> tuple[int, int]:
-    """Of the jobs that users cancelled: how many ended as done, and how many as cancelled."""
+def count_ends_of_cancelled_jobs(cluster: SimulatedCluster) -> tuple[int, int]:
+    """How many of the jobs that users cancelled ended as done, and how many as cancelled."""
     ends = [
         cluster.state.keys[COMPLETED_JOB_PREFIX + job][0]["state"]
         for job in cluster.cancel_requested
@@ -221,62 +225,62 @@
     return ends.count("done"), ends.count("cancelled")
 
 
-def test_a_job_that_is_cancelled_as_its_last_task_ends_has_one_end_for_everybody() -> None:
+def test_cancel_as_last_task_ends_gives_every_user_the_same_end() -> None:
     done = cancelled = 0
     for seed in range(8010, 8013):
-        cluster = met_at_the_end(seed)
+        cluster = cluster_with_cancels_at_job_end(seed)
         check(cluster.run(length_s=70, job_count=30))
-        some_done, some_cancelled = ends_that_met(cluster)
-        done, cancelled = done + some_done, cancelled + some_cancelled
-    assert done > 5 and cancelled > 5, "the cancels did not meet the ends"
+        done_in_run, cancelled_in_run = count_ends_of_cancelled_jobs(cluster)
+        done, cancelled = done + done_in_run, cancelled + cancelled_in_run
+    assert done > 5 and cancelled > 5, "the cancels did not coincide with the ends"
 
 
-def a_lost_race_is_told_as_cancelled(patch: Patch) -> None:
-    """The cancel's transaction fails as the end came first, and the user hears `aborted` all the same."""
+def report_conflicting_cancel_as_cancelled(patch: Patch) -> None:
+    """The cancel's transaction conflicts with the job's end, but the user is still answered `aborted`."""
     cancel = SubmissionHandlers._cancel
 
-    async def sure(self: SubmissionHandlers, job_id: str) -> Response:
+    async def cancel_ignoring_conflict(self: SubmissionHandlers, job_id: str) -> Response:
         commit = self.group_commit.commit
-        lost: list[bool] = []
+        conflicts: list[bool] = []
 
-        async def watched(guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
+        async def commit_recording_conflicts(guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
             try:
                 return await commit(guards, ops, confirm)
             except CompareFailed:
-                lost.append(True)
+                conflicts.append(True)
                 raise
 
-        self.group_commit.commit = watched  # type: ignore[method-assign]
+        self.group_commit.commit = commit_recording_conflicts  # type: ignore[method-assign]
         response = await cancel(self, job_id)
-        return json_response(200, status_response(job_id, "cancelled")) if lost else response
+        return json_response(200, status_response(job_id, "cancelled")) if conflicts else response
 
-    patch.setattr(SubmissionHandlers, "_cancel", sure)
+    patch.setattr(SubmissionHandlers, "_cancel", cancel_ignoring_conflict)
 
 
-def whoever_cancels_comes_too_late(patch: Patch) -> None:
-    """What nobody has live any more is told as cancelled: it may be done."""
+def report_missing_job_as_cancelled(patch: Patch) -> None:
+    """A job without a live key is reported as cancelled, although it may be done."""
 
-    async def cancel(self: SubmissionHandlers, job_id: str) -> Response:
+    async def cancel_live_only(self: SubmissionHandlers, job_id: str) -> Response:
         live = await self.kv_store.get(LIVE_JOB_PREFIX + job_id)
         if live is None:
             return json_response(200, status_response(job_id, "cancelled"))
-        return await plain(self, job_id)
+        return await original_cancel(self, job_id)
 
-    plain = SubmissionHandlers._cancel
-    patch.setattr(SubmissionHandlers, "_cancel", cancel)
+    original_cancel = SubmissionHandlers._cancel
+    patch.setattr(SubmissionHandlers, "_cancel", cancel_live_only)
 
 
-@pytest.mark.parametrize("variant", [a_lost_race_is_told_as_cancelled, whoever_cancels_comes_too_late])
-def test_an_end_that_is_told_in_two_ways_is_caught(variant: Variant, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize("variant", [report_conflicting_cancel_as_cancelled, report_missing_job_as_cancelled])
+def test_contradictory_ends_of_a_job_are_caught(variant: Variant, monkeypatch: Patch) -> None:
     variant(monkeypatch)
-    assert is_caught(met_at_the_end, range(8010, 8014), "history: went_back", 70, 30)
+    assert is_caught(cluster_with_cancels_at_job_end, range(8010, 8014), "history: went_back", 70, 30)
 
 
-# -- cancels in the seconds in which the work changes hands ---------------------------------------------
+# -- cancels during failover ----------------------------------------------------------------------------
 
 
-def cancelled_in_hand_overs(seed: int) -> LongTaskCluster:
-    """Long jobs; at each hand-over some are cancelled at drawn instants, while the state service answers slowly."""
+def cluster_with_cancels_during_failovers(seed: int) -> LongTaskCluster:
+    """Long jobs; some are cancelled at random times of each failover, while the key-value store answers slowly."""
     cluster = LongTaskCluster(seed, restart_delay_range_s=(0.2, 2.0))
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -292,37 +296,37 @@
     return cluster
 
 
-def test_jobs_cancelled_while_the_work_changes_hands_are_gone_in_time() -> None:
+def test_jobs_cancelled_during_failover_stop_in_time() -> None:
     cancelled = 0
     for seed in range(8020, 8024):
-        cluster = cancelled_in_hand_overs(seed)
+        cluster = cluster_with_cancels_during_failovers(seed)
         check(cluster.run(length_s=100, job_count=30))
         cancelled += len(cluster.cancelled_at)
-        assert len(cluster.leader_by_term) >= 4, "the work did not change hands"
+        assert len(cluster.leader_by_term) >= 4, "too few failovers"
     assert cancelled > 25
 
 
-def cancels_during_the_rebuild_are_missed(patch: Patch) -> None:
-    """The new leader watches from after its rebuild, not from before the first page that it read."""
-    rebuild = LeaderTerm._recover
+def miss_cancels_during_recovery(patch: Patch) -> None:
+    """The new leader watches from the revision after its recovery, not from before the first segment that it read."""
+    recover = LeaderTerm._recover
 
-    async def later(self: LeaderTerm) -> int:
-        await rebuild(self)
+    async def recover_and_read_revision(self: LeaderTerm) -> int:
+        await recover(self)
         _, revision = await self.kv_store.scan("lead/")
         return revision
 
-    patch.setattr(LeaderTerm, "_recover", later)
+    patch.setattr(LeaderTerm, "_recover", recover_and_read_revision)
 
 
-def test_a_cancel_that_is_lost_between_two_leaders_is_caught(monkeypatch: Patch) -> None:
-    cancels_during_the_rebuild_are_missed(monkeypatch)
-    assert is_caught(cancelled_in_hand_overs, range(8020, 8040), "ran_cancelled", 100, 30)
+def test_cancel_lost_during_failover_is_caught(monkeypatch: Patch) -> None:
+    miss_cancels_during_recovery(monkeypatch)
+    assert is_caught(cluster_with_cancels_during_failovers, range(8020, 8040), "ran_cancelled", 100, 30)
 
 
-# -- leaders change ten times in two minutes, also inside an outage -------------------------------------
+# -- ten failovers in two minutes, also during a store outage -------------------------------------------
 
 
-def many_leaders(seed: int) -> SimulatedCluster:
+def cluster_with_frequent_failovers(seed: int) -> SimulatedCluster:
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5)
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -336,16 +340,16 @@
     return cluster
 
 
-def test_ten_leaders_in_two_minutes_also_inside_an_outage_break_no_rule() -> None:
+def test_ten_failovers_in_two_minutes_with_outages_break_no_rule() -> None:
     for seed in range(8030, 8033):
-        cluster = many_leaders(seed)
+        cluster = cluster_with_frequent_failovers(seed)
         check(cluster.run(length_s=120, job_count=25))
         assert len(cluster.leader_by_term) >= 10, f"seed {seed}: only {len(cluster.leader_by_term)} terms"
-        assert len(cluster.observed_ends) > 8, f"seed {seed}: the users heard of {len(cluster.observed_ends)} ends"
+        assert len(cluster.observed_ends) > 8, f"seed {seed}: users observed {len(cluster.observed_ends)} ends"
 
 
-def a_former_term_goes_on(patch: Patch) -> None:
-    """A process that returns within a second finds its former self's lease, and takes it for its own."""
+def resume_previous_term(patch: Patch) -> None:
+    """A controller that restarts within a second finds the lease of its previous process, and keeps using it."""
 
     async def resume(self: LeaderElection) -> None:
         entry = await self.kv_store.get(LEADER_KEY)
@@ -357,15 +361,15 @@
     patch.setattr(LeaderElection, "_revoke_stale_lease", resume)
 
 
-def test_a_term_that_a_returning_process_goes_on_with_is_caught(monkeypatch: Patch) -> None:
-    a_former_term_goes_on(monkeypatch)
-    assert is_caught(many_leaders, range(8030, 8034), "used_twice", 120, 25)
+def test_restarted_controller_that_resumes_its_term_is_caught(monkeypatch: Patch) -> None:
+    resume_previous_term(monkeypatch)
+    assert is_caught(cluster_with_frequent_failovers, range(8030, 8034), "used_twice", 120, 25)
 
 
-# -- odd requests -----------------------------------------------------------------------------------------
+# -- invalid requests -------------------------------------------------------------------------------------
 
 
-def oddly_asked(seed: int) -> SimulatedCluster:
+def cluster_with_invalid_requests(seed: int) -> SimulatedCluster:
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -378,113 +382,115 @@
     return cluster
 
 
-def test_odd_requests_get_the_answers_of_the_protocol_and_leave_nothing() -> None:
+def test_invalid_requests_get_documented_answers_and_store_nothing() -> None:
     statuses: set[tuple[str, int]] = set()
     for seed in range(8040, 8042):
-        cluster = oddly_asked(seed)
+        cluster = cluster_with_invalid_requests(seed)
         check(cluster.run(length_s=75, job_count=25))
-        statuses |= {(one.action.value, one.status) for one in cluster.history.operations}
-        known = {
+        statuses |= {(operation.action.value, operation.status) for operation in cluster.history.operations}
+        stored_job_ids = {
             key.partition("/")[2]
             for key in cluster.state.keys
             if key.startswith((LIVE_JOB_PREFIX, COMPLETED_JOB_PREFIX))
         }
-        assert known <= cluster.jobs.keys()
+        assert stored_job_ids <= cluster.jobs.keys()
     assert {("submit", 400), ("submit", 422), ("submit", 200), ("cancel", 200)} <= statuses
 
 
-def what_cannot_run_is_accepted(patch: Patch) -> None:
+def accept_unrunnable_jobs(patch: Patch) -> None:
     patch.setattr("roseweir.submissions.handlers.rejection_reason", lambda spec, teams, catalog: None)
 
 
-def missing_fields_are_made_up(patch: Patch) -> None:
-    judge = SubmissionHandlers._validate_submission
-    usual = {"docket": "x", "crew": "t0", "shape": "sweep", "rank": "normal", "parcels": 1, "cores": 1.0}
+def fill_in_missing_fields(patch: Patch) -> None:
+    validate = SubmissionHandlers._validate_submission
+    default_fields = {"docket": "x", "crew": "t0", "shape": "sweep", "rank": "normal", "parcels": 1, "cores": 1.0}
 
-    def lenient(self: SubmissionHandlers, value: Any) -> Any:
-        return judge(self, usual | value)
+    def validate_with_defaults(self: SubmissionHandlers, value: Any) -> Any:
+        return validate(self, default_fields | value)
 
-    patch.setattr(SubmissionHandlers, "_validate_submission", lenient)
+    patch.setattr(SubmissionHandlers, "_validate_submission", validate_with_defaults)
 
 
-def repeats_are_refused(patch: Patch) -> None:
+def reject_repeated_submissions(patch: Patch) -> None:
     submit = SubmissionHandlers._submit
 
-    async def strict(self: SubmissionHandlers, request: Request) -> Response:
+    async def reject_repeat(self: SubmissionHandlers, request: Request) -> Response:
         response = await submit(self, request)
-        return json_response(400, {"error": "known already"}) if response.status == 200 else response
+        return json_response(400, {"error": "job exists already"}) if response.status == 200 else response
 
-    patch.setattr(SubmissionHandlers, "_submit", strict)
+    patch.setattr(SubmissionHandlers, "_submit", reject_repeat)
 
 
 @pytest.mark.parametrize(
     ("variant", "rule"),
     [
-        (what_cannot_run_is_accepted, "accepted_wrongly"),
-        (missing_fields_are_made_up, "accepted_wrongly"),
-        (repeats_are_refused, "forgotten"),
-        (whoever_cancels_comes_too_late, "went_back"),
+        (accept_unrunnable_jobs, "accepted_wrongly"),
+        (fill_in_missing_fields, "accepted_wrongly"),
+        (reject_repeated_submissions, "forgotten"),
+        (report_missing_job_as_cancelled, "went_back"),
     ],
 )
-def test_a_wrong_answer_to_an_odd_request_is_caught(variant: Variant, rule: str, monkeypatch: Patch) -> None:
+def test_wrong_answer_to_invalid_request_is_caught(variant: Variant, rule: str, monkeypatch: Patch) -> None:
     variant(monkeypatch)
-    assert is_caught(oddly_asked, range(8040, 8044), rule, 75, 25)
+    assert is_caught(cluster_with_invalid_requests, range(8040, 8044), rule, 75, 25)
 
 
-# -- one-task jobs four a second for minutes, a quarter cancelled -----------------------------------------
+# -- four one-task jobs per second for minutes, a quarter of them cancelled -------------------------------
 
-SMALL_JOBS, SMALL_S, CHANGES_A_SECOND = 480, 171.0, 30.0
-# Jobs that a leader holds at once at most: about three seconds' worth of them run.
-HELD_MOST = 60
+SMALL_JOB_COUNT, SMALL_JOBS_RUN_S, CHANGES_PER_S = 480, 171.0, 30.0
+# Maximum number of jobs in the leader's memory: the jobs of about three seconds run at once.
+MAX_JOBS_IN_MEMORY = 60
 
 
-class Limit:
-    """The state service's limits on requests and on changes, with bursts of one second's worth."""
+class StoreRateLimits:
+    """Limits requests and changes of the key-value store per second, with bursts of one second's worth."""
 
     def __init__(self, state: SimulatedKeyValueStore, rps: float, write_rps: float) -> None:
         self.rates = {"requests": rps, "changes": write_rps}
-        self.left = dict(self.rates)
-        self.at = virtual_now()
-        self.refused = 0
+        self.tokens = dict(self.rates)
+        self.refilled_at = virtual_now()
+        self.rejected_count = 0
         self._handle = state.handle
         state.handle = self.handle  # type: ignore[method-assign]
 
     async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
-        span, self.at = virtual_now() - self.at, virtual_now()
-        self.left = {what: min(rate, self.left[what] + span * rate) for what, rate in self.rates.items()}
+        elapsed_s, self.refilled_at = virtual_now() - self.refilled_at, virtual_now()
+        self.tokens = {limit: min(rate, self.tokens[limit] + elapsed_s * rate) for limit, rate in self.rates.items()}
         changes = len(body["then"]) if path == "/txn" else 0
-        if self.left["requests"] < 1 or self.left["changes"] < changes:
-            self.refused += 1
+        if self.tokens["requests"] < 1 or self.tokens["changes"] < changes:
+            self.rejected_count += 1
             return json_reply(429)
-        self.left["requests"] -= 1
-        self.left["changes"] -= changes
+        self.tokens["requests"] -= 1
+        self.tokens["changes"] -= changes
         return await self._handle(node, method, path, body)
 
 
-class Swarm(LongTaskCluster):
-    """Jobs of one task each, of which users cancel a quarter, and what the service keeps for them."""
+class SmallJobsCluster(LongTaskCluster):
+    """Jobs of one task each, of which users cancel a quarter; observes the memory and the keys used for them."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, write_rps=CHANGES_A_SECOND, scale=3)
+        super().__init__(seed, write_rps=CHANGES_PER_S, scale=3)
         self.task_duration_s, self.max_tasks = 2.0, 2
-        self.took: list[float] = []
-        self.held_most = 0
-        self.limit: Limit | None = None
-        self.left_behind: list[str] = []
-        self.schedule_action(lambda _: self._limited())
-
-    async def _limited(self) -> None:
-        self.limit = Limit(self.state, 200.0, CHANGES_A_SECOND)
+        self.submit_latencies_s: list[float] = []
+        self.max_jobs_in_memory = 0
+        self.store_limits: StoreRateLimits | None = None
+        self.leftover_keys: list[str] = []
+        self.schedule_action(lambda _: self._limit_store_and_observe())
+
+    async def _limit_store_and_observe(self) -> None:
+        self.store_limits = StoreRateLimits(self.state, 200.0, CHANGES_PER_S)
         while True:
             await asyncio.sleep(1.0)
-            self.held_most = max([self.held_most, *(len(cluster_state.jobs) for cluster_state in self._boards())])
-            self.left_behind = sorted(
+            self.max_jobs_in_memory = max(
+                [self.max_jobs_in_memory, *(len(cluster_state.jobs) for cluster_state in self._cluster_states())]
+            )
+            self.leftover_keys = sorted(
                 k for k in self.state.keys if k.startswith((LIVE_JOB_PREFIX, COMPLETED_TASKS_PREFIX))
             )
 
-    def _boards(self) -> list[ClusterState]:
-        reigns = [node.service.leader_term for node in self.nodes if node.service is not None]
-        return [reign.cluster_state for reign in reigns if reign is not None]
+    def _cluster_states(self) -> list[ClusterState]:
+        leader_terms = [node.service.leader_term for node in self.nodes if node.service is not None]
+        return [leader_term.cluster_state for leader_term in leader_terms if leader_term is not None]
 
     def make_job(self) -> dict[str, Any]:
         return super().make_job() | {"parcels": 1}
@@ -493,7 +499,7 @@
         job = self.make_job()
         job_id = job["name_id"]
         self.jobs[job_id] = job
-        begun, status = virtual_now(), 0
+        submitted_at, status = virtual_now(), 0
         while status not in (200, 201):
             status, answer = await self.ask("POST", "/submissions", user_faults.to_wire(job))
             self.check_answer(job_id, status, answer)
@@ -501,7 +507,7 @@
                 await asyncio.sleep(1.0)
         self.accepted_jobs.add(job_id)
         self.accepted_at[job_id] = virtual_now()
-        self.took.append(virtual_now() - begun)
+        self.submit_latencies_s.append(virtual_now() - submitted_at)
         if self.rng.random() < 0.25:
             await asyncio.sleep(self.rng.uniform(0.0, 4.0))
             await user_faults.cancel_until_answered(self, job_id)
@@ -510,129 +516,139 @@
             self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
 
 
-def fell_short(cluster: Swarm) -> list[str]:
-    """What of the bounds of a swarm's day does not hold."""
-    assert cluster.limit is not None
-    quick = sum(took <= QUICK_S for took in cluster.took) / len(cluster.took)
-    held = {
-        "latency": quick >= QUICK_SHARE,
-        "rate": cluster.limit.refused == 0,
-        "memory": cluster.held_most <= HELD_MOST,
-        "left behind": not cluster.left_behind,
-        "ends": len(cluster.observed_ends) == len(cluster.accepted_jobs) == SMALL_JOBS,
+def unmet_bounds(cluster: SmallJobsCluster) -> list[str]:
+    """The bounds that the run of many small jobs did not meet."""
+    assert cluster.store_limits is not None
+    fast_share = sum(latency_s <= FAST_SUBMIT_S for latency_s in cluster.submit_latencies_s) / len(
+        cluster.submit_latencies_s
+    )
+    bounds = {
+        "latency": fast_share >= FAST_SUBMIT_SHARE,
+        "rate": cluster.store_limits.rejected_count == 0,
+        "memory": cluster.max_jobs_in_memory <= MAX_JOBS_IN_MEMORY,
+        "leftover keys": not cluster.leftover_keys,
+        "ends": len(cluster.observed_ends) == len(cluster.accepted_jobs) == SMALL_JOB_COUNT,
     }
-    return [what for what, well in held.items() if not well]
+    return [bound for bound, is_met in bounds.items() if not is_met]
 
 
-def played_swarm(seed: int = 8050) -> Swarm:
-    cluster = Swarm(seed)
-    cluster.run(length_s=SMALL_S, job_count=SMALL_JOBS)
+def run_small_jobs(seed: int = 8050) -> SmallJobsCluster:
+    cluster = SmallJobsCluster(seed)
+    cluster.run(length_s=SMALL_JOBS_RUN_S, job_count=SMALL_JOB_COUNT)
     return cluster
 
 
-def test_a_swarm_of_one_task_jobs_stays_within_the_rate_and_leaves_nothing_behind() -> None:
-    cluster = played_swarm()
+def test_many_one_task_jobs_stay_within_rate_and_leave_no_keys() -> None:
+    cluster = run_small_jobs()
     check(cluster)
-    assert fell_short(cluster) == []
-    assert len(cluster.cancelled_at) > SMALL_JOBS / 8
+    assert unmet_bounds(cluster) == []
+    assert len(cluster.cancelled_at) > SMALL_JOB_COUNT / 8
 
 
-def jobs_that_are_over_stay_in_memory(patch: Patch) -> None:
+def keep_finished_jobs_in_memory(patch: Patch) -> None:
     patch.setattr(ClusterState, "_forget_finished_job", lambda self, run: None)
 
 
-def _written_with_acceptances(patch: Patch, more: Callable[[str], list[str]]) -> None:
-    """Further keys of each job, named by its id, that its acceptance writes."""
+def _write_more_keys_with_acceptances(patch: Patch, more_keys: Callable[[str], list[str]]) -> None:
+    """Each job's acceptance also writes these further keys, which `more_keys` derives from the job id."""
     commit = GroupCommitter.commit
 
-    async def with_more(self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
-        jobs = [op["put"].removeprefix(LIVE_JOB_PREFIX) for op in ops if op.get("put", "").startswith(LIVE_JOB_PREFIX)]
-        added = [put(key, {"n": 1}) for job_id in jobs for key in more(job_id)]
-        return await commit(self, guards, ops + added, confirm)
+    async def commit_with_more_keys(
+        self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None
+    ) -> int:
+        job_ids = [
+            op["put"].removeprefix(LIVE_JOB_PREFIX) for op in ops if op.get("put", "").startswith(LIVE_JOB_PREFIX)
+        ]
+        added_ops = [put(key, {"n": 1}) for job_id in job_ids for key in more_keys(job_id)]
+        return await commit(self, guards, ops + added_ops, confirm)
 
-    patch.setattr(GroupCommitter, "commit", with_more)
+    patch.setattr(GroupCommitter, "commit", commit_with_more_keys)
 
 
-def chunks_are_made_at_acceptance(patch: Patch) -> None:
-    """The end deletes the chunks that its leader wrote, and so not this one."""
-    _written_with_acceptances(patch, lambda job_id: [chunk_key(job_id, 0)])
+def write_chunk_at_acceptance(patch: Patch) -> None:
+    """The job's end deletes the chunks that the leader wrote, which does not include this one."""
+    _write_more_keys_with_acceptances(patch, lambda job_id: [chunk_key(job_id, 0)])
 
 
-def jobs_are_listed_by_other_keys_too(patch: Patch) -> None:
-    """By team, class, image, zone and type: five more changes a job, and nothing waits for the rate."""
-    _written_with_acceptances(patch, lambda job_id: [f"by-{what}/{job_id}" for what in range(5)])
+def write_index_keys_at_acceptance(patch: Patch) -> None:
+    """Index keys by team, class, image, zone and type: five more changes per job, not rate-limited."""
+    _write_more_keys_with_acceptances(patch, lambda job_id: [f"by-{index}/{job_id}" for index in range(5)])
 
-    async def at_once(self: RateLimiter, *args: float) -> float:
+    async def grant_without_waiting(self: RateLimiter, *args: float) -> float:
         return self.max_tokens
 
-    patch.setattr(RateLimiter, "acquire", at_once)
-    patch.setattr(RateLimiter, "wait_for_tokens", at_once)
+    patch.setattr(RateLimiter, "acquire", grant_without_waiting)
+    patch.setattr(RateLimiter, "wait_for_tokens", grant_without_waiting)
 
 
 @pytest.mark.parametrize(
-    ("variant", "what"),
+    ("variant", "bound"),
     [
-        (jobs_that_are_over_stay_in_memory, "memory"),
-        (chunks_are_made_at_acceptance, "left behind"),
-        (jobs_are_listed_by_other_keys_too, "rate"),
+        (keep_finished_jobs_in_memory, "memory"),
+        (write_chunk_at_acceptance, "leftover keys"),
+        (write_index_keys_at_acceptance, "rate"),
     ],
 )
-def test_a_service_that_does_not_bear_a_swarm_is_caught(variant: Variant, what: str, monkeypatch: Patch) -> None:
+def test_unbounded_resources_for_small_jobs_are_caught(variant: Variant, bound: str, monkeypatch: Patch) -> None:
     variant(monkeypatch)
-    assert what in fell_short(played_swarm())
+    assert bound in unmet_bounds(run_small_jobs())
 
 
-# -- a transaction is carried out at once, and only its answer is lost -------------------------------------
+# -- a transaction is applied at once, and only its answer is lost -----------------------------------------
 
-KEYED = (drain_store.KEY_PREFIX, chain_store.PAGE_KEY_PREFIX, PROMISES)
+CONTROLLER_KEY_PREFIXES = (drain_store.KEY_PREFIX, workflow_store.PAGE_KEY_PREFIX, NIGHT_REPORTS_KEY)
 
 
-def writes(prefix: str, state: str = "") -> Callable[[Ops], bool]:
-    """Whether a transaction puts such a key, of a job that ended so."""
+def writes_prefix(prefix: str, state: str = "") -> Callable[[Ops], bool]:
+    """Whether a transaction puts a key with this prefix; if `state` is set, of a job with this final state."""
 
-    def found(ops: Ops) -> bool:
+    def is_written(ops: Ops) -> bool:
         puts = [op for op in ops if op.get("put", "").startswith(prefix)]
         return any(not state or op["v"]["state"] == state for op in puts)
 
-    return found
+    return is_written
 
 
-WRITES: dict[str, Callable[[Ops], bool]] = {
-    "acceptance": writes(LIVE_JOB_PREFIX),
-    "cancel": writes(COMPLETED_JOB_PREFIX, "cancelled"),
-    "end": writes(COMPLETED_JOB_PREFIX, "done"),
-    "election": writes(LEADER_KEY),
-    "starts and ends of tasks": writes(LOG_PREFIX + DELTA_KEY_PREFIX),
-    "machines' pages": writes(LOG_PREFIX + "0"),
-    "chunks of tasks done": writes(COMPLETED_TASKS_PREFIX),
-    "drains": writes(drain_store.KEY_PREFIX),
-    "chains": writes(chain_store.PAGE_KEY_PREFIX),
-    "promises": writes(PROMISES),
+WRITE_TYPES: dict[str, Callable[[Ops], bool]] = {
+    "acceptance": writes_prefix(LIVE_JOB_PREFIX),
+    "cancel": writes_prefix(COMPLETED_JOB_PREFIX, "cancelled"),
+    "end": writes_prefix(COMPLETED_JOB_PREFIX, "done"),
+    "election": writes_prefix(LEADER_KEY),
+    "task deltas": writes_prefix(LOG_PREFIX + DELTA_KEY_PREFIX),
+    "machine segments": writes_prefix(LOG_PREFIX + "0"),
+    "completed-task chunks": writes_prefix(COMPLETED_TASKS_PREFIX),
+    "drains": writes_prefix(drain_store.KEY_PREFIX),
+    "workflows": writes_prefix(workflow_store.PAGE_KEY_PREFIX),
+    "delivery deadlines": writes_prefix(NIGHT_REPORTS_KEY),
 }
 
 
-def loses_answers(cluster: SimulatedCluster, what: str, share: float) -> list[str]:
-    """Of transactions of this kind, that share; now and then the leader that lost one ends before it asks again."""
+def lose_answers(cluster: SimulatedCluster, write_type: str, share: float) -> list[str]:
+    """Loses the answers of this share of these transactions; in 10% of cases the leader restarts before its retry."""
     lost: list[str] = []
 
-    def loses(node: SimulatedController, body: dict[str, Any]) -> bool:
-        if virtual_now() > LOSSES_END or not WRITES[what](body["then"]) or cluster.rng.random() >= share:
+    def is_answer_lost(node: SimulatedController, body: dict[str, Any]) -> bool:
+        if (
+            virtual_now() > LOST_ANSWERS_END_S
+            or not WRITE_TYPES[write_type](body["then"])
+            or cluster.rng.random() >= share
+        ):
             return False
         lost.append(node.name)
-        if what != "election" and cluster.rng.random() < 0.1 and node is cluster.current_leader():
-            cluster.spawn(ends_soon(node))
+        if write_type != "election" and cluster.rng.random() < 0.1 and node is cluster.current_leader():
+            cluster.spawn(restart_soon(node))
         return True
 
-    async def ends_soon(node: SimulatedController) -> None:
+    async def restart_soon(node: SimulatedController) -> None:
         await asyncio.sleep(cluster.rng.uniform(0.0, 2.2))
         await cluster.restart_controller(node)
 
-    cluster.is_answer_lost = loses  # type: ignore[method-assign]
+    cluster.is_answer_lost = is_answer_lost  # type: ignore[method-assign]
     return lost
 
 
-def refused_guards(body: dict[str, Any], answer: Reply, prefixes: tuple[str, ...]) -> list[tuple[str, int]]:
-    """Keys under these prefixes, with their versions, over which a transaction of the present leader was refused."""
+def conflicting_guards(body: dict[str, Any], answer: Reply, prefixes: tuple[str, ...]) -> list[tuple[str, int]]:
+    """Keys under these prefixes, with versions, that a transaction of the current leader conflicted on."""
     failed = set(answer.json()["failed"]) if answer.status == 409 else set()
     if LEADER_KEY in failed:
         return []
@@ -640,240 +656,253 @@
     return [(key, version) for key, version in guards if key in failed and key.startswith(prefixes)]
 
 
-class Lossy(LongTaskCluster):
-    """Short jobs of a few tasks that users look at closely, as the answers of one kind of write are lost."""
+class LostAnswersCluster(LongTaskCluster):
+    """Short jobs of a few tasks that users poll closely, while the answers of one type of write are lost."""
 
-    def __init__(self, seed: int, what: str, share: float = 0.5) -> None:
+    def __init__(self, seed: int, write_type: str, share: float = 0.5) -> None:
         super().__init__(seed, restart_delay_range_s=(0.1, 1.0))
         self.max_tasks = 12
-        self.lost = loses_answers(self, what, share)
-        self.schedule_action(lambda world: user_faults.concurrent_polls(world, LOSSES_END))
-        self.schedule_action(lambda world: user_faults.cancel_at_end(world, LOSSES_END))
-        if what == "election":
-            self.schedule_action(lambda world: user_faults.repeated_failovers(world, LOSSES_END - 20.0))
-        self.lost_before = 0
-        # How often a writer heard that a record was refused over one version of a key; what had started by LOSSES_END.
-        self.refused: Counter[tuple[str, int]] = Counter()
-        self.started = 0
-        self.schedule_action(lambda _: self._look_at_records())
-
-    async def _look_at_records(self) -> None:
-        txn = self.state.commit_transaction
-
-        def watched(body: dict[str, Any]) -> Reply:
-            answer = txn(body)
-            is_lost, self.lost_before = len(self.lost) > self.lost_before, len(self.lost)
+        self.lost_answers = lose_answers(self, write_type, share)
+        self.schedule_action(lambda cluster: user_faults.concurrent_polls(cluster, LOST_ANSWERS_END_S))
+        self.schedule_action(lambda cluster: user_faults.cancel_at_end(cluster, LOST_ANSWERS_END_S))
+        if write_type == "election":
+            self.schedule_action(lambda cluster: user_faults.repeated_failovers(cluster, LOST_ANSWERS_END_S - 20.0))
+        self.previous_lost_count = 0
+        # Conflicts that were answered to a writer, by key and version; and the tasks started by LOST_ANSWERS_END_S.
+        self.conflicts: Counter[tuple[str, int]] = Counter()
+        self.started_count = 0
+        self.schedule_action(lambda _: self._count_conflicts())
+
+    async def _count_conflicts(self) -> None:
+        commit_transaction = self.state.commit_transaction
+
+        def commit_counting_conflicts(body: dict[str, Any]) -> Reply:
+            answer = commit_transaction(body)
+            is_lost, self.previous_lost_count = (
+                len(self.lost_answers) > self.previous_lost_count,
+                len(self.lost_answers),
+            )
             if not is_lost:
-                self.refused.update(refused_guards(body, answer, (LOG_PREFIX, COMPLETED_TASKS_PREFIX)))
+                self.conflicts.update(conflicting_guards(body, answer, (LOG_PREFIX, COMPLETED_TASKS_PREFIX)))
             return answer
 
-        self.state.commit_transaction = watched  # type: ignore[method-assign]
-        await asyncio.sleep(LOSSES_END)
-        self.started = self.start_count
+        self.state.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
+        await asyncio.sleep(LOST_ANSWERS_END_S)
+        self.started_count = self.start_count
 
     def run_time(self, job: dict[str, Any]) -> float:
         return self.rng.choice([0.2, 3.0, 8.0])
 
 
-def stuck(cluster: Lossy) -> list[str]:
-    """What goes on for ever, or not at all, after answers were lost."""
-    found = [f"{job} is not done" for job in sorted(cluster.unfinished_jobs(before=LOSSES_END - 10.0))]
-    found += [f"{key} at {version} was refused {n} times" for (key, version), n in cluster.refused.items() if n > AGAIN]
-    return found if cluster.started else [*found, "nothing started as answers were lost"]
+def find_stuck_work(cluster: LostAnswersCluster) -> list[str]:
+    """Jobs that do not end, writes that conflict again and again, and tasks that do not start, after lost answers."""
+    problems = [f"{job} is not done" for job in sorted(cluster.unfinished_jobs(before=LOST_ANSWERS_END_S - 10.0))]
+    problems += [
+        f"{key} at {version} conflicted {n} times"
+        for (key, version), n in cluster.conflicts.items()
+        if n > MAX_CONFLICTS
+    ]
+    return problems if cluster.started_count else [*problems, "nothing started while answers were lost"]
 
 
-def unanswered_writes_are_not_looked_up(patch: Patch) -> None:
-    """No rule is broken by this, only time lost: whoever wrote hears that no answer came, and has to read."""
+def skip_lookup_of_unanswered_writes(patch: Patch) -> None:
+    """Breaks no rule but costs time: the writer gets no answer, and has to read the key to learn the result."""
 
-    async def sent(self: LeaderTransactions, guards: Guards, ops: Ops) -> int:
+    async def commit_without_lookup(self: LeaderTransactions, guards: Guards, ops: Ops) -> int:
         return await self._kv_store.compare_and_swap(guards, ops)
 
-    async def awaited(self: GroupCommitter, batch: list[Any]) -> None:
+    async def wait_without_lookup(self: GroupCommitter, batch: list[Any]) -> None:
         for change in batch:
             await asyncio.wait({change.result})
 
-    patch.setattr(LeaderTransactions, "commit", sent)
-    patch.setattr(GroupCommitter, "_confirm_or_resend", awaited)
+    patch.setattr(LeaderTransactions, "commit", commit_without_lookup)
+    patch.setattr(GroupCommitter, "_confirm_or_resend", wait_without_lookup)
 
 
-JOBS_WRITES = [what for what in WRITES if what not in ("drains", "chains", "promises")]
+JOB_WRITES = [write for write in WRITE_TYPES if write not in ("drains", "workflows", "delivery deadlines")]
 
 
-@pytest.mark.parametrize("looked_up", [True, False])
-@pytest.mark.parametrize("what", JOBS_WRITES)
-def test_a_write_of_which_only_the_answer_is_lost_breaks_no_rule(
-    what: str, looked_up: bool, monkeypatch: Patch
-) -> None:
-    if not looked_up:
-        unanswered_writes_are_not_looked_up(monkeypatch)
-    lost = 0
+@pytest.mark.parametrize("looks_up_writes", [True, False])
+@pytest.mark.parametrize("write_type", JOB_WRITES)
+def test_write_whose_answer_is_lost_breaks_no_rule(write_type: str, looks_up_writes: bool, monkeypatch: Patch) -> None:
+    if not looks_up_writes:
+        skip_lookup_of_unanswered_writes(monkeypatch)
+    lost_count = 0
     for seed in range(8060, 8062):
-        cluster = Lossy(seed, what, 1.0 if what == "election" else 0.5)
-        check(cluster.run(length_s=LOSSES_END + 35.0, job_count=25))
-        assert not stuck(cluster), f"seed {seed}: {stuck(cluster)}"
-        lost += len(cluster.lost)
-    assert lost >= 4, "nothing was lost"
+        cluster = LostAnswersCluster(seed, write_type, 1.0 if write_type == "election" else 0.5)
+        check(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=25))
+        assert not find_stuck_work(cluster), f"seed {seed}: {find_stuck_work(cluster)}"
+        lost_count += len(cluster.lost_answers)
+    assert lost_count >= 4, "no answer was lost"
 
 
-def an_unanswered_acceptance_is_written_again(patch: Patch) -> None:
-    """It is taken for failed, and written without guards: the job may be over by then."""
+def rewrite_unanswered_acceptance(patch: Patch) -> None:
+    """The acceptance is taken for failed, and written again without guards, when the job may have ended already."""
     commit = GroupCommitter.commit
 
-    async def again(self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
+    async def commit_again_without_guards(
+        self: GroupCommitter, guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None
+    ) -> int:
         try:
             return await commit(self, guards, ops, confirm)
         except Unreachable:
-            if not writes(LIVE_JOB_PREFIX)(ops):
+            if not writes_prefix(LIVE_JOB_PREFIX)(ops):
                 raise
             return await commit(self, [], ops)
 
-    patch.setattr(GroupCommitter, "commit", again)
+    patch.setattr(GroupCommitter, "commit", commit_again_without_guards)
 
 
-def an_unanswered_cancel_is_taken_for_failed(patch: Patch) -> None:
+def take_unanswered_cancel_for_failed(patch: Patch) -> None:
     cancel = SubmissionHandlers._cancel
 
-    async def failed(self: SubmissionHandlers, job_id: str) -> Response:
+    async def cancel_failing_if_unanswered(self: SubmissionHandlers, job_id: str) -> Response:
         commit = self.group_commit.commit
-        lost: list[bool] = []
+        unanswered: list[bool] = []
 
-        async def watched(guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
+        async def commit_recording_unanswered(guards: Guards, ops: Ops, confirm: ConfirmWrite | None = None) -> int:
             try:
                 return await commit(guards, ops, confirm)
             except Unreachable:
-                lost.append(True)
+                unanswered.append(True)
                 raise
 
-        self.group_commit.commit = watched  # type: ignore[method-assign]
+        self.group_commit.commit = commit_recording_unanswered  # type: ignore[method-assign]
         response = await cancel(self, job_id)
-        return json_response(200, status_response(job_id, "running")) if lost else response
+        return json_response(200, status_response(job_id, "running")) if unanswered else response
 
-    patch.setattr(SubmissionHandlers, "_cancel", failed)
+    patch.setattr(SubmissionHandlers, "_cancel", cancel_failing_if_unanswered)
 
 
-def an_unanswered_election_is_taken_for_lost(patch: Patch) -> None:
-    _with_an_unanswered_election(patch, lambda: None)
+def take_unanswered_election_for_lost(patch: Patch) -> None:
+    _replace_leader_read_in_election(patch, lambda: None)
 
 
-def an_unanswered_election_is_taken_for_won(patch: Patch) -> None:
-    """Its key's version is not read."""
-    _with_an_unanswered_election(patch, lambda: Entry(LEADER_KEY, {}, 1))
+def take_unanswered_election_for_won(patch: Patch) -> None:
+    """The version of the leader key is not read: version 1 is assumed."""
+    _replace_leader_read_in_election(patch, lambda: Entry(LEADER_KEY, {}, 1))
 
 
-def _with_an_unanswered_election(patch: Patch, found: Callable[[], Entry | None]) -> None:
-    campaign = LeaderElection._try_acquire_leadership
+def _replace_leader_read_in_election(patch: Patch, read_leader_entry: Callable[[], Entry | None]) -> None:
+    try_acquire = LeaderElection._try_acquire_leadership
 
-    async def unread(self: LeaderElection) -> LeaderLease | None:
-        get, holds = self.kv_store.get, []
-        hold = self.kv_store.grant_lease
+    async def try_acquire_unread(self: LeaderElection) -> LeaderLease | None:
+        get, lease_ids = self.kv_store.get, []
+        grant_lease = self.kv_store.grant_lease
 
-        async def held(ttl: Any) -> int:
-            holds.append(await hold(ttl))
-            return holds[-1]
+        async def grant_recording_lease(ttl: Any) -> int:
+            lease_ids.append(await grant_lease(ttl))
+            return lease_ids[-1]
 
-        async def answered(key: str, **more: Any) -> Entry | None:
+        async def get_leader_entry(key: str, **options: Any) -> Entry | None:
             if key != LEADER_KEY:
-                return await get(key, **more)
-            entry = found()
+                return await get(key, **options)
+            entry = read_leader_entry()
             if entry is not None:
-                entry.value = {"lease": holds[-1]}
+                entry.value = {"lease": lease_ids[-1]}
             return entry
 
-        self.kv_store.get, self.kv_store.grant_lease = answered, held  # type: ignore[method-assign, assignment]
+        self.kv_store.get, self.kv_store.grant_lease = get_leader_entry, grant_recording_lease  # type: ignore[method-assign, assignment]
         try:
-            return await campaign(self)
+            return await try_acquire(self)
         finally:
-            self.kv_store.get, self.kv_store.grant_lease = get, hold  # type: ignore[method-assign]
+            self.kv_store.get, self.kv_store.grant_lease = get, grant_lease  # type: ignore[method-assign]
 
-    patch.setattr(LeaderElection, "_try_acquire_leadership", unread)
+    patch.setattr(LeaderElection, "_try_acquire_leadership", try_acquire_unread)
 
 
-def _versions_are_not_learnt(patch: Patch, prefix: str) -> None:
-    """The record of an unanswered write is taken for unwritten, and written again on its old version for ever."""
+def _skip_version_refresh(patch: Patch, prefix: str) -> None:
+    """An unanswered write is taken for failed, and retried forever with its old version."""
     refresh = LogWriter._refresh_versions
 
-    async def some(self: LogWriter, keys: list[str]) -> None:
+    async def refresh_other_versions(self: LogWriter, keys: list[str]) -> None:
         await refresh(self, [key for key in keys if not key.startswith(prefix)])
 
-    patch.setattr(LogWriter, "_refresh_versions", some)
+    patch.setattr(LogWriter, "_refresh_versions", refresh_other_versions)
 
 
-def ends_are_not_learnt(patch: Patch) -> None:
-    async def unread(self: LogWriter, job_id: str) -> None:
+def skip_job_end_refresh(patch: Patch) -> None:
+    async def skip_refresh(self: LogWriter, job_id: str) -> None:
         return None
 
-    patch.setattr(LogWriter, "refresh_job_end", unread)
+    patch.setattr(LogWriter, "refresh_job_end", skip_refresh)
 
 
-def notes_versions_are_not_learnt(patch: Patch) -> None:
-    _versions_are_not_learnt(patch, LOG_PREFIX + DELTA_KEY_PREFIX)
+def skip_delta_version_refresh(patch: Patch) -> None:
+    _skip_version_refresh(patch, LOG_PREFIX + DELTA_KEY_PREFIX)
 
 
-def pages_versions_are_not_learnt(patch: Patch) -> None:
-    _versions_are_not_learnt(patch, LOG_PREFIX)
+def skip_log_version_refresh(patch: Patch) -> None:
+    _skip_version_refresh(patch, LOG_PREFIX)
 
 
-def chunks_versions_are_not_learnt(patch: Patch) -> None:
-    _versions_are_not_learnt(patch, COMPLETED_TASKS_PREFIX)
+def skip_chunk_version_refresh(patch: Patch) -> None:
+    _skip_version_refresh(patch, COMPLETED_TASKS_PREFIX)
 
 
 @pytest.mark.parametrize(
-    ("what", "variant", "looked_up"),
+    ("write_type", "variant", "looks_up_writes"),
     [
-        ("acceptance", an_unanswered_acceptance_is_written_again, True),
-        ("cancel", an_unanswered_cancel_is_taken_for_failed, False),
-        ("end", ends_are_not_learnt, False),
-        ("election", an_unanswered_election_is_taken_for_lost, True),
-        ("election", an_unanswered_election_is_taken_for_won, True),
-        ("starts and ends of tasks", notes_versions_are_not_learnt, False),
-        ("machines' pages", pages_versions_are_not_learnt, False),
-        ("chunks of tasks done", chunks_versions_are_not_learnt, False),
+        ("acceptance", rewrite_unanswered_acceptance, True),
+        ("cancel", take_unanswered_cancel_for_failed, False),
+        ("end", skip_job_end_refresh, False),
+        ("election", take_unanswered_election_for_lost, True),
+        ("election", take_unanswered_election_for_won, True),
+        ("task deltas", skip_delta_version_refresh, False),
+        ("machine segments", skip_log_version_refresh, False),
+        ("completed-task chunks", skip_chunk_version_refresh, False),
     ],
 )
-def test_a_writer_that_takes_a_lost_answer_for_a_failure_is_caught(
-    what: str, variant: Variant, looked_up: bool, monkeypatch: Patch
+def test_taking_lost_answer_for_failed_write_is_caught(
+    write_type: str, variant: Variant, looks_up_writes: bool, monkeypatch: Patch
 ) -> None:
-    """Where `looked_up` is False, a lookup proves the write before its writer can take it for failed."""
-    if not looked_up:
-        unanswered_writes_are_not_looked_up(monkeypatch)
+    """Runs without lookups where a lookup would confirm the write before its writer can take it for failed."""
+    if not looks_up_writes:
+        skip_lookup_of_unanswered_writes(monkeypatch)
     variant(monkeypatch)
     for seed in range(8060, 8064):
-        cluster = Lossy(seed, what, 1.0 if what == "election" else 0.5)
-        cluster.run(length_s=LOSSES_END + 35.0, job_count=25)
-        if cluster.rule_violations or cluster.errors or stuck(cluster):
+        cluster = LostAnswersCluster(seed, write_type, 1.0 if write_type == "election" else 0.5)
+        cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=25)
+        if cluster.rule_violations or cluster.errors or find_stuck_work(cluster):
             return
     pytest.fail("nothing was caught")
 
 
-def recorded_after(patch: Patch) -> list[float]:
-    """Seconds for which a leader had something to record, up to the answer or the proof that it is recorded."""
+def measure_log_write_durations(patch: Patch) -> list[float]:
+    """Seconds from a leader's first pending log write to the answer or the confirmation that it is written."""
     commit = LogWriter._commit_batch
-    began: dict[LogWriter, float] = {}
-    took: list[float] = []
+    pending_since: dict[LogWriter, float] = {}
+    durations_s: list[float] = []
 
-    async def watched(self: LogWriter, batch: Any) -> None:
-        began.setdefault(self, virtual_now())
+    async def commit_measuring_duration(self: LogWriter, batch: Any) -> None:
+        pending_since.setdefault(self, virtual_now())
         await commit(self, batch)
         if not self._is_failing:
-            took.append(virtual_now() - began.pop(self))
+            durations_s.append(virtual_now() - pending_since.pop(self))
 
-    patch.setattr(LogWriter, "_commit_batch", watched)
-    return took
+    patch.setattr(LogWriter, "_commit_batch", commit_measuring_duration)
+    return durations_s
 
 
-@pytest.mark.parametrize("looked_up", [True, False])
-@pytest.mark.parametrize("what", ["starts and ends of tasks", "machines' pages", "end"])
-def test_a_record_of_which_the_answer_is_lost_is_proven_soon(what: str, looked_up: bool, monkeypatch: Patch) -> None:
-    if not looked_up:
-        unanswered_writes_are_not_looked_up(monkeypatch)
-    took = recorded_after(monkeypatch)
-    cluster = Lossy(8061, what)
-    cluster.run(length_s=LOSSES_END + 35.0, job_count=25)
-    assert len(cluster.lost) >= 3
-    assert max(took) < RECORDED_S if looked_up else max(took) > 4 * RECORDED_S, max(took)
-
-
-async def some_drains(cluster: SimulatedCluster) -> None:
+@pytest.mark.parametrize("looks_up_writes", [True, False])
+@pytest.mark.parametrize("write_type", ["task deltas", "machine segments", "end"])
+def test_log_write_whose_answer_is_lost_is_confirmed_soon(
+    write_type: str, looks_up_writes: bool, monkeypatch: Patch
+) -> None:
+    if not looks_up_writes:
+        skip_lookup_of_unanswered_writes(monkeypatch)
+    confirmation_times_s = measure_log_write_durations(monkeypatch)
+    cluster = LostAnswersCluster(8061, write_type)
+    cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=25)
+    assert len(cluster.lost_answers) >= 3
+    assert (
+        max(confirmation_times_s) < CONFIRMED_WITHIN_S
+        if looks_up_writes
+        else max(confirmation_times_s) > 4 * CONFIRMED_WITHIN_S
+    ), max(confirmation_times_s)
+
+
+async def start_three_drains(cluster: SimulatedCluster) -> None:
     assert isinstance(cluster, EvictionCluster)
     await asyncio.sleep(12)
     for name in ("one", "two", "three"):
@@ -882,116 +911,122 @@
         await asyncio.sleep(8)
 
 
-def drained(seed: int) -> tuple[EvictionCluster, list[str]]:
-    cluster = replaced(seed, restart_delay_range_s=(0.1, 1.0))
-    lost = loses_answers(cluster, "drains", 0.5)
-    cluster.schedule_action(some_drains)
-    return cluster, lost
+def cluster_with_drains(seed: int) -> tuple[EvictionCluster, list[str]]:
+    cluster = make_eviction_cluster(seed, restart_delay_range_s=(0.1, 1.0))
+    lost_answers = lose_answers(cluster, "drains", 0.5)
+    cluster.schedule_action(start_three_drains)
+    return cluster, lost_answers
 
 
-def chained(seed: int, what: str) -> tuple[WorkflowCluster, list[str]]:
+def cluster_with_workflows(seed: int, write_type: str) -> tuple[WorkflowCluster, list[str]]:
     cluster: WorkflowCluster
-    if what == "chains":
+    if write_type == "workflows":
         cluster = WorkflowCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 0.5))
         cluster.registry.run_time_range_s = (1.0, 3.0)
         cluster.schedule_action(cluster.watch_viewer)
-        cluster.schedule_action(lambda _: some_amendments(cluster))
+        cluster.schedule_action(lambda _: submit_ten_amendments(cluster))
     else:
         cluster = Landings(seed, promised(time(0, 1)), landing=6, restart_delay_range_s=(0.1, 1.0))
         cluster.schedule_action(cluster.night)
-    return cluster, loses_answers(cluster, what, 0.5)
+    return cluster, lose_answers(cluster, write_type, 0.5)
 
 
-async def some_amendments(cluster: WorkflowCluster) -> None:
+async def submit_ten_amendments(cluster: WorkflowCluster) -> None:
     await asyncio.sleep(8)
     for turn in range(10):
         cluster.spawn(cluster.submit_amendment(cluster.registry.make_amendment([f"lot-{turn % 4}"])))
         await asyncio.sleep(3)
 
 
-def states_of(cluster: WorkflowCluster) -> dict[str, str]:
-    """How the chains stand before the day ends."""
+def record_workflow_states(cluster: WorkflowCluster) -> dict[str, str]:
+    """The states of the workflows shortly before the simulated day ends."""
     states: dict[str, str] = {}
 
-    async def look(_: SimulatedCluster) -> None:
-        await asyncio.sleep(LOSSES_END + 30.0)
+    async def read_states(_: SimulatedCluster) -> None:
+        await asyncio.sleep(LOST_ANSWERS_END_S + 30.0)
         states.update(cluster.workflow_states())
 
-    cluster.schedule_action(look)
+    cluster.schedule_action(read_states)
     return states
 
 
-def test_drains_of_which_only_the_records_answers_are_lost_are_known_and_end() -> None:
+def test_drains_whose_write_answers_are_lost_are_stored_and_end() -> None:
     for seed in range(8070, 8072):
-        cluster, lost = drained(seed)
-        check(cluster.run(length_s=LOSSES_END + 45.0, job_count=20))
-        assert len(lost) >= 3 and not not_ended(cluster), (len(lost), not_ended(cluster))
+        cluster, lost_answers = cluster_with_drains(seed)
+        check(cluster.run(length_s=LOST_ANSWERS_END_S + 45.0, job_count=20))
+        assert len(lost_answers) >= 3 and not drains_without_end(cluster), (
+            len(lost_answers),
+            drains_without_end(cluster),
+        )
         assert {
             f"{drain_store.REQUEST_KEY_PREFIX}{name}" for name in ("one", "two", "three")
         } <= cluster.state.keys.keys()
 
 
-def not_ended(cluster: EvictionCluster) -> set[str]:
-    """Drains that were answered and have no recorded end, nor are forgotten as long over."""
-    kept = [
+def drains_without_end(cluster: EvictionCluster) -> set[str]:
+    """Accepted drains without a stored end; drains that ended long ago are deleted and not counted."""
+    requests = [
         value for key, (value, _, _) in cluster.state.keys.items() if key.startswith(drain_store.REQUEST_KEY_PREFIX)
     ]
-    return {str(value) for value in kept if not value.get("ended_ms")}
+    return {str(value) for value in requests if not value.get("ended_ms")}
 
 
-@pytest.mark.parametrize("what", ["chains", "promises"])
-def test_chains_and_promises_of_which_only_the_records_answers_are_lost_are_taken_and_end(
-    what: str, monkeypatch: Patch
-) -> None:
-    # Nights are saved every 30 s otherwise: on some days no answer of theirs was lost.
+@pytest.mark.parametrize("write_type", ["workflows", "delivery deadlines"])
+def test_workflows_whose_write_answers_are_lost_are_accepted_and_end(write_type: str, monkeypatch: Patch) -> None:
+    # The default interval is 30 s, with which some simulated days lose no answer of these writes.
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(1))
     for seed in range(8080, 8082):
-        cluster, lost = chained(seed, what)
-        states = states_of(cluster)
-        check(cluster.run(length_s=LOSSES_END + 35.0, job_count=2))
-        assert lost and len(cluster.accepted_at) == len(cluster.sent_amendments), (len(lost), cluster.answer_statuses)
+        cluster, lost_answers = cluster_with_workflows(seed, write_type)
+        states = record_workflow_states(cluster)
+        check(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=2))
+        assert lost_answers and len(cluster.accepted_at) == len(cluster.sent_amendments), (
+            len(lost_answers),
+            cluster.answer_statuses,
+        )
         assert states and set(states.values()) <= {"done", "superseded"}, states
 
 
-def versions_of_unanswered_writes_are_not_read(patch: Patch) -> None:
-    async def unread(self: FencedWriter, key: str) -> None:
+def skip_version_read_of_unanswered_writes(patch: Patch) -> None:
+    async def skip_refresh(self: FencedWriter, key: str) -> None:
         self._uncertain_keys.discard(key)
 
-    patch.setattr(FencedWriter, "refresh_version", unread)
+    patch.setattr(FencedWriter, "refresh_version", skip_refresh)
 
 
-def refused_records(cluster: SimulatedCluster) -> Counter[tuple[str, int]]:
-    """How often a leader's record was refused over one version of a key."""
-    refused: Counter[tuple[str, int]] = Counter()
+def count_write_conflicts(cluster: SimulatedCluster) -> Counter[tuple[str, int]]:
+    """How often a write of the leader conflicted, by key and version."""
+    conflicts: Counter[tuple[str, int]] = Counter()
 
-    async def look(cluster: SimulatedCluster) -> None:
-        txn = cluster.state.commit_transaction
+    async def watch_transactions(cluster: SimulatedCluster) -> None:
+        commit_transaction = cluster.state.commit_transaction
 
-        def watched(body: dict[str, Any]) -> Reply:
-            answer = txn(body)
-            refused.update(refused_guards(body, answer, KEYED))
+        def commit_counting_conflicts(body: dict[str, Any]) -> Reply:
+            answer = commit_transaction(body)
+            conflicts.update(conflicting_guards(body, answer, CONTROLLER_KEY_PREFIXES))
             return answer
 
-        cluster.state.commit_transaction = watched  # type: ignore[method-assign]
+        cluster.state.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
 
-    cluster.schedule_action(look)
-    return refused
+    cluster.schedule_action(watch_transactions)
+    return conflicts
 
 
-@pytest.mark.parametrize(("looked_up", "broken"), [(True, False), (False, False), (False, True)])
-@pytest.mark.parametrize("what", ["drains", "chains", "promises"])
-def test_a_keyed_record_that_takes_a_lost_answer_for_a_failure_is_caught(
-    what: str, looked_up: bool, broken: bool, monkeypatch: Patch
+@pytest.mark.parametrize(("looks_up_writes", "broken"), [(True, False), (False, False), (False, True)])
+@pytest.mark.parametrize("write_type", ["drains", "workflows", "delivery deadlines"])
+def test_fenced_writer_taking_lost_answer_for_failure_is_caught(
+    write_type: str, looks_up_writes: bool, broken: bool, monkeypatch: Patch
 ) -> None:
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(1))
-    if not looked_up:
-        unanswered_writes_are_not_looked_up(monkeypatch)
+    if not looks_up_writes:
+        skip_lookup_of_unanswered_writes(monkeypatch)
     if broken:
-        versions_of_unanswered_writes_are_not_read(monkeypatch)
-    cluster, lost = drained(8070) if what == "drains" else chained(8080, what)
-    refused = refused_records(cluster)
-    cluster.run(length_s=LOSSES_END + 35.0, job_count=5)
-    assert lost
-    most = max(refused.values(), default=0)
-    # Whoever reads first is never refused.
-    assert most >= AGAIN if broken else most == 0, refused
+        skip_version_read_of_unanswered_writes(monkeypatch)
+    cluster, lost_answers = (
+        cluster_with_drains(8070) if write_type == "drains" else cluster_with_workflows(8080, write_type)
+    )
+    conflicts = count_write_conflicts(cluster)
+    cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=5)
+    assert lost_answers
+    max_conflicts = max(conflicts.values(), default=0)
+    # A writer that reads the version before it retries has no conflicts.
+    assert max_conflicts >= MAX_CONFLICTS if broken else max_conflicts == 0, conflicts
