--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
-"""Two troubles at once: each meeting is brought about on purpose, and a broken variant of the service is caught by it.
+"""Two faults at once: each combination is injected on purpose, and catches a broken variant of the service.
 
-`docs/notes/meetings.md` says what each of them rests on; days of drawn pairs are in
-`tests/simulation/fault_combinations.py`.
+`docs/notes/meetings.md` lists the mechanism that each test relies on; `tests/simulation/fault_combinations.py`
+simulates random pairs.
 """
 
 import asyncio
@@ -41,39 +41,40 @@
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as replaced
-from tests.test_job_durability import ANSWERED, watched
+from tests.test_eviction_days import world_of as make_eviction_cluster
+from tests.test_job_durability import ANSWERED
+from tests.test_job_durability import watched as poll_jobs
 from tests.test_rebalancing import Pieces
-from tests.test_rebalancing import tuning as pieces_tuning
+from tests.test_rebalancing import tuning as rebalancing_config
 from tests.test_scheduler import NOW, TERM, Hand, new_board, record
 from tests.test_simulated_days import check
-from tests.test_workflows import watched as seen_in_the_viewer
+from tests.test_workflows import watched as watch_workflows
 
 Patch = pytest.MonkeyPatch
 
-# -- any two or three ---------------------------------------------------------------------------
+# -- two or three faults at random --------------------------------------------------------------
 
 
 @pytest.mark.parametrize("first", range(0, 48, 4))
-def test_any_two_or_three_troubles_that_meet_break_no_rule(first: int) -> None:
-    met: set[frozenset[str]] = set()
+def test_two_or_three_overlapping_faults_break_no_rule(first: int) -> None:
+    overlapping_faults: set[frozenset[str]] = set()
     for seed in range(first, first + 4):
-        day: FaultCombinationCluster = FaultSchedule.generate(seed).run()
-        check(day)
-        met |= day.overlapping_faults
-    assert len(met) >= 4, "the troubles did not meet"
+        cluster: FaultCombinationCluster = FaultSchedule.generate(seed).run()
+        check(cluster)
+        overlapping_faults |= cluster.overlapping_faults
+    assert len(overlapping_faults) >= 4, "the faults did not overlap"
 
 
-# -- chains: an older amendment is taken after a newer one, and the leader ends ---------------------
+# -- workflows: an older amendment is accepted after a newer one, and the leader restarts -------------
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_who_delivers_first_is_known_to_whoever_leads_next(broken: bool, monkeypatch: Patch) -> None:
+def test_next_leader_restores_delivery_order_of_amendments(broken: bool, monkeypatch: Patch) -> None:
     if broken:
         monkeypatch.setattr(WorkflowController, "_restore_delivery_order", lambda self: None)
-    wrong: list[str] = []
+    failures: list[str] = []
     for seed in range(7770, 7774):
-        # Small values: the two are on pages of their own.
+        # Small values: the two amendments are stored on different pages.
         cluster = WorkflowCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 0.5), value_kb=2.0)
         cluster.registry.run_time_range_s = (2.0, 6.0)
         states: list[str] = []
@@ -81,10 +82,11 @@
         async def act(_: SimulatedCluster, cluster: WorkflowCluster = cluster) -> None:
             await asyncio.sleep(8)
             for turn in range(4):
-                lots = [f"lot-{turn}"]
-                # A lot of its own, or it would be superseded as it comes; of the other one its step is overtaken.
-                older = cluster.registry.make_amendment([*lots, f"own-{turn}"], fan_out=turn % 2 == 0)
-                newer = cluster.registry.make_amendment(lots)
+                shared_lots = [f"lot-{turn}"]
+                # The second lot keeps the older amendment from being superseded on arrival; its step of the shared lot
+                # is overtaken by the newer amendment.
+                older = cluster.registry.make_amendment([*shared_lots, f"own-{turn}"], fan_out=turn % 2 == 0)
+                newer = cluster.registry.make_amendment(shared_lots)
                 between = cluster.registry.make_amendment([f"other-{turn}"], fan_out=True)
                 for step in older["steps"]:
                     step["job"]["guess_s"] = 9.0
@@ -94,42 +96,44 @@
                 await cluster.restart_controller(cluster.current_leader())
                 await asyncio.sleep(12)
 
-        async def look(_: SimulatedCluster, cluster: WorkflowCluster = cluster, states: list[str] = states) -> None:
+        async def read_states(
+            _: SimulatedCluster, cluster: WorkflowCluster = cluster, states: list[str] = states
+        ) -> None:
             await asyncio.sleep(118)
             states.extend(cluster.workflow_states().values())
 
         cluster.schedule_action(act)
-        cluster.schedule_action(look)
+        cluster.schedule_action(read_states)
         cluster.schedule_action(cluster.watch_viewer)
         cluster.run(length_s=120, job_count=2)
         assert len(cluster.accepted_at) == 12, cluster.answer_statuses
         if not broken:
-            assert set(states) == {"done"}, "a chain stands still and nobody is told"
-        wrong += [str(error) for error in [*cluster.rule_violations, *cluster.errors]]
-    assert bool(wrong) == broken, wrong
-    assert all("older_after_newer" in each for each in wrong)
+            assert set(states) == {"done"}, "a workflow makes no progress"
+        failures += [str(error) for error in [*cluster.rule_violations, *cluster.errors]]
+    assert bool(failures) == broken, failures
+    assert all("older_after_newer" in failure for failure in failures)
 
 
-# -- hand-over there and back, all end, one returns -------------------------------------------------
+# -- repeated failovers, restart of all controllers, restart of one -----------------------------------
 
 
-def handed_over(seed: int) -> SimulatedCluster:
-    """Leadership goes to and fro; all end, one is back within a second; a former leader stands still meanwhile."""
+def cluster_with_failovers(seed: int) -> SimulatedCluster:
+    """Repeated failovers: a paused leader, a restart of all controllers, a leader that the store refuses."""
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5)
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(10)
         for turn in range(6):
-            first = cluster.current_leader()
+            leader = cluster.current_leader()
             if turn % 3 == 0:
-                first.pause_gate.pause()
+                leader.pause_gate.pause()
                 await asyncio.sleep(4.0)
                 await cluster.restart_controller(cluster.current_leader())
-                first.pause_gate.resume()
+                leader.pause_gate.resume()
             elif turn % 3 == 1:
                 await cluster.inject_fault("returns")
             else:
-                cluster.state.refused_controllers.add(first.name)
+                cluster.state.refused_controllers.add(leader.name)
                 await asyncio.sleep(3.5)
                 cluster.state.refused_controllers.clear()
                 await cluster.restart_controller(cluster.current_leader())
@@ -139,45 +143,43 @@
     return cluster
 
 
-def test_hand_overs_there_and_back_use_no_term_twice_and_break_no_rule() -> None:
+def test_repeated_failovers_use_no_term_twice_and_break_no_rule() -> None:
     for seed in range(7780, 7786):
-        cluster = handed_over(seed)
+        cluster = cluster_with_failovers(seed)
         check(cluster.run(length_s=100, job_count=25))
-        assert len(cluster.leader_by_term) >= 5 and len(set(cluster.leader_by_term.values())) >= 4, (
-            "it did not change hands"
-        )
+        assert len(cluster.leader_by_term) >= 5 and len(set(cluster.leader_by_term.values())) >= 4, "too few failovers"
 
 
-def terms_from_memory(patch: Patch) -> None:
-    """Who stands takes the last term that it has seen itself for the newest."""
+def reuse_previous_term(patch: Patch) -> None:
+    """A candidate reads a term that is one too low, and so elects itself with a term that was used already."""
     get = KeyValueStoreClient.get
 
-    async def stale(self: KeyValueStoreClient, key: str, **more: Any) -> Any:
-        found = await get(self, key, **more)
-        if key == "lead/term" and found is not None:
-            found.value = max(0, found.value - 1)
-        return found
+    async def get_previous_term(self: KeyValueStoreClient, key: str, **options: Any) -> Any:
+        entry = await get(self, key, **options)
+        if key == "lead/term" and entry is not None:
+            entry.value = max(0, entry.value - 1)
+        return entry
 
-    patch.setattr(KeyValueStoreClient, "get", stale)
+    patch.setattr(KeyValueStoreClient, "get", get_previous_term)
 
 
-def test_a_term_that_is_used_again_is_caught(monkeypatch: Patch) -> None:
-    terms_from_memory(monkeypatch)
-    assert is_caught(handed_over, range(7780, 7784), "used_twice", 100, 25)
+def test_reused_term_is_caught(monkeypatch: Patch) -> None:
+    reuse_previous_term(monkeypatch)
+    assert is_caught(cluster_with_failovers, range(7780, 7784), "used_twice", 100, 25)
 
 
-# -- small jobs whose tasks end far apart, across a change of leader ---------------------------------
+# -- small jobs whose tasks end far apart, across failovers --------------------------------------------
 
 
-class Few(LongTaskCluster):
-    """Jobs of two or three tasks; what was done and cleared from its worker is durable, and never told to run again."""
+class SmallJobsCluster(LongTaskCluster):
+    """Jobs of two or three tasks; a task that was done and cleared from its worker must never be started again."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, restart_delay_range_s=(0.1, 1.0))
         self.max_tasks = 3
         self.cleared: set[tuple[str, int]] = set()
-        self.across = 0  # tasks that ended under another leader than a mate of theirs
-        self.ended_under: dict[str, set[int]] = {}
+        self.tasks_across_terms = 0  # tasks that ended in another term than another task of their job
+        self.terms_of_ends: dict[str, set[int]] = {}
 
     def run_time(self, job: dict[str, Any]) -> float:
         return self.rng.choice([1.0, 9.0, 22.0]) * self.rng.uniform(0.7, 1.3)
@@ -185,65 +187,69 @@
     def on_clear(self, task: SimulatedTask) -> None:
         if task.cause == "done":
             self.cleared.add((task.job_id, task.index))
-            self.ended_under.setdefault(task.job_id, set()).add(max(self.leader_by_term, default=0))
+            self.terms_of_ends.setdefault(task.job_id, set()).add(max(self.leader_by_term, default=0))
 
     def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
-        self.check_rule(key not in self.cleared, f"done_again: {key} was cleared as done, and is told to run")
+        self.check_rule(key not in self.cleared, f"done_again: {key} was cleared as done, and is started again")
 
 
-async def leaders_follow(cluster: SimulatedCluster) -> None:
+async def restart_leaders_after_task_ends(cluster: SimulatedCluster) -> None:
     await asyncio.sleep(8)
     for _ in range(10):
-        # Right after a report that tells of an end, or in the middle of its record.
-        ended = len(cluster.finished)
-        until = virtual_now() + 5.0
-        while len(cluster.finished) == ended and virtual_now() < until:
+        # The leader restarts right after a heartbeat that reports an end, or while the end is being written.
+        finished_count = len(cluster.finished)
+        deadline = virtual_now() + 5.0
+        while len(cluster.finished) == finished_count and virtual_now() < deadline:
             await asyncio.sleep(0.01)
         await asyncio.sleep(cluster.rng.choice([0.0, 0.02, 0.1, 0.5, 1.1]))
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(cluster.rng.uniform(1.0, 5.0))
 
 
-def few(seed: int) -> SimulatedCluster:
-    cluster = Few(seed)
-    cluster.schedule_action(leaders_follow)
+def cluster_with_restarts_after_task_ends(seed: int) -> SimulatedCluster:
+    cluster = SmallJobsCluster(seed)
+    cluster.schedule_action(restart_leaders_after_task_ends)
     return cluster
 
 
-def test_tasks_that_end_far_apart_across_leaders_are_done_once_and_their_jobs_are() -> None:
-    across = 0
+def test_tasks_that_end_in_different_terms_are_done_once() -> None:
+    jobs_across_terms = 0
     for seed in range(7790, 7796):
-        cluster = few(seed)
+        cluster = cluster_with_restarts_after_task_ends(seed)
         check(cluster.run(length_s=130, job_count=18))
-        assert isinstance(cluster, Few)
-        across += sum(len(terms) > 1 for terms in cluster.ended_under.values())
+        assert isinstance(cluster, SmallJobsCluster)
+        jobs_across_terms += sum(len(terms) > 1 for terms in cluster.terms_of_ends.values())
         assert not cluster.unfinished_jobs(before=90), f"seed {seed}: {cluster.unfinished_jobs(before=90)} are not done"
-    assert across >= 10, "no job ended under two leaders"
+    assert jobs_across_terms >= 10, "no job has tasks that ended in two terms"
 
 
-def cleared_before_it_is_durable(patch: Patch) -> None:
-    orders = ClusterState.collect_commands
+def clear_exits_before_they_are_durable(patch: Patch) -> None:
+    collect_commands = ClusterState.collect_commands
 
-    def hasty(self: ClusterState, machine: Any, at: datetime, may_run: bool) -> list[dict[str, Any]]:
-        found = orders(self, machine, at, may_run)
-        told = {order["parcel"] for order in found}
-        return found + [
-            wire.clear_command(task, attempt) for task, attempt, _ in machine.exits_to_clear if task not in told
+    def collect_early_clear_commands(
+        self: ClusterState, machine: Any, now: datetime, may_run: bool
+    ) -> list[dict[str, Any]]:
+        commands = collect_commands(self, machine, now, may_run)
+        commanded_tasks = {command["parcel"] for command in commands}
+        return commands + [
+            wire.clear_command(task, attempt)
+            for task, attempt, _ in machine.exits_to_clear
+            if task not in commanded_tasks
         ]
 
-    patch.setattr(ClusterState, "collect_commands", hasty)
+    patch.setattr(ClusterState, "collect_commands", collect_early_clear_commands)
 
 
-def test_a_completion_that_is_cleared_too_early_is_caught(monkeypatch: Patch) -> None:
-    cleared_before_it_is_durable(monkeypatch)
-    assert is_caught(few, range(7790, 7810), "done_again", 130, 18)
+def test_exit_cleared_before_it_is_durable_is_caught(monkeypatch: Patch) -> None:
+    clear_exits_before_they_are_durable(monkeypatch)
+    assert is_caught(cluster_with_restarts_after_task_ends, range(7790, 7810), "done_again", 130, 18)
 
 
-# -- an old report after newer ones ------------------------------------------------------------------
+# -- an old heartbeat after newer ones ----------------------------------------------------------------
 
 
-def old_reports(seed: int) -> SimulatedCluster:
-    """Every report is copied and comes again, up to five leases late, while leases run out and leaders change."""
+def cluster_with_old_heartbeats(seed: int) -> SimulatedCluster:
+    """Every heartbeat is delivered again, up to five lease durations late, while leases expire and leaders change."""
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 1.0))
     cluster.heartbeat_copiers = 1
 
@@ -262,37 +268,37 @@
     return cluster
 
 
-def test_old_reports_of_earlier_sessions_and_attempts_change_nothing() -> None:
+def test_old_heartbeats_of_earlier_incarnations_change_nothing() -> None:
     for seed in range(7800, 7806):
-        cluster = old_reports(seed)
+        cluster = cluster_with_old_heartbeats(seed)
         check(cluster.run(length_s=90, job_count=25))
         assert any(worker.incarnation > 1 for worker in cluster.workers.values())
 
 
-def order_of_reports_ignored(patch: Patch) -> None:
-    take = HeartbeatReconciler.apply_heartbeat
+def ignore_heartbeat_order(patch: Patch) -> None:
+    apply_heartbeat = HeartbeatReconciler.apply_heartbeat
 
-    def believe(self: HeartbeatReconciler, report: wire.Heartbeat, at: datetime) -> Any:
-        machine = self.cluster_state.machines.get(report.machine_name)
+    def apply_in_any_order(self: HeartbeatReconciler, heartbeat: wire.Heartbeat, now: datetime) -> Any:
+        machine = self.cluster_state.machines.get(heartbeat.machine_name)
         if machine is not None:
             machine.sequence = machine.expired_incarnation = 0
-            machine.incarnation = min(machine.incarnation, report.incarnation)
-        return take(self, report, at)
+            machine.incarnation = min(machine.incarnation, heartbeat.incarnation)
+        return apply_heartbeat(self, heartbeat, now)
 
-    patch.setattr(HeartbeatReconciler, "apply_heartbeat", believe)
+    patch.setattr(HeartbeatReconciler, "apply_heartbeat", apply_in_any_order)
 
 
-def test_a_leader_that_believes_old_reports_is_caught(monkeypatch: Patch) -> None:
-    order_of_reports_ignored(monkeypatch)
-    assert is_caught(old_reports, range(7800, 7820), "", 90, 25)
+def test_accepting_old_heartbeats_is_caught(monkeypatch: Patch) -> None:
+    ignore_heartbeat_order(monkeypatch)
+    assert is_caught(cluster_with_old_heartbeats, range(7800, 7820), "", 90, 25)
 
 
-# -- the state service slow, refusing the leader, then everybody, while users cancel and ask ----------
+# -- the store is slow, refuses the leader, then all controllers, while users cancel and poll ----------
 
 
-def asked_world(seed: int) -> tuple[SimulatedCluster, list[Any]]:
+def cluster_with_polling_users(seed: int) -> tuple[SimulatedCluster, list[Any]]:
     cluster = SimulatedCluster(seed, is_calm=True, controller_count=3 if seed % 2 else 5)
-    found = watched(cluster, 72.0)
+    polling_users = poll_jobs(cluster, 72.0)
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(15)
@@ -306,60 +312,60 @@
             await asyncio.sleep(2)
 
     cluster.schedule_action(act)
-    return cluster, found
+    return cluster, polling_users
 
 
-def test_users_who_cancel_and_ask_meanwhile_get_no_older_answer_and_soon_every_answer() -> None:
+def test_users_get_no_stale_answer_during_store_faults() -> None:
     for seed in range(7810, 7816):
-        cluster, found = asked_world(seed)
+        cluster, polling_users = cluster_with_polling_users(seed)
         check(cluster.run(length_s=100, job_count=30))
-        assert found[0].longest_unanswered_s <= ANSWERED and not found[0].unanswered_since, (
-            found[0].longest_unanswered_s,
-            found[0].unanswered_since,
+        assert polling_users[0].longest_unanswered_s <= ANSWERED and not polling_users[0].unanswered_since, (
+            polling_users[0].longest_unanswered_s,
+            polling_users[0].unanswered_since,
         )
         assert len(cluster.cancelled_at) > 3
 
 
-def slow_reads_are_fresh(patch: Patch) -> None:
-    """Polls are answered by the newest read that is there, however old, when the state service does not answer."""
+def answer_polls_from_stale_reads(patch: Patch) -> None:
+    """When the store does not answer, polls are answered from the last read, however old it is."""
     from roseweir.submissions.live_job_cache import LiveJobCache
 
     refresh = LiveJobCache._refresh
 
-    async def lenient(self: LiveJobCache) -> None:
+    async def refresh_ignoring_failures(self: LiveJobCache) -> None:
         try:
             await refresh(self)
         except (StoreError, Unreachable):
             if self._revision is None:
                 raise
 
-    patch.setattr(LiveJobCache, "_refresh", lenient)
+    patch.setattr(LiveJobCache, "_refresh", refresh_ignoring_failures)
 
 
-def test_answers_from_reads_before_the_trouble_are_caught(monkeypatch: Patch) -> None:
-    slow_reads_are_fresh(monkeypatch)
-    assert is_caught(lambda seed: asked_world(seed)[0], range(7810, 7830), "", 100, 30)
+def test_answers_from_reads_before_the_fault_are_caught(monkeypatch: Patch) -> None:
+    answer_polls_from_stale_reads(monkeypatch)
+    assert is_caught(lambda seed: cluster_with_polling_users(seed)[0], range(7810, 7830), "", 100, 30)
 
 
-# -- a leader ends while machines with long tasks can't be reached, or hear no answer -----------------
+# -- the leader restarts while machines with long tasks are unreachable or get no answer ---------------
 
 
-def followed(seed: int) -> LongTaskCluster:
-    """Half of the machines are deaf, hang or are cut off for a while as their leader ends, and once more after that."""
+def cluster_with_unreachable_machines(seed: int) -> LongTaskCluster:
+    """Half of the machines lose inbound traffic, hang, or lose their zone, across two restarts of the leader."""
     cluster = LongTaskCluster(seed, restart_delay_range_s=(0.2, 1.0))
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
         for turn in range(3):
-            way = ("deaf", "hang", "cut")[(seed + turn) % 3]
-            some = cluster.rng.sample(
+            fault = ("deaf", "hang", "cut")[(seed + turn) % 3]
+            affected = cluster.rng.sample(
                 sorted(cluster.workers.values(), key=lambda w: w.machine.name), len(cluster.workers) // 2
             )
-            if way == "cut":
+            if fault == "cut":
                 cluster.partitioned_zones.add("a")
-            for worker in some:
-                worker.is_hung = way == "hang"
-                if way == "deaf":
+            for worker in affected:
+                worker.is_hung = fault == "hang"
+                if fault == "deaf":
                     worker.set_one_way_partition("deaf")
             await asyncio.sleep(0.5)
             await cluster.restart_controller(cluster.current_leader())
@@ -367,7 +373,7 @@
             await cluster.restart_controller(cluster.current_leader())
             await asyncio.sleep(cluster.rng.choice([0.5, 4.0]))
             cluster.partitioned_zones.clear()
-            for worker in some:
+            for worker in affected:
                 worker.is_hung = False
                 worker.set_one_way_partition("")
             await asyncio.sleep(5)
@@ -376,36 +382,36 @@
     return cluster
 
 
-def test_nothing_runs_twice_and_nothing_waits_when_the_next_leader_is_not_heard() -> None:
+def test_tasks_run_once_and_jobs_end_when_next_leader_is_unreachable() -> None:
     for seed in range(7820, 7826):
-        cluster = followed(seed)
+        cluster = cluster_with_unreachable_machines(seed)
         cluster.task_duration_s = 14.0
         check(cluster.run(length_s=125, job_count=14))
-        # The last trouble ends by 70 s; what the last leader may have kept alive counts for 13 s then.
+        # The last fault ends by 70 s; leases that the previous leader may have granted are respected for 13 s more.
         assert not cluster.unfinished_jobs(before=70), f"seed {seed}: {cluster.unfinished_jobs(before=70)} still wait"
 
 
-def leases_of_the_last_leader_forgotten(patch: Patch) -> None:
-    init = ClusterState.__init__
+def ignore_previous_leader_leases(patch: Patch) -> None:
+    original_init = ClusterState.__init__
 
-    def begun(self: ClusterState, *args: Any, **more: Any) -> None:
-        init(self, *args, **more)
+    def init_without_previous_leases(self: ClusterState, *args: Any, **options: Any) -> None:
+        original_init(self, *args, **options)
         self.previous_leader_lease_expiry = self.term_started_at
 
-    patch.setattr(ClusterState, "__init__", begun)
-    patch.setattr("roseweir.cloud.controller.plan_scale_in", lambda board, left, at, kept: [])
+    patch.setattr(ClusterState, "__init__", init_without_previous_leases)
+    patch.setattr("roseweir.cloud.controller.plan_scale_in", lambda cluster_state, pass_result, now, kept: [])
 
 
-def test_a_leader_that_forgets_what_the_last_one_kept_alive_is_caught(monkeypatch: Patch) -> None:
-    leases_of_the_last_leader_forgotten(monkeypatch)
-    assert is_caught(followed, range(7820, 7850), "ran_twice", 125)
+def test_ignoring_leases_of_previous_leader_is_caught(monkeypatch: Patch) -> None:
+    ignore_previous_leader_leases(monkeypatch)
+    assert is_caught(cluster_with_unreachable_machines, range(7820, 7850), "ran_twice", 125)
 
 
-# -- a command or its answer is held up, and the machine goes on --------------------------------------
+# -- a command or its answer is delayed, while the machine continues ----------------------------------
 
 
-def held_up(seed: int) -> SimulatedCluster:
-    """Direct commands and questions come 2 to 12 s late, also to machines that hung, while gangs are stopped."""
+def cluster_with_late_commands(seed: int) -> SimulatedCluster:
+    """Direct commands and probes arrive 2 to 12 s late, also at machines that hung, while gangs are stopped."""
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -424,97 +430,101 @@
     return cluster
 
 
-def test_commands_that_come_late_harm_nobody() -> None:
+def test_late_commands_break_no_rule() -> None:
     for seed in range(7830, 7836):
-        check(held_up(seed).run(length_s=90, job_count=25))
+        check(cluster_with_late_commands(seed).run(length_s=90, job_count=25))
 
 
-def starts_by_direct_commands(patch: Patch) -> None:
-    halts, direct = ClusterState.collect_stop_commands, DirectCommandSender.run
+def start_tasks_by_direct_commands(patch: Patch) -> None:
+    collect_stop_commands, run_sender = ClusterState.collect_stop_commands, DirectCommandSender.run
 
-    def more(self: ClusterState, machine: Any) -> list[dict[str, Any]]:
-        ready = [p for p in machine.placements.values() if p.phase in (PlacementPhase.COMMITTED, PlacementPhase.SENT)]
-        return halts(self, machine) + [wire.run_command(p.task_name, p.attempt) for p in ready]
+    def collect_stop_and_run_commands(self: ClusterState, machine: Any) -> list[dict[str, Any]]:
+        ready_placements = [
+            p for p in machine.placements.values() if p.phase in (PlacementPhase.COMMITTED, PlacementPhase.SENT)
+        ]
+        return collect_stop_commands(self, machine) + [
+            wire.run_command(p.task_name, p.attempt) for p in ready_placements
+        ]
 
-    async def eager(self: DirectCommandSender) -> None:
+    async def run_for_all_machines(self: DirectCommandSender) -> None:
         async with asyncio.TaskGroup() as group:
-            group.create_task(direct(self))
+            group.create_task(run_sender(self))
             while True:
                 await asyncio.sleep(0.1)
                 self.cluster_state.urgent_stop_machines |= self.cluster_state.machines.keys()
 
-    patch.setattr(ClusterState, "collect_stop_commands", more)
-    patch.setattr(DirectCommandSender, "run", eager)
+    patch.setattr(ClusterState, "collect_stop_commands", collect_stop_and_run_commands)
+    patch.setattr(DirectCommandSender, "run", run_for_all_machines)
 
 
-def test_a_start_that_can_come_late_is_caught(monkeypatch: Patch) -> None:
-    starts_by_direct_commands(monkeypatch)
-    assert is_caught(held_up, range(7830, 7850), "", 90, 25)
+def test_start_by_direct_command_is_caught(monkeypatch: Patch) -> None:
+    start_tasks_by_direct_commands(monkeypatch)
+    assert is_caught(cluster_with_late_commands, range(7830, 7850), "", 90, 25)
 
 
-# -- input that makes no sense ----------------------------------------------------------------------
+# -- invalid input ----------------------------------------------------------------------------------
 
 
-def test_a_report_that_makes_no_sense_gets_400_and_changes_nothing() -> None:
+def test_invalid_heartbeat_gets_400_and_changes_nothing() -> None:
     cluster_state = new_board()
-    hand = Hand(cluster_state, "i-1")
-    hand.report(NOW)
-    run = cluster_state.add_job(job(1, task_count=2, cpus=2.0), 1)
+    worker = Hand(cluster_state, "i-1")
+    worker.report(NOW)
+    job_run = cluster_state.add_job(job(1, task_count=2, cpus=2.0), 1)
     run_scheduling_pass(cluster_state, NOW)
     record(cluster_state)
-    hand.report(NOW)
-    hand.report(NOW)
-    term = LeaderLease(TERM, 1, 1, NOW)
-    good = orjson.loads(orjson.dumps(msgspec.to_builtins(hand.body())))
+    worker.report(NOW)
+    worker.report(NOW)
+    lease = LeaderLease(TERM, 1, 1, NOW)
+    valid_fields = orjson.loads(orjson.dumps(msgspec.to_builtins(worker.body())))
 
     async def main() -> None:
-        desk = HeartbeatHandler(cluster_state, term, Notifier(), asyncio.Event(), lambda *_: None, lambda: True)  # type: ignore[arg-type]
-        desk.authority.cancellations_read_at = term.confirmed_at = monotonic_now()
+        handler = HeartbeatHandler(cluster_state, lease, Notifier(), asyncio.Event(), lambda *_: None, lambda: True)  # type: ignore[arg-type]
+        handler.authority.cancellations_read_at = lease.confirmed_at = monotonic_now()
         before = (
-            [(p.task_name, p.phase, p.state) for p in run.placements.values()],
-            hand.machine.sequence,
-            len(hand.machine.exits_to_clear),
+            [(p.task_name, p.phase, p.state) for p in job_run.placements.values()],
+            worker.machine.sequence,
+            len(worker.machine.exits_to_clear),
         )
-        gone = {"parcel": "j-000001/0", "try": 1, "standing": "exited", "cause": "done"}
-        for strange in [
-            {"parcels": [gone, {"parcel": "j-1/x", "try": 1, "standing": "running"}]},
-            {"parcels": [gone, {"parcel": "j-000001/-1", "try": 1, "standing": "exited", "cause": "done"}]},
-            {"parcels": [gone | {"try": -4}]},
+        exited_task = {"parcel": "j-000001/0", "try": 1, "standing": "exited", "cause": "done"}
+        for invalid_fields in [
+            {"parcels": [exited_task, {"parcel": "j-1/x", "try": 1, "standing": "running"}]},
+            {"parcels": [exited_task, {"parcel": "j-000001/-1", "try": 1, "standing": "exited", "cause": "done"}]},
+            {"parcels": [exited_task | {"try": -4}]},
             {"tally": -1},
             {"recall_s": 1e300},
             {"endpoint": "nowhere"},
             {"parcels": None},
         ]:
-            raw = orjson.dumps(good | strange)
-            assert (await desk.handle_heartbeat(Request("POST", "/hello", raw))).status == 400, strange
+            body = orjson.dumps(valid_fields | invalid_fields)
+            assert (await handler.handle_heartbeat(Request("POST", "/hello", body))).status == 400, invalid_fields
         after = (
-            [(p.task_name, p.phase, p.state) for p in run.placements.values()],
-            hand.machine.sequence,
-            len(hand.machine.exits_to_clear),
+            [(p.task_name, p.phase, p.state) for p in job_run.placements.values()],
+            worker.machine.sequence,
+            len(worker.machine.exits_to_clear),
         )
-        assert before == after and not term.ended.is_set()
+        assert before == after and not lease.ended.is_set()
 
     virtual_time.run_in_virtual_time(main())
 
 
-def test_an_unreadable_record_of_who_leads_ends_no_controller() -> None:
+def test_unreadable_leader_key_stops_no_controller() -> None:
     cluster = SimulatedCluster(7840, is_calm=True)
 
-    async def spoil(cluster: SimulatedCluster) -> None:
+    async def corrupt_leader_key(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
-        held = cluster.state.keys["lead/leader"][2]
-        cluster.state.commit_transaction({"guards": [], "then": [put("lead/leader", ["nobody"], held)]})
+        lease_id = cluster.state.keys["lead/leader"][2]
+        cluster.state.commit_transaction({"guards": [], "then": [put("lead/leader", ["nobody"], lease_id)]})
         await asyncio.sleep(5)
         cluster.state.commit_transaction({"guards": [], "then": [{"delete": "lead/leader"}]})
 
-    cluster.schedule_action(spoil)
+    cluster.schedule_action(corrupt_leader_key)
     check(cluster.run(length_s=60, job_count=15))
-    assert len(cluster.leader_by_term) >= 2, "nobody led once it was gone"
+    assert len(cluster.leader_by_term) >= 2, "no leader was elected after the key was deleted"
 
 
-# -- chains, promises, moves and drains in all of these ----------------------------------------------
+# -- workflows, delivery deadlines, rebalancing and drains under all of these faults -------------------
 
-MET = [
+ALL_FAULTS = [
     *EXTENDED_FAULTS,
     *PARTIAL_PARTITION_FAULTS,
     *STORE_AND_LEADER_FAULTS,
@@ -523,37 +533,41 @@
 ]
 
 
-def with_chains(seed: int) -> SimulatedCluster:
-    cluster = seen_in_the_viewer(WorkflowCluster(seed, faults=MET, restart_delay_range_s=(0.1, 3.0)))
+def cluster_with_workflows(seed: int) -> SimulatedCluster:
+    cluster = watch_workflows(WorkflowCluster(seed, faults=ALL_FAULTS, restart_delay_range_s=(0.1, 3.0)))
 
     async def act(_: SimulatedCluster) -> None:
-        for at, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
-            await asyncio.sleep(max(0.0, at - virtual_now()))
+        for submit_at, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
+            await asyncio.sleep(max(0.0, submit_at - virtual_now()))
             cluster.spawn(cluster.submit_amendment(amendment))
 
     cluster.schedule_action(act)
     return cluster
 
 
-def with_drains(seed: int) -> SimulatedCluster:
-    return replaced(seed, older=20, calm=False, faults=MET)
+def cluster_with_drains(seed: int) -> SimulatedCluster:
+    return make_eviction_cluster(seed, older=20, calm=False, faults=ALL_FAULTS)
 
 
-def with_promises(seed: int) -> SimulatedCluster:
-    cluster = seen_in_the_viewer(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=MET, scale=2))
+def cluster_with_delivery_deadlines(seed: int) -> SimulatedCluster:
+    cluster = watch_workflows(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=ALL_FAULTS, scale=2))
     cluster.schedule_action(cluster.night)
     return cluster
 
 
-def with_moves(seed: int) -> SimulatedCluster:
-    cluster = Pieces(seed, pieces_tuning(0.3), 0.3, is_calm=False, faults=MET)
+def cluster_with_rebalancing(seed: int) -> SimulatedCluster:
+    cluster = Pieces(seed, rebalancing_config(0.3), 0.3, is_calm=False, faults=ALL_FAULTS)
     cluster.schedule_action(cluster.story)
     return cluster
 
 
 @pytest.mark.parametrize("seed", range(7860, 7863))
-@pytest.mark.parametrize("with_", [with_chains, with_drains, with_promises, with_moves], ids=lambda w: w.__name__)
-def test_steps_promises_budgets_and_moves_hold_where_troubles_meet(
-    with_: Callable[[int], SimulatedCluster], seed: int
+@pytest.mark.parametrize(
+    "make_cluster",
+    [cluster_with_workflows, cluster_with_drains, cluster_with_delivery_deadlines, cluster_with_rebalancing],
+    ids=lambda make_cluster: make_cluster.__name__,
+)
+def test_workflows_deadlines_budgets_and_moves_hold_under_faults(
+    make_cluster: Callable[[int], SimulatedCluster], seed: int
 ) -> None:
-    check(with_(seed).run(length_s=110, job_count=10))
+    check(make_cluster(seed).run(length_s=110, job_count=10))
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -26,8 +26,8 @@
     running_jobs,
     stop_all_controllers,
 )
-from tests.test_fault_combinations import leases_of_the_last_leader_forgotten
-from tests.test_machine_faults import Break, Checked, Patch
+from tests.test_fault_combinations import ignore_previous_leader_leases
+from tests.test_machine_faults import CheckedLongTaskCluster, Patch, Variant
 from tests.test_scheduler import NOW, Hand, new_board
 from tests.test_simulated_days import check
 
@@ -82,7 +82,7 @@
 CANCELLED_A_TURN = 2
 
 
-class AtLimit(Checked):
+class AtLimit(CheckedLongTaskCluster):
     """Arrays of GPU tasks, more than the two teams' limits allow; room that is proven free is used within 40 s."""
 
     def __init__(self, seed: int) -> None:
@@ -175,15 +175,15 @@
         assert cluster.most_in_use >= 6.0 and len(cluster.cancelled_at) >= 4
 
 
-LIMIT_VARIANTS: list[tuple[Break, str]] = [
+LIMIT_VARIANTS: list[tuple[Variant, str]] = [
     (released_as_cancelled, "quota"),
     (never_released, "waits_beside_room"),
-    (leases_of_the_last_leader_forgotten, ""),
+    (ignore_previous_leader_leases, ""),
 ]
 
 
 @pytest.mark.parametrize(("broken", "rule"), LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_at_their_limits_catch(broken: Break, rule: str, monkeypatch: Patch) -> None:
+def test_at_their_limits_catch(broken: Variant, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
     assert is_caught(at_limit, range(8200, 8220), rule, 150, 16)
 
@@ -191,7 +191,7 @@
 # -- zones: bound jobs lose machines, a zone and its controller are cut off, all controllers are away --
 
 
-class Bound(Checked):
+class Bound(CheckedLongTaskCluster):
     """Arrays that may run in one zone only."""
 
     def __init__(self, seed: int) -> None:
@@ -257,15 +257,15 @@
         check(zones(seed).run(length_s=190, job_count=20))
 
 
-ZONE_VARIANTS: list[tuple[Break, str]] = [
+ZONE_VARIANTS: list[tuple[Variant, str]] = [
     (zone_not_asked, "wrong_place"),
     (recorded_tasks_stay, "waits_beside_room"),
-    (leases_of_the_last_leader_forgotten, ""),
+    (ignore_previous_leader_leases, ""),
 ]
 
 
 @pytest.mark.parametrize(("broken", "rule"), ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_work_bound_to_a_zone_catches(broken: Break, rule: str, monkeypatch: Patch) -> None:
+def test_work_bound_to_a_zone_catches(broken: Variant, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
     assert is_caught(zones, range(8220, 8235), rule, 190, 20)
 
