--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -26,8 +26,8 @@
     running_jobs,
     stop_all_controllers,
 )
-from tests.test_fault_combinations import leases_of_the_last_leader_forgotten
-from tests.test_machine_faults import Break, Checked, Patch
+from tests.test_fault_combinations import ignore_previous_leader_leases
+from tests.test_machine_faults import CheckedLongTaskCluster, Patch, Variant
 from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
 from tests.test_simulated_days import check
 
@@ -80,7 +80,7 @@
 JOBS_CANCELLED_PER_ROUND = 2
 
 
-class TeamLimitCluster(Checked):
+class TeamLimitCluster(CheckedLongTaskCluster):
     """Arrays of GPU tasks beyond the limits of both teams; quota that is proven free must be used within 40 s."""
 
     def __init__(self, seed: int) -> None:
@@ -175,17 +175,17 @@
         assert cluster.peak_gpus_in_use >= 6.0 and len(cluster.cancelled_at) >= 4
 
 
-BROKEN_TEAM_LIMIT_VARIANTS: list[tuple[Break, str]] = [
+BROKEN_TEAM_LIMIT_VARIANTS: list[tuple[Variant, str]] = [
     (quota_released_at_cancellation, "quota"),
     (quota_never_released, "waits_beside_room"),
-    (leases_of_the_last_leader_forgotten, ""),
+    (ignore_previous_leader_leases, ""),
 ]
 
 
 @pytest.mark.parametrize(
     ("broken", "rule"), BROKEN_TEAM_LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None)
 )
-def test_broken_team_limit_accounting_is_caught(broken: Break, rule: str, monkeypatch: Patch) -> None:
+def test_broken_team_limit_accounting_is_caught(broken: Variant, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
     assert is_caught(team_limit_cluster, range(8200, 8220), rule, 150, 16)
 
@@ -193,7 +193,7 @@
 # -- zones: single-zone jobs lose machines, a zone with its leader is partitioned, all controllers stop --
 
 
-class SingleZoneCluster(Checked):
+class SingleZoneCluster(CheckedLongTaskCluster):
     """Arrays that may run in one zone only."""
 
     def __init__(self, seed: int) -> None:
@@ -259,15 +259,15 @@
         check(single_zone_cluster(seed).run(length_s=190, job_count=20))
 
 
-BROKEN_ZONE_VARIANTS: list[tuple[Break, str]] = [
+BROKEN_ZONE_VARIANTS: list[tuple[Variant, str]] = [
     (zone_constraint_ignored, "wrong_place"),
     (recovered_placements_kept, "waits_beside_room"),
-    (leases_of_the_last_leader_forgotten, ""),
+    (ignore_previous_leader_leases, ""),
 ]
 
 
 @pytest.mark.parametrize(("broken", "rule"), BROKEN_ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_broken_zone_placement_is_caught(broken: Break, rule: str, monkeypatch: Patch) -> None:
+def test_broken_zone_placement_is_caught(broken: Variant, rule: str, monkeypatch: Patch) -> None:
     broken(monkeypatch)
     assert is_caught(single_zone_cluster, range(8220, 8235), rule, 190, 20)
 
