--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -25,7 +25,7 @@
     virtual_now,
 )
 from tests.simulation.job_specs import make_job_spec as job
-from tests.test_scheduler import CPU, NOW, TERM, FakeWorker, make_cluster_state
+from tests.test_scheduler import CPU, NOW, TERM, FakeWorker, make_cluster_state, place_and_start
 from tests.test_simulated_days import check
 
 ALL_FAULTS = [*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS, *PARTIAL_PARTITION_FAULTS]
