--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,7 +1,7 @@
-"""A small simulated world: stand-ins for state service, cloud, workers and users.
+"""A small simulated cluster: stand-ins for the key-value store, the cloud, the workers and the users.
 
-They follow the published protocol. Everything that can go wrong is drawn from one seeded generator,
-and the rules are checked at each event. A failing seed can be played again from its number.
+They follow the published protocol. All faults are drawn from one seeded generator, and the rules are checked at each
+event, so that a failing day can be replayed from its seed.
 """
 
 import asyncio
@@ -34,12 +34,12 @@
 }
 
 
-# So long after it stopped hearing nothing is sent to a machine any more: two questions in vain, and a lost answer.
+# No run command goes to a machine that nothing has reached for this long: two unanswered queries, a lost answer.
 UNREACHABLE_AFTER_S = 9.0
 BASIC_FAULTS = ["crash", "crash", "roll", "all", "outage", "alone", "hang", "die", "recall", "cut", "sick", "slow"]
-# What on-call met later.
+# Faults that also occurred in production.
 EXTENDED_FAULTS = [*BASIC_FAULTS, "paused", "paused", "partly", "partly", "partly", "boots", "lag"]
-# What the operators' pages had left out.
+# One-way partitions, duplicated heartbeats, isolated controllers and machines that restart in place.
 PARTIAL_PARTITION_FAULTS = [
     "deaf machine",
     "deaf machine",
@@ -51,7 +51,7 @@
     "reborn",
     "reborn",
 ]
-# What meets something else most often where rules broke.
+# Faults of the store and of the leader, which most often are one of the two that break a rule in combination.
 STORE_AND_LEADER_FAULTS = ["late writes", "slow state", "gap", "held commands", "returns"]
 
 
@@ -63,7 +63,7 @@
     return asyncio.get_running_loop().time()
 
 
-# By how much a node's time of day is off, set as its process starts.
+# Offset of a controller's wall clock, set when its process starts.
 _CLOCK_SKEW: ContextVar[float] = ContextVar("skew", default=0.0)
 
 
@@ -128,15 +128,15 @@
 
 @dataclass
 class LoweredLimits:
-    """Limits that the state service refuses by, and how often it has."""
+    """Limits beyond which the key-value store rejects transactions, and how many it has rejected."""
 
     value_kb: float
     txn_ops: int
     write_rps: float
     tokens: float
     refilled_at: float
-    too_large_count: int = 0  # transactions that got 400
-    rate_limited_count: int = 0  # and 429
+    too_large_count: int = 0  # transactions answered with 400
+    rate_limited_count: int = 0  # transactions answered with 429
 
     def status_of(self, body: Any) -> int:
         ops = body["then"]
@@ -144,7 +144,7 @@
         if len(ops) > self.txn_ops or len(body["guards"]) > 4 * self.txn_ops or largest > self.value_kb * 1024:
             self.too_large_count += 1
             return 400
-        # A burst of one second's worth.
+        # The token bucket holds the writes of one second.
         self.tokens = min(self.write_rps, self.tokens + (virtual_now() - self.refilled_at) * self.write_rps)
         self.refilled_at = virtual_now()
         if len(ops) > self.tokens:
@@ -164,9 +164,9 @@
         self.events: list[tuple[str, Any, int]] = []
         self.is_down = False
         self.refused_controllers: set[str] = set()
-        self.change_count = 0  # puts and deletes asked for
+        self.change_count = 0  # puts and deletes in all transactions
         self.max_page_items = 3
-        self.lowered_limits: LoweredLimits | None = None  # limits that hold since some moment of the day
+        self.lowered_limits: LoweredLimits | None = None  # None until `lower_limits` is called
         self.changed = asyncio.Event()
 
     def apply_change(self, key: str, value: Any, lease: int | None) -> None:
@@ -188,10 +188,10 @@
 
     def drop_lease(self, lease: int) -> None:
         del self.leases_by_id[lease]
-        gone = [key for key, (_, _, held) in self.keys.items() if held == lease]
-        if gone:
+        expired_keys = [key for key, (_, _, lease_of_key) in self.keys.items() if lease_of_key == lease]
+        if expired_keys:
             self.revision += 1
-            for key in gone:
+            for key in expired_keys:
                 self.apply_change(key, None, None)
 
     def end_outage(self) -> None:
@@ -226,10 +226,12 @@
             query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
             prefix = query["prefix"].replace("%2F", "/")
             after = query.get("after", "").replace("%2F", "/")
-            found = sorted(k for k in self.keys if k.startswith(prefix) and k > after)
+            matching_keys = sorted(k for k in self.keys if k.startswith(prefix) and k > after)
             max_items = min(self.max_page_items, int(query["limit"]))
-            pairs = [{"path": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in found[:max_items]]
-            return json_reply(200, {"pairs": pairs, "truncated": len(found) > max_items, "ledger": self.revision})
+            pairs = [{"path": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in matching_keys[:max_items]]
+            return json_reply(
+                200, {"pairs": pairs, "truncated": len(matching_keys) > max_items, "ledger": self.revision}
+            )
         key = path.removeprefix("/store/")
         if key not in self.keys:
             return json_reply(404, {"ledger": self.revision})
@@ -237,7 +239,7 @@
         return json_reply(200, {"path": key, "v": value, "stamp": version})
 
     def lower_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
-        """The service's limits fall without notice: what is beyond them is refused from now on."""
+        """Lowers the store's limits without notice: transactions beyond them are rejected from now on."""
         self.lowered_limits = LoweredLimits(value_kb, txn_ops, write_rps, write_rps, virtual_now())
 
     def commit_transaction(self, body: Any) -> Reply:
@@ -270,22 +272,22 @@
     async def watch(self, node: str, path: str) -> Reply:
         query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
         prefix, after = query["prefix"].replace("%2F", "/"), int(query["after"])
-        until = virtual_now() + int(query["block_ms"]) / 1000
+        answer_at = virtual_now() + int(query["block_ms"]) / 1000
         while True:
-            blocked = self.is_down or node in self.refused_controllers
-            if not blocked:
+            is_refused = self.is_down or node in self.refused_controllers
+            if not is_refused:
                 self.expire_leases()
                 events = [
                     {"put": k, "v": v, "stamp": r} if v is not None else {"delete": k, "stamp": r}
                     for k, v, r in self.events
                     if r > after and k.startswith(prefix)
                 ]
-                if events or virtual_now() >= until:
+                if events or virtual_now() >= answer_at:
                     return json_reply(200, {"ledger": self.revision, "events": events})
-            bell = self.changed
+            next_change = self.changed
             try:
-                async with asyncio.timeout(0.2 if blocked else max(0.01, min(0.2, until - virtual_now()))):
-                    await bell.wait()
+                async with asyncio.timeout(0.2 if is_refused else max(0.01, min(0.2, answer_at - virtual_now()))):
+                    await next_change.wait()
             except TimeoutError:
                 pass
 
@@ -318,29 +320,31 @@
         self.boot_factor, self.boot_failure_probability = 1.0, 0.05
         self.listing_lag_s = 2.0
 
-    def rent_machine(self, build: str, yard: str, spot: bool) -> SimulatedMachine:
+    def rent_machine(self, machine_type: str, zone: str, is_spot: bool) -> SimulatedMachine:
         rng = self.cluster.rng
-        boot = 4.0 * self.boot_factor * rng.uniform(0.3, 1.5) if rng.random() > self.boot_failure_probability else 1e9
-        host = SimulatedMachine(f"i-{len(self.machines):06d}", build, yard, spot, virtual_now(), virtual_now() + boot)
-        self.machines[host.name] = host
-        self.cluster.spawn(self.boot(host))
-        return host
-
-    async def boot(self, host: SimulatedMachine) -> None:
-        if host.up_at > 1e8:
+        boot_s = 4.0 * self.boot_factor * rng.uniform(0.3, 1.5) if rng.random() > self.boot_failure_probability else 1e9
+        machine = SimulatedMachine(
+            f"i-{len(self.machines):06d}", machine_type, zone, is_spot, virtual_now(), virtual_now() + boot_s
+        )
+        self.machines[machine.name] = machine
+        self.cluster.spawn(self.boot(machine))
+        return machine
+
+    async def boot(self, machine: SimulatedMachine) -> None:
+        if machine.up_at > 1e8:
             return
-        await asyncio.sleep(host.up_at - virtual_now())
-        if not host.is_gone:
-            host.worker = SimulatedWorker(self.cluster, host)
-            await host.worker.run()
+        await asyncio.sleep(machine.up_at - virtual_now())
+        if not machine.is_gone:
+            machine.worker = SimulatedWorker(self.cluster, machine)
+            await machine.worker.run()
 
-    def remove_machine(self, host: SimulatedMachine) -> None:
-        host.is_gone = True
-        if host.worker is not None:
-            host.worker.die()
+    def remove_machine(self, machine: SimulatedMachine) -> None:
+        machine.is_gone = True
+        if machine.worker is not None:
+            machine.worker.die()
 
-    def machine_state(self, host: SimulatedMachine) -> str:
-        return "failed" if host.has_failed else "running" if host.worker else "booting"
+    def machine_state(self, machine: SimulatedMachine) -> str:
+        return "failed" if machine.has_failed else "running" if machine.worker else "booting"
 
     async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
         if path == "/catalog":
@@ -350,7 +354,7 @@
                     "builds": [
                         {
                             "name": name,
-                            **kind,
+                            **resources,
                             "cache_gb": 20.0,
                             "fetch_gb_per_s": 2.0,
                             "price": 1.0,
@@ -358,23 +362,23 @@
                             "ready_s": 4.0,
                             "yards": ZONES,
                         }
-                        for name, kind in MACHINE_TYPES.items()
+                        for name, resources in MACHINE_TYPES.items()
                     ]
                 },
             )
         if path == "/machines":
             if body["requisition"] in self.answered_requests:
                 return json_reply(200, {"hosts": self.answered_requests[body["requisition"]]})
-            key = (body["build"], body["yard"], body["loaners"])
-            taken = sum(
+            pool = (body["build"], body["yard"], body["loaners"])
+            rented_count = sum(
                 1
                 for h in self.machines.values()
-                if not h.is_gone and not h.has_failed and (h.machine_type, h.zone, h.is_spot) == key
+                if not h.is_gone and not h.has_failed and (h.machine_type, h.zone, h.is_spot) == pool
             )
-            count = min(body["how_many"], self.capacity[key] - taken)
+            count = min(body["how_many"], self.capacity[pool] - rented_count)
             if count <= 0:
                 return json_reply(503, {"error": "no capacity"})
-            names = [self.rent_machine(*key).name for _ in range(count)]
+            names = [self.rent_machine(*pool).name for _ in range(count)]
             self.answered_requests[body["requisition"]] = names
             return json_reply(200, {"hosts": names})
         if path == "/machines/release":
@@ -396,8 +400,8 @@
             if not h.is_gone
         ]
         self.listings.append((virtual_now(), listed))
-        old = [entry for at, entry in self.listings if at <= virtual_now() - self.listing_lag_s]
-        return json_reply(200, {"hosts": old[-1] if old else [], "truncated": False})
+        visible_listings = [entry for at, entry in self.listings if at <= virtual_now() - self.listing_lag_s]
+        return json_reply(200, {"hosts": visible_listings[-1] if visible_listings else [], "truncated": False})
 
 
 @dataclass
@@ -417,27 +421,27 @@
 
 
 class SimulatedWorker:
-    def __init__(self, cluster: "SimulatedCluster", host: SimulatedMachine) -> None:
-        self.cluster, self.machine = cluster, host
+    def __init__(self, cluster: "SimulatedCluster", machine: SimulatedMachine) -> None:
+        self.cluster, self.machine = cluster, machine
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], SimulatedTask] = {}
         self.cached_images: set[str] = set()
         self.is_dead = False
         self.is_hung = False
         self.is_unhealthy = False
-        self.one_way_partition = ""  # "deaf": no answer or command reaches it; "mute": no report leaves it
+        self.one_way_partition = ""  # "deaf": no answer or command reaches it; "mute": no heartbeat leaves it
         self.partitioned_since = self.resumed_at = 0.0
         self.preempted_at: float | None = None
         self.lease_renewed_at = virtual_now()
         self.controller_index = cluster.rng.randrange(cluster.controller_count)
         self.heartbeat_due = asyncio.Event()
-        cluster.workers[host.name] = self
+        cluster.workers[machine.name] = self
 
     def set_one_way_partition(self, direction: str) -> None:
         self.one_way_partition, self.partitioned_since = direction, virtual_now()
 
     def restart_in_place(self) -> None:
-        """The machine is back at once under its name: nothing on it, a new session, and old commands under way."""
+        """The machine restarts under its name, without tasks, as a new incarnation; old commands may still arrive."""
         self.die()
         worker = self.machine.worker = SimulatedWorker(self.cluster, self.machine)
         worker.incarnation = self.incarnation + 1
@@ -466,10 +470,10 @@
             self.heartbeat_due.clear()
 
     async def run_machine(self) -> None:
-        """The machine's own course: leases, fetches, gangs and ends of tasks."""
+        """The machine's own activity: lease expiry, image fetches, gang starts and ends of tasks."""
         while not self.is_dead:
             await asyncio.sleep(0.05)
-            # A hanging machine may go on within its lease only, so its lease runs out all the same.
+            # The lease of a hung machine expires too: its tasks may run on within the lease only.
             if not self.is_dead and virtual_now() - self.lease_renewed_at > self.cluster.lease_duration_s:
                 self.tasks.clear()
                 self.incarnation += 1
@@ -491,8 +495,8 @@
             task.ends_at = virtual_now() + (8.0 if task.state == "gathering" else self.cluster.run_time(job))
             self.heartbeat_due.set()
         elif task.state == "gathering":
-            mates = self.cluster.gang_members(task)
-            if len(mates) == job["parcels"] and all(t.is_active and not w.is_hung for w, t in mates):
+            members = self.cluster.gang_members(task)
+            if len(members) == job["parcels"] and all(t.is_active and not w.is_hung for w, t in members):
                 task.state = "running"
                 task.ends_at = virtual_now() + self.cluster.run_time(job)
                 self.heartbeat_due.set()
@@ -500,15 +504,15 @@
                 self.exit_task(task, "alone")
         elif task.state == "running":
             if job["shape"] == "gang" and task.stopped_at is None:
-                mates = self.cluster.gang_members(task)
-                if len(mates) < job["parcels"] and not self.cluster.is_gang_done(task):
+                members = self.cluster.gang_members(task)
+                if len(members) < job["parcels"] and not self.cluster.is_gang_done(task):
                     return self.exit_task(task, "mates_gone")
             if self.is_unhealthy or job.get("mistaken"):
                 return self.exit_task(task, "error")
             if virtual_now() >= task.ends_at and job["shape"] != "daemon":
                 self.complete_task(task)
         elif task.state == "saving" and virtual_now() >= task.ends_at:
-            self.exit_task(task, "halted", stored=True)
+            self.exit_task(task, "halted", is_checkpointed=True)
         return None
 
     def complete_task(self, task: SimulatedTask) -> None:
@@ -518,19 +522,19 @@
             self.cluster.finished.add((task.job_id, index))
         self.exit_task(task, "done")
 
-    def exit_task(self, task: SimulatedTask, cause: str, stored: bool | None = None) -> None:
-        task.state, task.cause, task.is_checkpointed = "exited", cause, stored
+    def exit_task(self, task: SimulatedTask, cause: str, is_checkpointed: bool | None = None) -> None:
+        task.state, task.cause, task.is_checkpointed = "exited", cause, is_checkpointed
         self.heartbeat_due.set()
 
     def heartbeat_body(self) -> dict[str, Any]:
         self.sequence += 1
-        host = self.machine
+        machine = self.machine
         return {
-            "host": host.name,
-            "endpoint": f"{host.name}:9000",
-            "build": host.machine_type,
-            "yard": host.zone,
-            "loaners": host.is_spot,
+            "host": machine.name,
+            "endpoint": f"{machine.name}:9000",
+            "build": machine.machine_type,
+            "yard": machine.zone,
+            "loaners": machine.is_spot,
             "tenure": self.incarnation,
             "tally": self.sequence,
             "warrant": self.fencing_token,
@@ -548,11 +552,11 @@
         }
 
     async def send_heartbeat(self) -> None:
-        sent, session, body = virtual_now(), self.incarnation, self.heartbeat_body()
+        sent_at, incarnation, body = virtual_now(), self.incarnation, self.heartbeat_body()
         response = await self.cluster.deliver_heartbeat(self, self.controller_index, body)
         while self.is_hung:
             await asyncio.sleep(0.05)
-        if self.is_dead or session != self.incarnation:
+        if self.is_dead or incarnation != self.incarnation:
             return
         if response is None or response.status != 200:
             target = orjson.loads(response.body).get("answers_to") if response and response.status == 421 else None
@@ -563,45 +567,47 @@
                 await asyncio.sleep(0.5)
             self.heartbeat_due.set()
             return
-        answer = orjson.loads(response.body)
-        if virtual_now() - sent > 4.0 or answer.get("warrant", 0) < self.fencing_token:
+        content = orjson.loads(response.body)
+        if virtual_now() - sent_at > 4.0 or content.get("warrant", 0) < self.fencing_token:
             return
-        if answer["warrant"] > self.fencing_token:
-            self.fencing_token = answer["warrant"]
+        if content["warrant"] > self.fencing_token:
+            self.fencing_token = content["warrant"]
             self.heartbeat_due.set()
-        self.lease_renewed_at = max(self.lease_renewed_at, sent)
-        self.execute_commands(answer["orders"])
+        self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
+        self.execute_commands(content["orders"])
 
-    def execute_commands(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            job, _, number = order["parcel"].rpartition("/")
-            key = (job, int(number))
+    def execute_commands(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            job_id, _, index = command["parcel"].rpartition("/")
+            key = (job_id, int(index))
             task = self.tasks.get(key)
-            same = task is not None and task.attempt == order["try"]
-            if order["verb"] == "run" and not same:
+            is_same_attempt = task is not None and task.attempt == command["try"]
+            if command["verb"] == "run" and not is_same_attempt:
                 self.cluster.on_run(self, key)
-                self.start_task(key, order["try"])
-            elif order["verb"] == "clear" and same and task is not None and task.state == "exited":
+                self.start_task(key, command["try"])
+            elif command["verb"] == "clear" and is_same_attempt and task is not None and task.state == "exited":
                 self.cluster.on_clear(task)
                 del self.tasks[key]
-            elif order["verb"] == "halt" and same and task is not None and task.state != "exited":
-                self.stop_task(task, order["wind_down_s"])
+            elif command["verb"] == "halt" and is_same_attempt and task is not None and task.state != "exited":
+                self.stop_task(task, command["wind_down_s"])
 
     def start_task(self, key: tuple[str, int], attempt: int) -> None:
         job = self.cluster.jobs.get(key[0])
         task = SimulatedTask(key[0], key[1], attempt)
-        old = self.tasks.get(key)
-        if old is not None and old.state != "exited":
-            return  # in use: the refusal would hide the old attempt in this small model
+        existing_task = self.tasks.get(key)
+        if existing_task is not None and existing_task.state != "exited":
+            return  # still active: this model has one attempt per task, so a refusal would overwrite the old one
         self.tasks[key] = task
         if job is None:
             return self.exit_task(task, "unknown")
-        kind = MACHINE_TYPES[self.machine.machine_type]
-        for what in ("cores", "accelerators", "memory_gb"):
+        capacity = MACHINE_TYPES[self.machine.machine_type]
+        for resource in ("cores", "accelerators", "memory_gb"):
             used = sum(
-                self.cluster.jobs[t.job_id][what] for t in self.tasks.values() if t.state != "exited" and t is not task
+                self.cluster.jobs[t.job_id][resource]
+                for t in self.tasks.values()
+                if t.state != "exited" and t is not task
             )
-            if used + job[what] > kind[what] + 1e-6:
+            if used + job[resource] > capacity[resource] + 1e-6:
                 return self.exit_task(task, "no_room")
         task.ends_at = virtual_now() + (0.0 if job["kit"] in self.cached_images else job["size_gb"] / 2.0)
         return None
@@ -614,7 +620,7 @@
         elif task.state == "saving" and grace_s > 0:
             pass
         else:
-            self.exit_task(task, "halted", stored=False)
+            self.exit_task(task, "halted", is_checkpointed=False)
 
     def handle_direct_command(self, body: dict[str, Any]) -> Reply:
         if body["warrant"] < self.fencing_token or body["tenure"] != self.incarnation:
@@ -626,21 +632,21 @@
 
 
 class SimulatedController:
-    """A controller: the whole service but its sockets."""
+    """A controller process: the complete service except its sockets."""
 
     def __init__(self, cluster: "SimulatedCluster", index: int) -> None:
         self.cluster, self.index = cluster, index
         self.name = f"n{index}"
-        self.version = cluster.versions[index]  # what its next process runs
+        self.version = cluster.versions[index]  # run by the next process that starts
         self.running_version = self.version
         self.zone = ZONES[index % 2]
         self.service: ControllerProcess | None = None
         self.main_task: asyncio.Task[None] | None = None
         self.delay_s = self.clock_skew_s = 0.0
-        # What a packet filter keeps from it: "state", "cloud", "peers", "workers", by the way it does so.
+        # Network faults by target ("state", "cloud", "peers", "workers"): how traffic with it fails.
         self.network_faults: dict[str, str] = {}
         self.pause_gate = virtual_time.PauseGate()
-        # In order: a set of tasks goes by their addresses, and a crash would go another way each time.
+        # A dict keeps insertion order; a set would cancel the tasks by address, in another order on each run.
         self.handler_tasks: dict[asyncio.Task[Any], None] = {}
 
     def start(self) -> None:
@@ -667,13 +673,13 @@
         self.main_task.add_done_callback(self.record_failure)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-        """A routine of this node's process: it and all that it starts stand still while the node is paused."""
+        """Starts a task of this controller's process; it and the tasks it starts stop while the process is paused."""
         context = self.pause_gate.context()
         context.run(_CLOCK_SKEW.set, self.clock_skew_s)
         return asyncio.get_running_loop().create_task(work, context=context)
 
     async def serve(self, handler: Callable[[ControllerProcess], Coroutine[Any, Any, Response]]) -> Response | None:
-        """What a request to this node gets; the handler goes on when the caller has given up."""
+        """The response to a request; the handler goes on when the caller has timed out. None if the process is down."""
         service = self.service
         if service is None:
             return None
@@ -685,13 +691,13 @@
         return None if task.cancelled() else task.result()
 
     async def serve_public(self, method: str, path: str, raw: bytes) -> Response | None:
-        """A user's or a worker's request."""
+        """Serves a user's or a worker's request."""
         return await self.serve(
             lambda service: service.serve_public(self.running_version.make_request(method, path, raw))
         )
 
     async def serve_peer(self, method: str, path: str, raw: bytes) -> Response | None:
-        """Another controller's or an operator's request."""
+        """Serves another controller's or an operator's request."""
         return await self.serve(
             lambda service: service.serve_peer(self.running_version.make_request(method, path, raw))
         )
@@ -703,9 +709,9 @@
     def crash(self) -> None:
         if self.running_version.attribute(self.service, "leader_election.failed_terms"):
             self.cluster.errors.append(AssertionError("a term ended in a fault of the service, see its log"))
-        broken = self.running_version.attribute(self.service, "leader_term.drain_controller.failure")
-        if broken:
-            self.cluster.errors.append(AssertionError(f"drains ended in a fault: {broken}"))
+        drain_failure = self.running_version.attribute(self.service, "leader_term.drain_controller.failure")
+        if drain_failure:
+            self.cluster.errors.append(AssertionError(f"drains ended in a fault: {drain_failure}"))
         if self.main_task is not None:
             self.main_task.cancel()
         for handler in list(self.handler_tasks):
@@ -715,7 +721,7 @@
 
     def connect(self, address: str, pool: int) -> Callable[..., Awaitable[Reply]]:
         async def send(method: str, path: str, body: object = None, *, timeout: timedelta) -> Reply:
-            # Through JSON, as on the wire: nothing is shared with the other side.
+            # Copied through JSON, as on the wire, so that the two sides share no objects.
             copy = orjson.loads(orjson.dumps(body))
             return await self.cluster.send_request(self, address, method, path, copy, timeout)
 
@@ -739,14 +745,14 @@
         params_override: dict[str, Any] | None = None,
         versions: list[Version] | None = None,
     ) -> None:
-        self.versions = versions or [PRESENT] * controller_count  # of the controllers, as the day begins
-        self.params_override = params_override  # of the settings, in place of the usual ones
+        self.versions = versions or [PRESENT] * controller_count  # of each controller when the day begins
+        self.params_override = params_override  # cluster parameters that replace those of `make_settings`
         self.team_gpu_limit: float | None = TEAM_GPU_LIMIT
         self.controller_count = controller_count
         self.txn_ops, self.value_kb = txn_ops, value_kb
-        self.restart_delay_range_s = restart_delay_range_s  # a process that ended is started again so much later
-        self.max_clock_skew_s = max_clock_skew_s  # by how much a process's time of day may be off, drawn as it starts
-        self.scale = scale  # times as many machines, and tasks in arrays
+        self.restart_delay_range_s = restart_delay_range_s  # delay before a crashed process restarts
+        self.max_clock_skew_s = max_clock_skew_s  # largest wall clock offset; drawn when a process starts
+        self.scale = scale  # factor for the cloud's capacity and the tasks of array jobs
         self.write_rps = write_rps
         self.scheduled_actions: list[Callable[[SimulatedCluster], Coroutine[Any, Any, None]]] = []
         self.seed = seed
@@ -761,34 +767,32 @@
         self.cancelled_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.observed_ends: dict[str, str] = {}
-        self.history = OperationHistory()  # every request of users that came to a node, and its answer
-        self.without_request: set[str] = set()  # jobs that come and go by other ways than users' requests
+        self.history = OperationHistory()  # every user request that reached a controller, with its answer
+        self.without_request: set[str] = set()  # jobs that other interfaces than user requests submit or cancel
         self.errors: list[Any] = []
         self.rule_violations: list[RuleViolation] = []
         self.start_count = 0
-        self.started_attempts: set[tuple[str, int, int]] = set()  # of all that ever started
-        self.leader_by_term: dict[int, ControllerProcess] = {}  # and by which process each term was led
+        self.started_attempts: set[tuple[str, int, int]] = set()  # (job, task, attempt) of every start
+        self.leader_by_term: dict[int, ControllerProcess] = {}  # the process that led each term
         self.partitioned_zones: set[str] = set()
-        self.partition_healed_at: dict[str, float] = {}  # when the last cut of a zone ended
-        self.heartbeat_copiers = 0  # troubles that copy reports
-        self.late_write_probability = (
-            0.0  # the share of transactions that get no answer and are carried out 2 to 12 s later
-        )
-        self.lost_answer_probability = 0.0  # the share of transactions that are carried out at once and get no answer
-        self.max_store_delay_s = 0.0  # seconds that the state service's answers take at the most
-        self.late_command_probability = 0.0  # the share of commands and questions to workers that arrive 2 to 16 s late
-        self.kept_heartbeats: list[bytes] | None = None  # copies of workers' reports, while a fault keeps them
+        self.partition_healed_at: dict[str, float] = {}  # when the last partition of a zone ended
+        self.heartbeat_copiers = 0  # active faults that duplicate heartbeats
+        self.late_write_probability = 0.0  # share of transactions that get no answer and are applied 2 to 12 s later
+        self.lost_answer_probability = 0.0  # share of transactions that are applied at once and get no answer
+        self.max_store_delay_s = 0.0  # largest delay of the key-value store's answers
+        self.late_command_probability = 0.0  # share of commands and queries that reach workers 2 to 16 s late
+        self.kept_heartbeats: list[bytes] | None = None  # copies, while a fault records them for a replay
         worker_settings = make_settings(0, params_override=params_override).params.workers
         self.lease_duration_s, self.cancel_deadline_s = (
             worker_settings.lease_duration.total_seconds(),
             worker_settings.cancel_timeout.total_seconds(),
         )
-        self.faults_end_at = 1e9  # troubles are over
-        self.is_over = False  # the day ends early: what it was played for is known
+        self.faults_end_at = 1e9  # all faults are over; none begins in the 15 s before
+        self.is_over = False  # set by a test to end the day early
         self.tasks: dict[asyncio.Task[Any], None] = {}
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-        """A routine of the world's own, also when a node asks for it."""
+        """Starts a task outside any controller's process, so that pausing a controller does not stop it."""
         task = asyncio.get_running_loop().create_task(work, context=Context())
         self.track_task(task)
         return task
@@ -812,7 +816,7 @@
     async def send_request(
         self, controller: SimulatedController, address: str, method: str, path: str, body: Any, timeout: timedelta
     ) -> Reply:
-        """A request of a node's. What is on its way goes on without the node, which may stand still."""
+        """Sends a controller's request; it is delivered even if the controller times out or is paused meanwhile."""
         sending = self.spawn(self._send_request(controller, address, method, path, body, timeout))
         try:
             async with asyncio.timeout(timeout.total_seconds()):
@@ -839,7 +843,7 @@
                     await asyncio.sleep(0.1)
                 if worker.one_way_partition == "deaf":
                     await asyncio.sleep(timeout.total_seconds())
-                    raise Unreachable("nothing reaches it")
+                    raise Unreachable("one-way partition: the worker receives nothing")
                 if worker.is_dead:
                     raise Unreachable("gone")
                 if method == "GET":
@@ -863,12 +867,12 @@
             if network_fault == "answers":
                 await deliver()
             await asyncio.sleep(timeout.total_seconds())
-            raise Unreachable("nothing comes back")
+            raise Unreachable("no answer arrives")
         target = network_target_of(address)
         if path == "/txn" and self.is_answer_lost(controller, body):
             await deliver()
             await asyncio.sleep(timeout.total_seconds())
-            raise Unreachable("carried out, and its answer is lost")
+            raise Unreachable("transaction applied, answer lost")
         if self.max_store_delay_s and target == "state":
             answer = await deliver()
             await asyncio.sleep(self.rng.uniform(0, self.max_store_delay_s))
@@ -883,11 +887,11 @@
         if late_probability and self.rng.random() < late_probability:
             self.spawn(self.deliver_late(deliver, 12.0 if path == "/txn" else 16.0))
             await asyncio.sleep(timeout.total_seconds())
-            raise Unreachable("held; will run later")
+            raise Unreachable("delayed; delivered later")
         if not self.is_calm and not path.startswith("/watch"):
             if fault_draw < 0.01:
                 await asyncio.sleep(timeout.total_seconds())
-                raise Unreachable("lost before it ran")
+                raise Unreachable("request lost")
             if fault_draw < 0.02:
                 await deliver()
                 await asyncio.sleep(timeout.total_seconds())
@@ -895,11 +899,11 @@
             if fault_draw < 0.03:
                 self.spawn(self.deliver_late(deliver))
                 await asyncio.sleep(timeout.total_seconds())
-                raise Unreachable("held; may still run")
+                raise Unreachable("delayed; may be delivered later")
         return await deliver()
 
     def is_answer_lost(self, node: SimulatedController, body: Any) -> bool:
-        """Whether a transaction that is carried out at once gets no answer."""
+        """Whether a transaction is applied at once and its answer is lost."""
         return self.lost_answer_probability > 0 and self.rng.random() < self.lost_answer_probability
 
     async def deliver_late(self, deliver: Callable[[], Awaitable[Reply]], max_delay_s: float = 30.0) -> None:
@@ -947,23 +951,29 @@
             return None
 
     async def deliver_heartbeat_copy(self, raw: bytes) -> None:
-        """Of a report, seconds to well over a lease late, to whatever node is there by then."""
+        """Delivers a copy of a heartbeat to any controller, up to well over a lease duration late."""
         await asyncio.sleep(self.rng.choice([0.01, 1.0, 5.0, 20.0]) * self.rng.uniform(0.5, 1.5))
         await self.rng.choice(self.nodes).serve_public("POST", "/hello", raw)
 
     async def check_unreachable_worker(self, worker: SimulatedWorker, node: SimulatedController, raw: bytes) -> None:
         response = await node.serve_public("POST", "/hello", raw)
         if response is not None and response.status == 200 and worker.one_way_partition == "deaf":
-            sent = [order["parcel"] for order in orjson.loads(response.body)["orders"] if order["verb"] == "run"]
-            # What shows that it hears nothing is hidden while its zone is cut, or while it hangs. Heard again after
-            # that it has another tenure, and is told from a sound one by what comes then.
-            shown_since = max(
+            started_tasks = [
+                command["parcel"] for command in orjson.loads(response.body)["orders"] if command["verb"] == "run"
+            ]
+            # The leader can't detect the one-way partition while the zone is partitioned or the machine hangs. After
+            # that the machine has another incarnation, and only what follows tells it from a healthy machine.
+            detectable_since = max(
                 worker.partitioned_since, worker.resumed_at, self.partition_healed_at.get(worker.machine.zone, 0.0)
             )
-            late = (
-                virtual_now() - shown_since > UNREACHABLE_AFTER_S and worker.machine.zone not in self.partitioned_zones
+            is_detectable = (
+                virtual_now() - detectable_since > UNREACHABLE_AFTER_S
+                and worker.machine.zone not in self.partitioned_zones
+            )
+            self.check_rule(
+                not (started_tasks and is_detectable),
+                f"sent_in_vain: {started_tasks} to {worker.machine.name}, which receives nothing",
             )
-            self.check_rule(not (sent and late), f"sent_in_vain: {sent} to {worker.machine.name}, which hears nothing")
 
     async def deliver_heartbeat_late(self, node: SimulatedController, raw: bytes) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 20.0))
@@ -978,13 +988,13 @@
                     yield worker, task
 
     def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
-        """A task is told to stop; for worlds that keep account of that."""
+        """Called when a stop command for a task arrives; for subclasses that record it."""
 
     def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
-        """A task is told to start, and the worker does not have it."""
+        """Called when a run command arrives for a task that the worker does not have."""
 
     def on_clear(self, task: SimulatedTask) -> None:
-        """A worker forgets a task that has ended."""
+        """Called when a worker removes a task that has ended."""
 
     def gang_members(self, task: SimulatedTask) -> list[tuple[SimulatedWorker, SimulatedTask]]:
         return [(w, t) for w, t in self.active_tasks() if t.job_id == task.job_id and t.attempt == task.attempt]
@@ -996,47 +1006,52 @@
         return float(job["guess_s"] * self.rng.uniform(0.5, 1.5))
 
     def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
-        job, host = self.jobs[task.job_id], worker.machine
+        job, machine = self.jobs[task.job_id], worker.machine
         self.start_count += 1
-        name = f"{task.job_id}/{task.index} on {host.name}"
-        others = [(w, t) for w, t in self.active_tasks() if t is not task]
+        name = f"{task.job_id}/{task.index} on {machine.name}"
+        other_tasks = [(w, t) for w, t in self.active_tasks() if t is not task]
         self.check_rule(
-            not any((t.job_id, t.index) == (task.job_id, task.index) for _, t in others), f"ran_twice: {name}"
+            not any((t.job_id, t.index) == (task.job_id, task.index) for _, t in other_tasks), f"ran_twice: {name}"
         )
         if job["shape"] != "gang":
-            # A gang's replacement starts under its mates' attempt.
-            start = (task.job_id, task.index, task.attempt)
-            self.check_rule(start not in self.started_attempts, f"used_twice: attempt {task.attempt} of {name}")
-            self.started_attempts.add(start)
-        used = sum(self.jobs[t.job_id]["accelerators"] for _, t in others if self.jobs[t.job_id]["crew"] == job["crew"])
+            # A replaced member of a gang starts with the attempt of the other members.
+            attempt_key = (task.job_id, task.index, task.attempt)
+            self.check_rule(attempt_key not in self.started_attempts, f"used_twice: attempt {task.attempt} of {name}")
+            self.started_attempts.add(attempt_key)
+        gpus_in_use = sum(
+            self.jobs[t.job_id]["accelerators"] for _, t in other_tasks if self.jobs[t.job_id]["crew"] == job["crew"]
+        )
         if self.team_gpu_limit is not None:
-            self.check_rule(used + job["accelerators"] <= self.team_gpu_limit + 1e-6, f"quota: {name}")
-        self.check_rule(job["builds"] is None or host.machine_type in job["builds"], f"wrong_place: type of {name}")
-        self.check_rule(job["yard"] in (None, host.zone), f"wrong_place: zone of {name}")
-        self.check_rule(job["loaners"] or not host.is_spot, f"wrong_place: kind of {name}")
-        same = [w.machine.zone for w, t in others if t.job_id == task.job_id]
+            self.check_rule(gpus_in_use + job["accelerators"] <= self.team_gpu_limit + 1e-6, f"quota: {name}")
+        self.check_rule(job["builds"] is None or machine.machine_type in job["builds"], f"wrong_place: type of {name}")
+        self.check_rule(job["yard"] in (None, machine.zone), f"wrong_place: zone of {name}")
+        self.check_rule(job["loaners"] or not machine.is_spot, f"wrong_place: spot machine for {name}")
+        zones_of_job = [w.machine.zone for w, t in other_tasks if t.job_id == task.job_id]
         if job["together"]:
-            self.check_rule(all(z == host.zone for z in same), f"wrong_place: together {name}")
+            self.check_rule(all(z == machine.zone for z in zones_of_job), f"wrong_place: together {name}")
         if job["scatter"]:
-            most = (job["parcels"] + 1) // 2
-            self.check_rule(same.count(host.zone) + 1 <= most, f"wrong_place: scatter {name}")
-        at = self.cancelled_at.get(task.job_id)
-        self.check_rule(at is None or virtual_now() <= at + self.cancel_deadline_s, f"ran_cancelled: {name} started")
+            max_in_zone = (job["parcels"] + 1) // 2
+            self.check_rule(zones_of_job.count(machine.zone) + 1 <= max_in_zone, f"wrong_place: scatter {name}")
+        cancelled_at = self.cancelled_at.get(task.job_id)
+        self.check_rule(
+            cancelled_at is None or virtual_now() <= cancelled_at + self.cancel_deadline_s,
+            f"ran_cancelled: {name} started",
+        )
 
     async def check_continuously(self) -> None:
         while True:
             await asyncio.sleep(0.25)
             for _, task in self.active_tasks():
-                at = self.cancelled_at.get(task.job_id)
+                cancelled_at = self.cancelled_at.get(task.job_id)
                 self.check_rule(
-                    at is None or virtual_now() <= at + self.cancel_deadline_s,
-                    f"ran_cancelled: {task.job_id}/{task.index} is there",
+                    cancelled_at is None or virtual_now() <= cancelled_at + self.cancel_deadline_s,
+                    f"ran_cancelled: {task.job_id}/{task.index} is active",
                 )
             for node in self.nodes:
-                number = node.running_version.attribute(node.service, "leader_election.leader_lease.term")
-                if node.service is not None and number is not None:
-                    first = self.leader_by_term.setdefault(number, node.service)
-                    self.check_rule(first is node.service, f"used_twice: term {number}")
+                term = node.running_version.attribute(node.service, "leader_election.leader_lease.term")
+                if node.service is not None and term is not None:
+                    leader = self.leader_by_term.setdefault(term, node.service)
+                    self.check_rule(leader is node.service, f"used_twice: term {term}")
 
     def check_answer(self, job_id: str, status: int, answer: dict[str, Any]) -> None:
         if status == 404:
@@ -1044,45 +1059,45 @@
         if status not in (200, 201):
             return
         self.check_rule(job_id in self.jobs, f"invented: {job_id}")
-        standing = answer["standing"]
-        before = self.observed_ends.get(job_id)
-        self.check_rule(before in (None, standing), f"went_back: {job_id} from {before} to {standing}")
-        if standing == "done":
-            parcels = self.jobs[job_id]["parcels"]
-            finished = sum((job_id, i) in self.finished for i in range(parcels))
-            self.check_rule(finished == parcels, f"not_done: {job_id}")
-        if standing == "aborted":
+        job_state = answer["standing"]
+        previous_end = self.observed_ends.get(job_id)
+        self.check_rule(previous_end in (None, job_state), f"went_back: {job_id} from {previous_end} to {job_state}")
+        if job_state == "done":
+            task_count = self.jobs[job_id]["parcels"]
+            finished_count = sum((job_id, i) in self.finished for i in range(task_count))
+            self.check_rule(finished_count == task_count, f"not_done: {job_id}")
+        if job_state == "aborted":
             self.check_rule(job_id in self.cancel_requested, f"went_back: {job_id} cancelled by nobody")
             self.cancelled_at.setdefault(job_id, virtual_now())
-        if standing in ("done", "aborted"):
-            self.observed_ends[job_id] = standing
+        if job_state in ("done", "aborted"):
+            self.observed_ends[job_id] = job_state
 
     # -- users --------------------------------------------------------------------------------
 
     async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
-        up = [n for n in self.nodes if n.service is not None]
-        if not up:
+        running_controllers = [n for n in self.nodes if n.service is not None]
+        if not running_controllers:
             await asyncio.sleep(0.1)
             return 0, {}
-        node = self.rng.choice(up)
+        node = self.rng.choice(running_controllers)
         await asyncio.sleep(self.rng.uniform(0.001, 0.02))
-        lost = not self.is_calm and self.rng.random() < 0.03
+        loses_answer = not self.is_calm and self.rng.random() < 0.03
         raw = orjson.dumps(body) if body else b""
         try:
             async with asyncio.timeout(5.0):
                 response = await node.serve_public(method, path, raw)
         except TimeoutError:
             return 0, {}
-        if lost or response is None:
+        if loses_answer or response is None:
             return 0, {}
         return response.status, orjson.loads(response.body)
 
     def make_job(self) -> dict[str, Any]:
         rng = self.rng
         shape = rng.choice(["sweep", "sweep", "sweep", "gang", "daemon"])
-        gpu = rng.random() < 0.5
-        parcels = rng.randint(1, 12) * self.scale if shape == "sweep" else rng.randint(1, 3)
-        save = rng.random() < 0.5
+        needs_gpu = rng.random() < 0.5
+        task_count = rng.randint(1, 12) * self.scale if shape == "sweep" else rng.randint(1, 3)
+        saves_checkpoints = rng.random() < 0.5
         job_id = f"j-{rng.randrange(10**6):06d}"
         while job_id in self.jobs:
             job_id = f"j-{rng.randrange(10**6):06d}"
@@ -1092,20 +1107,20 @@
             "crew": rng.choice(["t0", "t1"]),
             "shape": shape,
             "rank": rng.choice(["critical", "urgent", "normal", "low"]),
-            "parcels": parcels,
+            "parcels": task_count,
             "cores": rng.choice([1.0, 2.0, 4.0]),
-            "accelerators": float(rng.randint(1, 2)) if gpu else 0.0,
+            "accelerators": float(rng.randint(1, 2)) if needs_gpu else 0.0,
             "memory_gb": 4.0,
             "kit": f"img-{rng.randrange(4)}",
             "size_gb": rng.uniform(0.5, 4.0),
-            "builds": ["gpu"] if gpu and rng.random() < 0.5 else None,
+            "builds": ["gpu"] if needs_gpu and rng.random() < 0.5 else None,
             "yard": rng.choice([None, None, "a", "b"]),
             "together": rng.random() < 0.3,
             "scatter": False,
             "loaners": rng.random() < 0.7,
             "guess_s": rng.uniform(1.0, 8.0) if shape != "daemon" else 0.0,
-            "mark_every_s": 2.0 if save else 0.0,
-            "mark_s": 1.0 if save else 0.0,
+            "mark_every_s": 2.0 if saves_checkpoints else 0.0,
+            "mark_s": 1.0 if saves_checkpoints else 0.0,
             "due_s": rng.choice([None, 60.0]),
             "mistaken": rng.random() < 0.05,
         }
@@ -1153,7 +1168,7 @@
             job_id = f"j-9{self.rng.randrange(10**9)}"
             self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
 
-    # -- troubles -----------------------------------------------------------------------------
+    # -- faults -------------------------------------------------------------------------------
 
     async def inject_faults(self) -> None:
         rng = self.rng
@@ -1191,26 +1206,26 @@
             await asyncio.sleep(rng.uniform(1, 20))
             self.state.refused_controllers.discard(node.name)
         elif fault == "deaf":
-            # The leader alone loses the state service for long, while its workers still hear it.
+            # The leader alone loses the key-value store for 30 s, while its workers still reach it.
             node = self.current_leader()
             if not self.state.refused_controllers:
                 self.state.refused_controllers.add(node.name)
                 await asyncio.sleep(30)
                 self.state.refused_controllers.discard(node.name)
         elif fault == "paused":
-            # Not dead: its sockets stay open, and it goes on where it was.
+            # The process is suspended: its sockets stay open, and it continues where it stopped.
             node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.nodes)
             gate = node.pause_gate
             gate.pause()
             await asyncio.sleep(rng.choice([1.0, 4.0, 12.0, 40.0]) * rng.uniform(0.7, 1.5))
             gate.resume()
         elif fault == "partly":
-            # Some of the network is lost to one node or two, in one way each.
+            # One or two controllers lose part of the network, each target with one drawn network fault.
             for node in rng.sample(self.nodes, rng.choice([1, 1, 2])):
-                what = rng.sample(["state", "workers", "peers", "cloud"], rng.choice([1, 1, 2, 3]))
-                self.spawn(self.lose_network(node, what, rng.uniform(3, 25)))
+                targets = rng.sample(["state", "workers", "peers", "cloud"], rng.choice([1, 1, 2, 3]))
+                self.spawn(self.lose_network(node, targets, rng.uniform(3, 25)))
         elif fault == "boots":
-            # Machines come up late, never, or at once for a while.
+            # For a while machines boot late, fail to boot more often, or boot at once.
             self.cloud.boot_factor, self.cloud.boot_failure_probability = rng.choice(
                 [(4.0, 0.1), (1.0, 0.6), (0.05, 0.0)]
             )
@@ -1231,7 +1246,7 @@
             await asyncio.sleep(rng.uniform(5, 30))
             self.heartbeat_copiers -= 1
         elif fault == "lone":
-            # Of state service and other controllers, but not of its workers: one, or two that may see one another.
+            # One or two controllers lose the key-value store and the other controllers, but not their workers.
             for node in rng.sample(self.nodes, rng.choice([1, 1, 1, 2])):
                 self.spawn(self.lose_network(node, ["state", "peers"], rng.uniform(5, 40)))
         elif fault == "late writes":
@@ -1251,7 +1266,7 @@
                 self.current_leader(), rng.uniform(0.2, 3.5), self.cancel_deadline_s * rng.uniform(0.8, 1.3)
             )
         elif fault == "returns":
-            # All end, one is back within a second, the others after it, and the first ends again.
+            # All controllers crash; one restarts within a second, the others after it, and the first crashes again.
             first, *others = rng.sample(self.nodes, len(self.nodes))
             for node in self.nodes:
                 node.crash()
@@ -1300,7 +1315,7 @@
     async def isolate_leader_then_fail_store(
         self, controller: SimulatedController, isolated_s: float, outage_s: float
     ) -> None:
-        """The state service refuses this node alone, and then everybody."""
+        """The key-value store refuses this controller alone, and then fails for all."""
         if self.state.is_down or self.state.refused_controllers:
             return
         self.state.refused_controllers.add(controller.name)
@@ -1356,11 +1371,11 @@
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
             await asyncio.sleep(0)
-            for found in violations(self.history.operations, self.without_request):
-                self.check_rule(False, str(found))
+            for violation in violations(self.history.operations, self.without_request):
+                self.check_rule(False, str(violation))
 
     def schedule_action(self, act: Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]) -> None:
-        """Something of a test's own that happens on the day."""
+        """Adds a coroutine of a test that is started when the day begins."""
         self.scheduled_actions.append(act)
 
     def run(self, length_s: float = 90.0, job_count: int = 25) -> "SimulatedCluster":
@@ -1372,10 +1387,10 @@
 def virtual_wall_clock() -> Iterator[None]:
     loop = asyncio.get_running_loop()
 
-    def wall() -> datetime:
+    def virtual_utc_now() -> datetime:
         return datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=loop.time() + _CLOCK_SKEW.get())
 
     with ExitStack() as patches:
         for version in LOADED:
-            patches.enter_context(patch.object(*version.locate("clock", "utc_now"), wall))
+            patches.enter_context(patch.object(*version.locate("clock", "utc_now"), virtual_utc_now))
         yield
