--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -1,6 +1,7 @@
-"""What users do at the worst moment: ask everywhere at once, repeat, cancel as a job ends or as the leader changes.
+"""User requests that provoke races: concurrent polls, repeats, and cancels while a job ends or the leader changes.
 
-Each kind is one trouble of the world's generator. What the controllers answer is judged by the day's history.
+Each function is a fault that the simulated cluster can draw. The controllers' answers are checked at the end of the
+day against the history of all operations.
 """
 
 import asyncio
@@ -17,9 +18,9 @@
 
 Job = dict[str, Any]
 
-# Users wait so long for an answer, and try a cancel again so soon.
+# How long users wait for an answer, and how soon they retry a cancel.
 REQUEST_TIMEOUT_S, CANCEL_RETRY_INTERVAL_S = 5.0, 0.3
-# What no machine, no team's limit or no schema has room for, and the status that says so.
+# Changes that make a job exceed all machines or its team's limit or violate the schema, and the expected status.
 UNRUNNABLE_CHANGES: list[tuple[Job, int]] = [
     ({"cores": 1000.0}, 422),
     ({"crew": "nobody"}, 422),
@@ -42,7 +43,7 @@
 async def request_controller(
     cluster: "SimulatedCluster", node: "SimulatedController", method: str, path: str, body: object = None
 ) -> tuple[int, Job]:
-    """One request to this node; (0, {}) without an answer."""
+    """Sends one request to this controller; (0, {}) without an answer."""
     raw = b"" if body is None else orjson.dumps(body)
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
@@ -67,7 +68,7 @@
 
 
 def check_end(cluster: "SimulatedCluster", job_id: str, answer: Job) -> None:
-    """Of an end that one of several users at once is told; its order beside other answers is the history's."""
+    """Checks an end that one of several concurrent users observes; the history checks its order among other answers."""
     if answer.get("standing") == "aborted":
         cluster.cancelled_at.setdefault(job_id, asyncio.get_running_loop().time())
     elif answer.get("standing") == "done":
@@ -79,18 +80,18 @@
     return sorted(cluster.accepted_jobs - cluster.observed_ends.keys() - cluster.cancel_requested)
 
 
-# -- asking everywhere at once ----------------------------------------------------------------------
+# -- concurrent polls -------------------------------------------------------------------------------
 
 
 async def concurrent_polls(cluster: "SimulatedCluster", duration_s: float) -> None:
-    """Whenever a job is told to be accepted or over, users look at all nodes, and repeat, within milliseconds."""
-    seen: set[tuple[str, Stage]] = set()
+    """When an answer first shows a job accepted or ended, users poll all controllers or repeat, within milliseconds."""
+    polled_stages: set[tuple[str, Stage]] = set()
 
     def poll_on_change(operation: Operation) -> None:
         stage = operation.stage
         job_id = operation.job_id
-        if stage in (Stage.LIVE, Stage.ENDED) and (job_id, stage) not in seen and job_id in cluster.jobs:
-            seen.add((job_id, stage))
+        if stage in (Stage.LIVE, Stage.ENDED) and (job_id, stage) not in polled_stages and job_id in cluster.jobs:
+            polled_stages.add((job_id, stage))
             cluster.spawn(_poll_all_controllers(cluster, job_id))
 
     cluster.history.listeners.append(poll_on_change)
@@ -108,26 +109,26 @@
 async def _poll_controller(cluster: "SimulatedCluster", node: "SimulatedController", job_id: str) -> None:
     rng = cluster.rng
     await asyncio.sleep(rng.uniform(0.0, 0.005))
-    what = rng.random()
-    if what < 0.04 and job_id in cluster.accepted_jobs:
+    draw = rng.random()
+    if draw < 0.04 and job_id in cluster.accepted_jobs:
         await cancel_until_answered(cluster, job_id, node)
         return
-    if what < 0.3 and job_id not in cluster.without_request:
+    if draw < 0.3 and job_id not in cluster.without_request:
         _, answer = await request_controller(cluster, node, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
     else:
         _, answer = await request_controller(cluster, node, "GET", f"/submissions/{job_id}")
     check_end(cluster, job_id, answer)
 
 
-# -- what should not be asked -------------------------------------------------------------------------
+# -- invalid requests ---------------------------------------------------------------------------------
 
 
 async def invalid_requests(cluster: "SimulatedCluster", duration_s: float) -> None:
-    until = asyncio.get_running_loop().time() + duration_s
-    while asyncio.get_running_loop().time() < until:
+    end_at = asyncio.get_running_loop().time() + duration_s
+    while asyncio.get_running_loop().time() < end_at:
         await asyncio.sleep(cluster.rng.uniform(0.1, 0.6))
-        kind = cluster.rng.choice([_repeat_unfinished, _cancel_done, _submit_unrunnable, _submit_incomplete])
-        cluster.spawn(kind(cluster))
+        send_invalid = cluster.rng.choice([_repeat_unfinished, _cancel_done, _submit_unrunnable, _submit_incomplete])
+        cluster.spawn(send_invalid(cluster))
 
 
 async def _repeat_unfinished(cluster: "SimulatedCluster") -> None:
@@ -141,20 +142,20 @@
 
 
 async def _cancel_done(cluster: "SimulatedCluster") -> None:
-    done = sorted(job for job, how in cluster.observed_ends.items() if how == "done")
-    if done:
-        job_id = cluster.rng.choice(done)
+    done_jobs = sorted(job_id for job_id, end in cluster.observed_ends.items() if end == "done")
+    if done_jobs:
+        job_id = cluster.rng.choice(done_jobs)
         node = cluster.rng.choice(cluster.nodes)
         status, answer = await request_controller(cluster, node, "POST", f"/submissions/{job_id}/cancel")
         cluster.check_rule(
             status != 200 or answer["standing"] == "done", f"went_back: {job_id} was done, and is {answer}"
         )
-        cluster.check_rule(status != 404, f"forgotten: {job_id}, as it was cancelled")
+        cluster.check_rule(status != 404, f"forgotten: the cancel of {job_id} got 404")
 
 
 async def _submit_unrunnable(cluster: "SimulatedCluster") -> None:
-    wrong, expected = cluster.rng.choice(UNRUNNABLE_CHANGES)
-    await _check_refused(cluster, to_wire(cluster.make_job()) | wrong, expected)
+    change, expected_status = cluster.rng.choice(UNRUNNABLE_CHANGES)
+    await _check_refused(cluster, to_wire(cluster.make_job()) | change, expected_status)
 
 
 async def _submit_incomplete(cluster: "SimulatedCluster") -> None:
@@ -163,30 +164,31 @@
     await _check_refused(cluster, job, 400)
 
 
-async def _check_refused(cluster: "SimulatedCluster", job: Job, expected: int) -> None:
-    """By every node that it comes to; and nobody knows it afterwards."""
+async def _check_refused(cluster: "SimulatedCluster", job: Job, expected_status: int) -> None:
+    """Checks that every controller rejects the job, and that none knows it or has stored anything afterwards."""
     job_id = job["name_id"] = f"j-7{cluster.rng.randrange(10**8):08d}"
     for node in cluster.nodes:
         status, _ = await request_controller(cluster, node, "POST", "/submissions", job)
         cluster.check_rule(
-            status in (0, expected, 429, 503, 504), f"accepted_wrongly: {job} got {status}, not {expected}"
+            status in (0, expected_status, 429, 503, 504),
+            f"accepted_wrongly: {job} got {status}, not {expected_status}",
         )
     status, answer = await request_controller(
         cluster, cluster.rng.choice(cluster.nodes), "GET", f"/submissions/{job_id}"
     )
     cluster.check_rule(status != 200, f"invented: {job_id}, which can't run, is {answer}")
-    kept = [key for key in cluster.state.keys if job_id in key]
-    cluster.check_rule(not kept, f"accepted_wrongly: {kept} of a job that can't run")
+    stored_keys = [key for key in cluster.state.keys if job_id in key]
+    cluster.check_rule(not stored_keys, f"accepted_wrongly: {stored_keys} of a job that can't run")
 
 
-# -- cancels at the worst moment -----------------------------------------------------------------------
+# -- races of cancels ----------------------------------------------------------------------------------
 
 
 async def cancel_at_end(cluster: "SimulatedCluster", duration_s: float) -> None:
-    """Users call off, ask about and repeat jobs at the end of their last task, from just before to just after."""
-    until = asyncio.get_running_loop().time() + duration_s
+    """Users cancel, poll and repeat jobs from just before the end of their last task to just after it."""
+    end_at = asyncio.get_running_loop().time() + duration_s
     handled_jobs: set[str] = set()
-    while asyncio.get_running_loop().time() < until:
+    while asyncio.get_running_loop().time() < end_at:
         await asyncio.sleep(0.02)
         for job_id in _about_to_end(cluster) - handled_jobs:
             handled_jobs.add(job_id)
@@ -194,23 +196,23 @@
                 cluster.spawn(_cancel_near_end(cluster, job_id))
 
 
-def _about_to_end(cluster: "SimulatedCluster", ahead: float = 0.2) -> set[str]:
-    """Accepted jobs of which only one task, or one gang, is left, and ends within moments."""
-    soon = asyncio.get_running_loop().time() + ahead
-    found = set()
+def _about_to_end(cluster: "SimulatedCluster", within_s: float = 0.2) -> set[str]:
+    """Accepted jobs whose only unfinished task, or gang, ends within this many seconds."""
+    latest_end = asyncio.get_running_loop().time() + within_s
+    job_ids = set()
     for _, task in cluster.active_tasks():
         job = cluster.jobs[task.job_id]
         if (
             task.state != "running"
-            or task.ends_at > soon
+            or task.ends_at > latest_end
             or job["shape"] == "daemon"
             or task.job_id not in cluster.accepted_jobs
         ):
             continue
-        others = range(job["parcels"] if job["shape"] == "sweep" else 0)
-        if all(n == task.index or (task.job_id, n) in cluster.finished for n in others):
-            found.add(task.job_id)
-    return found
+        tasks = range(job["parcels"] if job["shape"] == "sweep" else 0)
+        if all(n == task.index or (task.job_id, n) in cluster.finished for n in tasks):
+            job_ids.add(task.job_id)
+    return job_ids
 
 
 async def _cancel_near_end(cluster: "SimulatedCluster", job_id: str) -> None:
@@ -222,24 +224,24 @@
 
 
 async def cancel_during_failover(cluster: "SimulatedCluster", duration_s: float) -> None:
-    """The leader ends; jobs are cancelled before that, while nobody leads, as the next one rebuilds, and after."""
-    end_at = min(1.0, duration_s / 2)
+    """The leader restarts; jobs are cancelled before, without a leader, while the next one recovers, and after."""
+    leader_crash_delay_s = min(1.0, duration_s / 2)
     jobs = unfinished_jobs(cluster)
     for job_id in cluster.rng.sample(jobs, min(6, len(jobs))):
         cluster.spawn(_cancel_after(cluster, job_id, cluster.rng.uniform(0.0, 6.0)))
-    await asyncio.sleep(end_at)
+    await asyncio.sleep(leader_crash_delay_s)
     await cluster.restart_controller(cluster.current_leader())
 
 
-async def _cancel_after(cluster: "SimulatedCluster", job_id: str, delay: float) -> None:
-    await asyncio.sleep(delay)
+async def _cancel_after(cluster: "SimulatedCluster", job_id: str, delay_s: float) -> None:
+    await asyncio.sleep(delay_s)
     await cancel_until_answered(cluster, job_id)
 
 
 async def repeated_failovers(cluster: "SimulatedCluster", duration_s: float) -> None:
-    """The leader ends again and again, seconds apart; now and then all do, and one is back within a second."""
-    until = asyncio.get_running_loop().time() + duration_s
-    while asyncio.get_running_loop().time() < until:
+    """The leader restarts repeatedly, seconds apart; at times all controllers crash and one is back within a second."""
+    end_at = asyncio.get_running_loop().time() + duration_s
+    while asyncio.get_running_loop().time() < end_at:
         if cluster.rng.random() < 0.2:
             await cluster.inject_fault("returns")
         else:
@@ -248,7 +250,7 @@
 
 
 async def lost_answers(cluster: "SimulatedCluster", duration_s: float) -> None:
-    """Transactions are carried out at once, and a share of them get no answer."""
+    """Transactions are applied at once, and a share of them get no answer."""
     cluster.lost_answer_probability = cluster.rng.uniform(0.1, 0.6)
     await asyncio.sleep(duration_s)
     cluster.lost_answer_probability = 0.0
