--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""The version in production beside the present one: where it comes from, and that the two don't mix."""
+"""The version in production is extracted from the history, and shares no modules with the present one."""
 
 from pathlib import Path
 
@@ -9,42 +9,44 @@
 from tests.versions import PRESENT, HistoryMissing, extract, production
 
 
-def test_a_commit_that_the_history_lacks_fails_with_one_line(tmp_path: Path) -> None:
+def test_missing_commit_fails_with_one_line_message(tmp_path: Path) -> None:
     with pytest.raises(HistoryMissing, match="does not hold version 0000000") as failure:
         extract("0" * 40, cache=tmp_path)
     assert "\n" not in str(failure.value)
     assert list(tmp_path.iterdir()) == []
 
 
-def test_without_git_it_fails_with_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_git_fails_with_one_line_message(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("PATH", str(tmp_path))
     with pytest.raises(HistoryMissing, match="git is not installed"):
         extract("0" * 40, cache=tmp_path)
 
 
-def test_what_was_taken_from_the_history_is_kept(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_extracted_version_is_cached(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     commit = versions.production_commit()
     package = extract(commit, cache=tmp_path)
     monkeypatch.setenv("PATH", str(tmp_path))
     assert extract(commit, cache=tmp_path) == package
 
 
-def test_the_versions_share_no_module() -> None:
-    old = production()
+def test_versions_share_no_modules() -> None:
+    production_version = production()
     for path in ("controller.process", "submissions.jobs", "leader_election.election", "delivery_deadlines.controller"):
-        assert old.module(path) is not PRESENT.module(path)
-        assert old.module(path).__file__ != PRESENT.module(path).__file__
-    assert old.find("leader_election.lease", "LeaderLease").__module__.startswith(old.package)
-    assert old.find("controller.process", "SubmissionHandlers") is old.find(
+        assert production_version.module(path) is not PRESENT.module(path)
+        assert production_version.module(path).__file__ != PRESENT.module(path).__file__
+    assert production_version.find("leader_election.lease", "LeaderLease").__module__.startswith(
+        production_version.package
+    )
+    assert production_version.find("controller.process", "SubmissionHandlers") is production_version.find(
         "submissions.handlers", "SubmissionHandlers"
     )
 
 
-def test_a_world_of_production_alone_runs_production_alone() -> None:
-    old = production()
-    cluster = SimulatedCluster(1, is_calm=True, versions=[old] * 3)
+def test_cluster_of_production_version_runs_no_other_version() -> None:
+    production_version = production()
+    cluster = SimulatedCluster(1, is_calm=True, versions=[production_version] * 3)
     cluster.run(length_s=20, job_count=8)
     assert not cluster.errors and not cluster.rule_violations
     assert {type(service) for service in cluster.leader_by_term.values()} == {
-        old.find("controller.process", "ControllerProcess")
+        production_version.find("controller.process", "ControllerProcess")
     }
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,9 +1,9 @@
-"""Versions of the service side by side in one process: the present tree, and versions of its history.
+"""Several versions of the service in one process: the present tree and commits of the repository's history.
 
-The version in production is the commit that `deploy/service.toml` names. Its package, as that of any other commit,
-comes from the repository's own history, and is imported under a name of its own (`roseweir_` and the commit), imports
-inside functions among them. So versions run in one simulated world, on one virtual clock, with classes of their own,
-and whatever goes from one to the other goes as JSON.
+The version in production is the commit that `deploy/service.toml` names. The package of a commit is extracted from the
+history and imported as `roseweir_` and the commit; all its imports, also those inside functions, are renamed to match.
+So versions run in one simulated cluster, on one virtual clock, each with its own classes, and they exchange data only
+as JSON.
 """
 
 import ast
@@ -35,11 +35,10 @@
 DEPLOYMENT = ROOT / "deploy" / "service.toml"
 CACHE = ROOT / "target" / "versions"
 PACKAGE = "roseweir"
-COMMIT_DIGITS = 12  # of the commit, in the package's name
+COMMIT_DIGITS = 12  # of the commit's hash, in the package name
 
-# Names that differ between the present tree and versions of the history, each as name now -> name then. A version of
-# the history that lacks the name then is looked at under the name now, so the tables serve commits on both sides of a
-# renaming.
+# Names that differ between the present tree and older versions, each as present name -> older name. If a version lacks
+# the older name, the present one is used, so the tables serve commits before and after a rename.
 #
 # Modules below the package: {"notifier": "bell"}.
 MODULES_IN_HISTORY: dict[str, str] = {
@@ -72,8 +71,8 @@
     "workflows.settings": "chains.settings",
     "workflows.store": "chains.store",
 }
-# Classes and functions, by module and name now: {"notifier:Notifier": "Bell"}. One that was in another module than
-# MODULES_IN_HISTORY has for its module now is given with the module then: {"service:Service": "service:Service"}.
+# Classes and functions, by present module and name: {"notifier:Notifier": "Bell"}. The older name includes its module
+# if that is not the one in MODULES_IN_HISTORY: {"service:Service": "service:Service"}.
 NAMES_IN_HISTORY: dict[str, str] = {
     "calendars:CalendarEvent": "Event",
     "clock:monotonic_now": "steady",
@@ -167,9 +166,9 @@
     "submission_handlers": "desk",
     "term": "number",
 }
-# Fields of settings by their encoded names, where these differ too: {"operator_config:OperatorConfig.ahead": "ahead"}.
+# Settings fields whose encoded names differ, by present name: {"operator_config:OperatorConfig.ahead": "ahead"}.
 FIELDS_IN_HISTORY: dict[str, str] = {}
-# Keywords that a service gives its transport.
+# Keyword arguments that a service passes to its transport.
 KEYWORDS_IN_HISTORY: dict[str, str] = {"timeout": "patience"}
 
 
@@ -179,98 +178,102 @@
 
 @dataclass(frozen=True)
 class Version:
-    """One version of the service: the package that its modules are found in."""
+    """One version of the service, identified by the package that holds its modules."""
 
     package: str
 
     def module(self, path: str) -> Any:
-        """A module of this version's, by the name that it has now below the package.
+        """This version's module for a present module path below the package.
 
-        ModuleNotFoundError if this version has it neither under that name nor under the one in MODULES_IN_HISTORY.
+        ModuleNotFoundError if this version has neither that path nor the one in MODULES_IN_HISTORY.
         """
-        then = MODULES_IN_HISTORY.get(path)
-        if then is not None and not self.is_present and self._has_module(then):
-            path = then
+        path_in_history = MODULES_IN_HISTORY.get(path)
+        if path_in_history is not None and not self.is_present and self._has_module(path_in_history):
+            path = path_in_history
         return importlib.import_module(f"{self.package}.{path}")
 
     def locate(self, path: str, name: str) -> tuple[Any, str]:
-        """The module of this version's that has a class or function, and its name there, by module and name now."""
-        module_then, _, name_then = NAMES_IN_HISTORY.get(f"{path}:{name}", "").rpartition(":")
-        if module_then and not self.is_present and self._has_module(module_then):
-            module = importlib.import_module(f"{self.package}.{module_then}")
-            if hasattr(module, name_then):
-                return module, name_then
+        """This version's module for a class or function, and its name there, by present module and name."""
+        module_in_history, _, name_in_history = NAMES_IN_HISTORY.get(f"{path}:{name}", "").rpartition(":")
+        if module_in_history and not self.is_present and self._has_module(module_in_history):
+            module = importlib.import_module(f"{self.package}.{module_in_history}")
+            if hasattr(module, name_in_history):
+                return module, name_in_history
         module = self.module(path)
-        return module, self._name_of(module, name_then or None, name)
+        return module, self._name_of(module, name_in_history or None, name)
 
     def find(self, path: str, name: str) -> Any:
-        """A class or function of this version's, by its module and name now; AttributeError if it has none."""
-        module, own_name = self.locate(path, name)
-        return getattr(module, own_name)
+        """This version's class or function, by present module and name; AttributeError if it has none."""
+        module, name_in_version = self.locate(path, name)
+        return getattr(module, name_in_version)
 
     def attribute(self, value: Any, path: str) -> Any:
-        """An attribute of an object of this version's, by its dotted path now; None if one on the way is None."""
+        """An attribute of an object of this version, by present dotted path; None if an intermediate one is None."""
         for name in path.split("."):
             if value is None:
                 return None
             value = getattr(value, self._name_of(value, ATTRIBUTES_IN_HISTORY.get(name), name))
         return value
 
-    def _name_of(self, owner: Any, then: str | None, now: str) -> str:
-        return now if then is None or self.is_present or not hasattr(owner, then) else then
+    def _name_of(self, owner: Any, name_in_history: str | None, present_name: str) -> str:
+        return (
+            present_name
+            if name_in_history is None or self.is_present or not hasattr(owner, name_in_history)
+            else name_in_history
+        )
 
     def _has_module(self, path: str) -> bool:
         try:
             return find_spec(f"{self.package}.{path}") is not None
         except ModuleNotFoundError:
-            return False  # not even the package around it
+            return False  # the parent package is missing too
 
     @property
     def is_present(self) -> bool:
         return self.package == PACKAGE
 
-    def make_service(self, settings: Settings, tuning: OperatorConfig, connect: Callable[..., Any]) -> Any:
-        """A controller of this version's, which talks to its surroundings by `connect`."""
+    def make_service(self, settings: Settings, operator_config: OperatorConfig, connect: Callable[..., Any]) -> Any:
+        """Creates a controller process of this version that sends its requests through `connect`."""
         service_class = self.find("controller.process", "ControllerProcess")
         if self.is_present:
-            return service_class(settings, tuning, connect)
-        service = service_class(self.adopt(settings), self.adopt(tuning), self._translated(connect))
-        # Under the names that they have now, so that the world finds them there.
+            return service_class(settings, operator_config, connect)
+        service = service_class(self.adopt(settings), self.adopt(operator_config), self._translate_transport(connect))
+        # Set under their present names, by which the simulated cluster calls them.
         service.serve_public, service.serve_peer = (
-            self._with_own_messages(self.attribute(service, "serve_public")),
-            self._with_own_messages(self.attribute(service, "serve_peer")),
+            self._translate_messages(self.attribute(service, "serve_public")),
+            self._translate_messages(self.attribute(service, "serve_peer")),
         )
         return service
 
     def adopt(self, value: Any) -> Any:
-        """A value of the present version's classes as one of this version's, without the fields that it lacks.
+        """Converts a value of the present version's classes to this version's, without the fields that these lack.
 
         Fields are matched by their encoded names, which stay when a field is renamed.
         """
         if isinstance(value, msgspec.Struct):
             path = type(value).__module__.removeprefix(PACKAGE + ".")
             class_name = type(value).__name__
-            own = self.find(path, class_name)
-            own_fields = dict(zip(own.__struct_encode_fields__, own.__struct_fields__, strict=True))
-            found = {}
+            own_class = self.find(path, class_name)
+            own_fields = dict(zip(own_class.__struct_encode_fields__, own_class.__struct_fields__, strict=True))
+            field_values = {}
             for encoded, field in zip(value.__struct_encode_fields__, value.__struct_fields__, strict=True):
-                then = FIELDS_IN_HISTORY.get(f"{path}:{class_name}.{encoded}", encoded)
-                own_field = own_fields.get(then, own_fields.get(encoded))
+                encoded_in_history = FIELDS_IN_HISTORY.get(f"{path}:{class_name}.{encoded}", encoded)
+                own_field = own_fields.get(encoded_in_history, own_fields.get(encoded))
                 if own_field is not None:
-                    found[own_field] = self.adopt(getattr(value, field))
-            return own(**found)
+                    field_values[own_field] = self.adopt(getattr(value, field))
+            return own_class(**field_values)
         if isinstance(value, list):
-            return [self.adopt(each) for each in value]
+            return [self.adopt(item) for item in value]
         if isinstance(value, dict):
-            return {key: self.adopt(each) for key, each in value.items()}
+            return {key: self.adopt(item) for key, item in value.items()}
         return value
 
     def make_request(self, method: str, path: str, body: bytes) -> Request:
-        """A request to a controller: each takes the present version's and makes its own of it."""
+        """A request to a controller, in the present version's class; an older version's handlers convert it."""
         return Request(method, path, body)
 
-    def _with_own_messages(self, handler: Callable[[Any], Awaitable[Any]]) -> Callable[[Request], Awaitable[Response]]:
-        """A handler of this version's that takes the present version's requests and gives its responses."""
+    def _translate_messages(self, handler: Callable[[Any], Awaitable[Any]]) -> Callable[[Request], Awaitable[Response]]:
+        """Wraps a handler of this version so that it takes and returns the present version's requests and responses."""
         own_request = self.find("http", "Request")
 
         async def serve(request: Request) -> Response:
@@ -282,20 +285,24 @@
 
         return serve
 
-    def _translated(self, connect: Callable[..., Any]) -> Callable[..., Any]:
-        """A transport whose answers and errors are of this version's classes."""
+    def _translate_transport(self, connect: Callable[..., Any]) -> Callable[..., Any]:
+        """Wraps a transport so that its replies and errors are of this version's classes."""
         own_unreachable, own_reply = self.find("http", "Unreachable"), self.find("http", "Reply")
-        keywords = {then: now for now, then in KEYWORDS_IN_HISTORY.items()}
+        keywords = {
+            keyword_in_history: present_keyword for present_keyword, keyword_in_history in KEYWORDS_IN_HISTORY.items()
+        }
 
         def connect_own(address: str, pool: int) -> Callable[..., Coroutine[Any, Any, Any]]:
             send = connect(address, pool)
 
-            async def send_own(*request: Any, **options: Any) -> Any:
+            async def send_own(*request: Any, **keywords_given: Any) -> Any:
                 try:
-                    found: Reply = await send(*request, **{keywords.get(k, k): v for k, v in options.items()})
+                    reply: Reply = await send(
+                        *request, **{keywords.get(keyword, keyword): value for keyword, value in keywords_given.items()}
+                    )
                 except Unreachable as e:
                     raise own_unreachable(str(e), e.connected) from e
-                return own_reply(found.status, found.body)
+                return own_reply(reply.status, reply.body)
 
             return send_own
 
@@ -321,25 +328,25 @@
 
 
 def full_hash(name: str, root: Path = ROOT) -> str:
-    """The full hash of a commit given by any name that git knows; HistoryMissing if it knows none such."""
+    """The full hash of a commit by any name that git resolves; HistoryMissing if git does not resolve it."""
     try:
-        found = subprocess.run(
+        result = subprocess.run(
             ["git", "-C", str(root), "rev-parse", "--verify", "--quiet", "--end-of-options", name + "^{commit}"],
             capture_output=True,
             check=True,
         )
     except (FileNotFoundError, subprocess.CalledProcessError, ValueError):
         raise HistoryMissing(f"the history of {root} does not hold a commit {name!r}") from None
-    return found.stdout.decode().strip()
+    return result.stdout.decode().strip()
 
 
 def production_commit() -> str:
-    """The commit that serves now, by the deployment's own word."""
+    """The commit in production, as `deploy/service.toml` names it."""
     return str(tomllib.loads(DEPLOYMENT.read_text())["production"])
 
 
 def extract(commit: str, root: Path = ROOT, cache: Path = CACHE) -> Path:
-    """The directory of the commit's package, taken from the history once."""
+    """The directory of the commit's package; it is extracted from the history once and cached."""
     target = cache / commit
     if (target / PACKAGE / "__init__.py").is_file():
         return target / PACKAGE
@@ -349,12 +356,12 @@
         ).stdout
     except FileNotFoundError:
         raise HistoryMissing(f"git is not installed, so version {commit} can't be taken from the history") from None
-    except subprocess.CalledProcessError as e:
-        why = e.stderr.decode(errors="replace").strip().partition("\n")[0]
+    except subprocess.CalledProcessError as error:
+        reason = error.stderr.decode(errors="replace").strip().partition("\n")[0]
         raise HistoryMissing(
-            f"the history of {root} does not hold version {commit} (a shallow clone? fetch all of it): {why}"
+            f"the history of {root} does not hold version {commit} (a shallow clone? fetch all of it): {reason}"
         ) from None
-    # Complete or not at all, also when several test processes do it at once.
+    # Extracted elsewhere and renamed, so that concurrent test processes never see a partial directory.
     cache.mkdir(parents=True, exist_ok=True)
     partial = Path(mkdtemp(dir=cache))
     with tarfile.open(fileobj=BytesIO(archive)) as tar:
@@ -362,40 +369,40 @@
     try:
         partial.rename(target)
     except OSError:
-        rmtree(partial)  # another process was first
+        rmtree(partial)  # another process extracted it first
     return target / PACKAGE
 
 
-class _Renaming(ast.NodeTransformer):
-    """Imports of the package become imports under its other name."""
+class _ImportRenamer(ast.NodeTransformer):
+    """Rewrites imports of the package to its name for this version."""
 
     def __init__(self, package: str) -> None:
         self.package = package
 
-    def _renamed(self, module: str) -> str:
+    def _renamed_module(self, module: str) -> str:
         head, dot, rest = module.partition(".")
         return self.package + dot + rest if head == PACKAGE else module
 
     def visit_Import(self, node: ast.Import) -> ast.Import:
         for alias in node.names:
-            alias.name = self._renamed(alias.name)
+            alias.name = self._renamed_module(alias.name)
         return node
 
     def visit_ImportFrom(self, node: ast.ImportFrom) -> ast.ImportFrom:
         if node.module is not None and node.level == 0:
-            node.module = self._renamed(node.module)
+            node.module = self._renamed_module(node.module)
         return node
 
 
 class _Loader(SourceFileLoader):
     def source_to_code(self, data: Any, path: Any, **options: Any) -> Any:  # type: ignore[override]
         package = self.name.partition(".")[0]
-        tree = _Renaming(package).visit(ast.parse(data))
+        tree = _ImportRenamer(package).visit(ast.parse(data))
         return compile(tree, path, "exec", dont_inherit=True)
 
 
 class _Finder(importlib.abc.MetaPathFinder):
-    """Finds one package's modules under its other name."""
+    """Finds the modules of one version's package under its name for this version."""
 
     def __init__(self, package: str, directory: Path) -> None:
         self.package, self.directory = package, directory
