--- a/tests/simulation/demand_weeks.py
+++ b/tests/simulation/demand_weeks.py
@@ -1,4 +1,4 @@
-"""Weeks of demand, counted as a leader would have counted them."""
+"""Weeks of demand, recorded as by a leader that accepts the jobs."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -23,7 +23,10 @@
 
 
 class DemandWeeks:
-    """Planner and local time. Each day from `first` has its demand from 16:30 to 18:00, if `burst` says so."""
+    """A planner with a demand history in local time.
+
+    `pass_days` records demand from 16:30 to 18:00 on each day for which `burst` returns units.
+    """
 
     def __init__(self, calendar: Calendar | None = None, zone: str = TORONTO, **settings: object) -> None:
         calendar = calendar or Calendar()
@@ -39,12 +42,12 @@
         return datetime.fromisoformat(text).replace(tzinfo=self.zone).timestamp()
 
     def watch_until(self, until: float, known: bool = True) -> None:
-        """Time passes, an hour at a time: only the hour that is open can still be counted."""
+        """Advances time hour by hour, as only the open hour can be counted; `known`: the time counts as watched."""
         while self.watched_until < until:
-            begin, self.watched_until = self.watched_until, min(until, self.watched_until + 3600)
+            interval_start, self.watched_until = self.watched_until, min(until, self.watched_until + 3600)
             self.history.advance_to(self.watched_until)
             if known:
-                self.history.mark_watched(begin, self.watched_until)
+                self.history.mark_watched(interval_start, self.watched_until)
 
     def pass_days(
         self,
@@ -57,18 +60,18 @@
         day = datetime.fromisoformat(first)
         self.watched_until = self.watched_until or self.timestamp(first)
         for _ in range(days):
-            begins = self.timestamp(f"{day.date()}T{hour}")
-            self.watch_until(begins, known(day))
-            for part in range(3):
+            burst_start = self.timestamp(f"{day.date()}T{hour}")
+            self.watch_until(burst_start, known(day))
+            for half_hour in range(3):
                 units = burst(day)
                 if units > 0 and known(day):
-                    self.history.record_accepted_job(make_demand(begins + part * 1800, units))
-                self.watch_until(begins + (part + 1) * 1800, known(day))
+                    self.history.record_accepted_job(make_demand(burst_start + half_hour * 1800, units))
+                self.watch_until(burst_start + (half_hour + 1) * 1800, known(day))
             day += timedelta(days=1)
             self.watch_until(self.timestamp(f"{day.date()}T00:00"), known(day - timedelta(days=1)))
 
     def needed_units(self, text: str, lead: float = 120.0) -> float:
-        """Units that should stand ready at this local time; it has been watched until then."""
+        """Units that the forecast needs at this local time; all time until then is watched."""
         now = self.timestamp(text)
         self.watch_until(now)
         return sum(need.units for need in self.forecast.needs(now, {CPU_POOL: lead}))
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -19,7 +19,7 @@
     virtual_now,
 )
 
-# A leader starts no task on state read more than 5 s ago, and a worker drops an answer after 4 s (protocol).
+# A leader starts no task when its last read of cancellations is over 5 s old; a worker drops answers after 4 s.
 MAX_COMMAND_AGE_S = 5.0 + 4.0
 MAX_WAIT_S = 90.0
 WATCH_INTERVAL_S = 1.0
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""The simulated world while an upgrade rolls through it, and who led it meanwhile."""
+"""A simulated cluster during a rolling upgrade, and which version led each term."""
 
 import asyncio
 from typing import Any
@@ -12,31 +12,29 @@
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.versions import PRESENT, Version, production
 
-# Seconds: the roll begins, a few processes are killed each time, and that far apart.
+# When the rolling upgrade begins, and the time between the restarts of its batches.
 ROLL_BEGINS_AT_S, ROLL_INTERVAL_RANGE_S = 15.0, (10.0, 15.0)
 MAX_DAY_LENGTH_S, FAULTS_END_AT_S, JOB_COUNT = 400.0, 80.0, 14
-# Seconds over which the jobs come.
+# Jobs are submitted over this many seconds.
 ARRIVAL_PERIOD_S = 80.0
 
 
 class RollingUpgradeCluster(SimulatedCluster):
-    """A day that begins with one version and on which every process comes back as another when its turn has come."""
+    """A day that begins with one version; every controller restarts once with the next one."""
 
-    def __init__(self, seed: int, first: Version | None = None, then: Version = PRESENT, **more: Any) -> None:
-        controller_count = more.pop("controller_count", 3)
+    def __init__(self, seed: int, first: Version | None = None, then: Version = PRESENT, **options: Any) -> None:
+        controller_count = options.pop("controller_count", 3)
         first = first or production()
-        super().__init__(seed, controller_count=controller_count, versions=[first] * controller_count, **more)
+        super().__init__(seed, controller_count=controller_count, versions=[first] * controller_count, **options)
         self.first_version, self.next_version = first, then
         self.faults_end_at = FAULTS_END_AT_S
-        self.user_answers: list[
-            tuple[float, int]
-        ] = []  # when each user was answered, and with which status; 0: not at all
-        self.rolled_at = 0.0  # when the last process was killed for the new version
+        self.user_answers: list[tuple[float, int]] = []  # time and status of each user request's answer; 0: none
+        self.rolled_at = 0.0  # when the last batch restarted with the next version
         self.schedule_action(lambda _: self.roll_controllers())
         self.schedule_action(lambda _: self.submit_jobs())
 
     def make_job(self) -> dict[str, Any]:
-        """Of those that the world's few machines with GPUs can hold at all, so that every one must end."""
+        """Allows spot machines, so that every job fits on the cluster's few GPU machines and must end."""
         return super().make_job() | {"loaners": True}
 
     async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
@@ -45,7 +43,7 @@
         return status, answer
 
     async def submit_jobs(self) -> None:
-        """The day ends when every user knows the end of a job."""
+        """The day ends when every user has observed the end of the job, and all faults are over."""
         users = []
         for _ in range(JOB_COUNT):
             users.append(self.spawn(self.run_user()))
@@ -56,13 +54,13 @@
 
     async def roll_controllers(self) -> None:
         await asyncio.sleep(ROLL_BEGINS_AT_S)
-        waiting = self.rng.sample(self.nodes, len(self.nodes))
-        while waiting:
-            turn = [waiting.pop() for _ in range(min(len(waiting), self.rng.choice([1, 1, 2])))]
-            for node in turn:
-                # One that is down at the moment comes back with the new version as well.
+        remaining = self.rng.sample(self.nodes, len(self.nodes))
+        while remaining:
+            batch = [remaining.pop() for _ in range(min(len(remaining), self.rng.choice([1, 1, 2])))]
+            for node in batch:
+                # A controller that is down now restarts with the next version too.
                 node.version = self.next_version
-            await asyncio.gather(*(self.restart_controller(node) for node in turn))
+            await asyncio.gather(*(self.restart_controller(node) for node in batch))
             self.rolled_at = virtual_now()
             await asyncio.sleep(self.rng.uniform(*ROLL_INTERVAL_RANGE_S))
 
@@ -71,7 +69,7 @@
         return self
 
     def check_outcome(self) -> None:
-        """The world's rules, and that nothing accepted is lost and every job has ended."""
+        """Checks the rules, that all controllers run the next version and that every accepted job has ended."""
         raise_first_failure(self)
         assert self.rolled_at > 0 and all(node.running_version == self.next_version for node in self.nodes)
         unfinished = self.accepted_jobs - self.observed_ends.keys()
@@ -86,29 +84,29 @@
 
 
 def terms_led_by(cluster: SimulatedCluster, version: Version) -> list[bool]:
-    """Of each term, in their order, whether a process of this version led it."""
-    own = version.find("controller.process", "ControllerProcess")
-    return [type(service) is own for _, service in sorted(cluster.leader_by_term.items())]
+    """For each term in order, whether a process of this version led it."""
+    process_class = version.find("controller.process", "ControllerProcess")
+    return [type(service) is process_class for _, service in sorted(cluster.leader_by_term.items())]
 
 
 def count_failovers(cluster: SimulatedCluster) -> int:
-    """How often leadership went from one process to another."""
+    """Number of changes of the leader from one process to another."""
     return len(cluster.leader_by_term) - 1
 
 
 class WriterTrackingStore(SimulatedKeyValueStore):
-    """The state service, which notes of each value which version wrote it last, and who wrote over whom."""
+    """A key-value store that records which version wrote each value last, and which version overwrote which."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         super().__init__(cluster)
         self.last_writer: dict[str, Version] = {}
-        self.rewrites: set[tuple[str, Version, Version]] = set()  # family, who wrote before, who wrote then
+        self.rewrites: set[tuple[str, Version, Version]] = set()  # (family, previous writer, next writer)
         self.values_by_family: dict[
             str, dict[bytes, tuple[str, Version]]
-        ] = {}  # of each family: its key and who wrote it
+        ] = {}  # per family and encoded value: its key and its writer
 
     async def handle(self, node: str, method: str, path: str, body: Any) -> Any:
-        before = {
+        previous_revisions = {
             op["put"]: self.keys[op["put"]][1] if op["put"] in self.keys else 0 for op in put_operations(path, body)
         }
         answer = await super().handle(node, method, path, body)
@@ -116,7 +114,7 @@
             version = self.cluster.nodes[int(node[1:])].running_version
             for op in put_operations(path, body):
                 key = op["put"]
-                if key not in self.keys or self.keys[key][1] == before[key]:
+                if key not in self.keys or self.keys[key][1] == previous_revisions[key]:
                     continue
                 family = family_of(key)
                 if key in self.last_writer:
@@ -127,16 +125,18 @@
 
 
 class MixedVersionCluster(WorkflowCluster):
-    """Everything that is stored at once, and leaders of both versions in turn: whichever leads is killed, again and
-    again, of two controllers."""
+    """Two controllers of different versions that write all families of stored values.
+
+    The current leader is restarted again and again, so that the versions lead in turn.
+    """
 
     def __init__(self, seed: int) -> None:
-        given = workflow_config()
-        given.delivery_deadline = DeadlineSettings(policies=[DeadlinePolicy()])
-        given.predictive_scaling = PredictiveScalingSettings()
+        config = workflow_config()
+        config.delivery_deadline = DeadlineSettings(policies=[DeadlinePolicy()])
+        config.predictive_scaling = PredictiveScalingSettings()
         super().__init__(
             seed,
-            given,
+            config,
             is_calm=True,
             controller_count=2,
             versions=[production(), PRESENT],
@@ -144,12 +144,12 @@
             scale=2,
         )
         self.tracking_store = WriterTrackingStore(self)
-        for act in (
+        for action in (
             MixedVersionCluster.install_tracking_store,
             MixedVersionCluster.alternate_leaders,
             MixedVersionCluster.amend_and_drain,
         ):
-            self.schedule_action(act)  # type: ignore[arg-type]
+            self.schedule_action(action)  # type: ignore[arg-type]
 
     async def install_tracking_store(self) -> None:
         self.state = self.tracking_store
@@ -163,9 +163,9 @@
         for number in range(12):
             await asyncio.sleep(7)
             self.spawn(self.submit_amendment(self.registry.make_amendment()))
-            ask = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
+            drain_request = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
             node = self.rng.choice(self.nodes)
-            await node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": ask}))
+            await node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": drain_request}))
 
 
 def put_operations(path: str, body: Any) -> list[dict[str, Any]]:
@@ -173,7 +173,7 @@
 
 
 def family_of(key: str) -> str:
-    """The kind of value under a key: its prefix, and for notes of starts and parts of drains one of their own."""
+    """The family of the value under a key: its prefix; deltas and the parts of drains are families of their own."""
     parts = key.split("/")
     if parts[0] == "places" and parts[1].startswith("note-"):
         return "places/note"
@@ -183,8 +183,8 @@
 
 
 def stored_job_state(cluster: SimulatedCluster, job_id: str) -> str:
-    """By the state service: live, or how it ended."""
+    """The job's state in the key-value store: "live", how it ended, or "unknown"."""
     if LIVE_JOB_PREFIX + job_id in cluster.state.keys:
         return "live"
-    over = cluster.state.keys.get(COMPLETED_JOB_PREFIX + job_id)
-    return "unknown" if over is None else str(over[0]["state"])
+    stored_end = cluster.state.keys.get(COMPLETED_JOB_PREFIX + job_id)
+    return "unknown" if stored_end is None else str(stored_end[0]["state"])
--- a/tests/simulation/stored_value_rewriting.py
+++ b/tests/simulation/stored_value_rewriting.py
@@ -1,4 +1,4 @@
-"""What a version makes of a stored value: read it as a new leader does, and write it again with nothing changed."""
+"""Reads a stored value with one version as a new leader does, and writes it again unchanged."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 def rewrite_value(version: Version, key: str, value: Any) -> Any:
-    """The value as this version would write it, or an error where it would refuse it."""
+    """The value as this version writes it after reading it; an error if this version rejects it."""
     family, _, rest = key.partition("/")
     if family == "drain":
         return _rewrite_drains(version, key, value)
@@ -22,7 +22,7 @@
 
 
 def _make_store_stub(version: Version) -> SimpleNamespace:
-    """A store client's settings and limits, the limits also by the names that they had in the history."""
+    """A stub of the store client with settings and limits; the limits also under their names in older versions."""
     limits = TransactionLimits(_STORE_SETTINGS)
     limits_in_history = SimpleNamespace(value_bytes=limits.max_value_bytes, txn_ops=limits.max_txn_ops)
     return SimpleNamespace(settings=version.adopt(_STORE_SETTINGS), transaction_limits=limits, limits=limits_in_history)
@@ -43,14 +43,14 @@
 
 
 def _rewrite_progress(version: Version, key: str, rest: str, value: Any) -> Any:
-    """The same tasks; how many zeros follow the last one is the writer's own affair."""
+    """Checks that the same tasks are decoded; the number of trailing zeros in the bitmap may differ."""
     decode = version.find("submissions.task_bitmap", "decode_task_numbers")
     encode = version.find("submissions.task_bitmap", "encode_bitmap")
-    done = set(decode(value, 0))
-    bits = bytearray(max(done) // 8 + 1)
-    for index in done:
-        bits[index // 8] |= 1 << index % 8
-    assert set(decode(encode(bytes(bits)), 0)) == done
+    completed_tasks = set(decode(value, 0))
+    bitmap = bytearray(max(completed_tasks) // 8 + 1)
+    for index in completed_tasks:
+        bitmap[index // 8] |= 1 << index % 8
+    assert set(decode(encode(bytes(bitmap)), 0)) == completed_tasks
     return value
 
 
@@ -60,11 +60,11 @@
     return version.attribute(segments, "encode_segment")(int(rest))
 
 
-def read_delta(version: Version, key: str, value: Any, live: dict[str, Any]) -> Any:
-    """What a new leader takes from a delta of starts and completions; `live`: all jobs' records."""
-    machine_type = version.find("submissions.jobs", "MachineType")
+def read_delta(version: Version, key: str, value: Any, live_jobs: dict[str, Any]) -> Any:
+    """A delta of starts and completions as a new leader restores and encodes it; `live_jobs`: records of all jobs."""
+    machine_type_class = version.find("submissions.jobs", "MachineType")
     live_job_prefix = version.find("submissions.jobs", "LIVE_JOB_PREFIX")
-    entry = version.find("kv_store", "Entry")
+    entry_class = version.find("kv_store", "Entry")
     cluster_state = version.find("scheduler.cluster_state", "ClusterState")(
         version.adopt(make_settings(0)),
         version.find("operator_config", "OperatorConfig")(),
@@ -72,15 +72,15 @@
         version.find("clock", "monotonic_now")(),
     )
     cluster_state.catalog = {
-        name: machine_type(name, 64.0, 8.0, 512.0, 0.0, 1.0, 1.0, 1.0, 1.0, ("a", "b")) for name in ("cpu", "gpu")
+        name: machine_type_class(name, 64.0, 8.0, 512.0, 0.0, 1.0, 1.0, 1.0, 1.0, ("a", "b")) for name in ("cpu", "gpu")
     }
     log_writer = version.find("scheduler.log_writer", "LogWriter")(
         _make_store_stub(version), cluster_state, 1, version.find("notifier", "Notifier")()
     )
-    records = [entry(live_job_prefix + job_id, record, 1) for job_id, record in live.items()]
-    version.attribute(log_writer, "_restore_state")(records, [], [entry(key, value, 1)], {})
-    number = int(key.rpartition("-")[2])
-    delta = version.attribute(log_writer, "deltas")[number]
+    records = [entry_class(live_job_prefix + job_id, record, 1) for job_id, record in live_jobs.items()]
+    version.attribute(log_writer, "_restore_state")(records, [], [entry_class(key, value, 1)], {})
+    delta_number = int(key.rpartition("-")[2])
+    delta = version.attribute(log_writer, "deltas")[delta_number]
     return version.attribute(delta, "encode")()
 
 
@@ -92,21 +92,21 @@
 
 def _rewrite_drains(version: Version, key: str, value: Any) -> Any:
     store = version.find("drain.store", "DrainStore")(_make_store_stub(version), 1)
-    stored = version.attribute(store, "load_records")([version.find("kv_store", "Entry")(key, value, 1)])
+    records = version.attribute(store, "load_records")([version.find("kv_store", "Entry")(key, value, 1)])
     disruptions_prefix = version.find("drain.store", "DISRUPTIONS_KEY_PREFIX")
     if key.startswith(version.find("drain.store", "REQUEST_KEY_PREFIX")):
-        return version.find("drain.store", "encode_drain")(stored.drains[0])
+        return version.find("drain.store", "encode_drain")(records.drains[0])
     if key.startswith(version.find("drain.store", "CORDONS_KEY_PREFIX")):
-        return version.attribute(store, "encode_cordons")(stored.cordons)[key]
+        return version.attribute(store, "encode_cordons")(records.cordons)[key]
     if key.startswith(disruptions_prefix):
-        progress = version.attribute(stored, "placement_progress")
-        windows = version.attribute(stored, "rate_windows")
+        progress = version.attribute(records, "placement_progress")
+        windows = version.attribute(records, "rate_windows")
         return version.attribute(store, "encode_disruptions")(progress, windows, set())[f"{disruptions_prefix}00"]
     if key == version.find("drain.store", "REBALANCING_KEY"):
-        plan = version.find("rebalancing.move_planning", "MovePlan")
-        moves = version.attribute(stored, "rebalancing")
-        return moves | {"plans": [plan.decode(each).encode() for each in moves["plans"]]}
-    return {"gaps": stored.gaps, "own": version.attribute(stored, "auto_replacement")}
+        plan_class = version.find("rebalancing.move_planning", "MovePlan")
+        moves = version.attribute(records, "rebalancing")
+        return moves | {"plans": [plan_class.decode(plan).encode() for plan in moves["plans"]]}
+    return {"gaps": records.gaps, "own": version.attribute(records, "auto_replacement")}
 
 
 def _rewrite_service_levels(version: Version, key: str, rest: str, value: Any) -> Any:
@@ -117,17 +117,19 @@
 def _rewrite_delivery_deadlines(version: Version, key: str, rest: str, value: Any) -> Any:
     durations = version.find("delivery_deadlines.step_durations", "StepDurations")()
     durations.decode(value["times"])
-    night_report = version.find("delivery_deadlines.night_report", "NightReport")
-    nights = {name: night_report.decode(night).encode() for name, night in value["nights"].items()}
+    night_report_class = version.find("delivery_deadlines.night_report", "NightReport")
+    nights = {name: night_report_class.decode(night).encode() for name, night in value["nights"].items()}
     return {"nights": nights, "times": durations.encode()}
 
 
 def _rewrite_demand_history(version: Version, key: str, rest: str, value: Any) -> Any:
-    given = version.find("forecast.settings", "PredictiveScalingSettings")()
-    history = version.find("forecast.demand_history", "DemandHistory")(given.slot_s, given.weeks, given.series_most)
-    number = value["start"] // 3600
+    settings = version.find("forecast.settings", "PredictiveScalingSettings")()
+    history = version.find("forecast.demand_history", "DemandHistory")(
+        settings.slot_s, settings.weeks, settings.series_most
+    )
+    block_number = value["start"] // 3600
     version.attribute(history, "load_block")(value, 1, float(value["start"]), key, lambda block: key)
-    return history.encode(version.attribute(history, "open_blocks")[number], MAX_VALUE_BYTES)
+    return history.encode(version.attribute(history, "open_blocks")[block_number], MAX_VALUE_BYTES)
 
 
 def _rewrite_leadership(version: Version, key: str, rest: str, value: Any) -> Any:
--- a/tests/simulation/virtual_time.py
+++ b/tests/simulation/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time is virtual: a wait costs nothing, and every run goes the same way."""
+"""An event loop with virtual time: waits take no real time, and every run is deterministic."""
 
 import asyncio
 import selectors
@@ -16,16 +16,16 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("everybody waits for nothing")
+            raise RuntimeError("deadlock: no task can run and no timer is set")
         self.now += max(0.0, timeout)
         return []
 
 
 class PauseGate:
-    """What a paused process stands before: none of its routines takes a step while it is shut.
+    """Suspends the tasks of a paused process: none of them takes a step until the gate is resumed.
 
-    The clock goes on meanwhile, and so do the timers: on waking, all that came or ran out reaches the
-    process in one instant.
+    The clock and the timers go on meanwhile: on resume, all events and timeouts of the pause reach the process at one
+    instant.
     """
 
     def __init__(self) -> None:
@@ -41,43 +41,43 @@
             self._resumed = asyncio.get_running_loop().create_future()
 
     def resume(self) -> None:
-        waiting, self._resumed = self._resumed, None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(None)
+        resumed, self._resumed = self._resumed, None
+        if resumed is not None and not resumed.done():
+            resumed.set_result(None)
 
     def resumed_future(self) -> "asyncio.Future[None] | None":
         return self._resumed
 
 
 class _PausableCoroutine(Coroutine[Any, Any, Any]):
-    """A coroutine whose steps wait while its gate is shut."""
+    """A coroutine that takes no step while its gate is paused."""
 
     def __init__(self, inner: Coroutine[Any, Any, Any], pause_gate: PauseGate) -> None:
         self.inner, self.pause_gate = inner, pause_gate
         self._held_error: tuple[Any, ...] | None = None
 
     def _wait_if_paused(self) -> Any:
-        waiting = self.pause_gate.resumed_future()
-        if waiting is None:
+        resumed = self.pause_gate.resumed_future()
+        if resumed is None:
             return None
-        # What a task awaits: a future of its own, so that cancelling the task does not open the gate.
-        own_future = asyncio.get_running_loop().create_future()
-        waiting.add_done_callback(lambda _: None if own_future.done() else own_future.set_result(None))
-        own_future._asyncio_future_blocking = True
-        return own_future
+        # Each task awaits its own future, so that cancelling the task does not resume the gate.
+        step_allowed = asyncio.get_running_loop().create_future()
+        resumed.add_done_callback(lambda _: None if step_allowed.done() else step_allowed.set_result(None))
+        step_allowed._asyncio_future_blocking = True
+        return step_allowed
 
     def send(self, value: Any) -> Any:
-        parked = self._wait_if_paused()
-        if parked is not None:
-            return parked
-        held, self._held_error = self._held_error, None
-        return self.inner.send(value) if held is None else self.inner.throw(*held)
+        pause_future = self._wait_if_paused()
+        if pause_future is not None:
+            return pause_future
+        held_error, self._held_error = self._held_error, None
+        return self.inner.send(value) if held_error is None else self.inner.throw(*held_error)
 
     def throw(self, *error: Any) -> Any:
-        parked = self._wait_if_paused()
-        if parked is not None:
+        pause_future = self._wait_if_paused()
+        if pause_future is not None:
             self._held_error = error
-            return parked
+            return pause_future
         self._held_error = None
         return self.inner.throw(*error)
 
@@ -85,7 +85,7 @@
         self.inner.close()
 
     def __await__(self) -> Generator[Any, Any, Any]:
-        raise TypeError("a task drives it")
+        raise TypeError("only a task may run this coroutine")
 
 
 def _create_task(
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -1,4 +1,4 @@
-"""The simulated world with a registry: chains' own rules are checked from the workers' and the viewer's side."""
+"""The simulated cluster with a registry: workflow rules are checked at the workers and at the viewer."""
 
 import asyncio
 from typing import Any
@@ -13,19 +13,19 @@
 STEP_ORDER = [["lot-boundaries"], ["lot-reproject"], ["viewer-tiles"]]
 
 
-def workflow_config(**more: Any) -> OperatorConfig:
-    found = OperatorConfig()
+def workflow_config(**settings: Any) -> OperatorConfig:
+    config = OperatorConfig()
     fields: dict[str, Any] = {"step_order": STEP_ORDER, "max_amendments_per_window": 1000.0}
-    found.workflow = WorkflowSettings(**(fields | more))
-    return found
+    config.workflow = WorkflowSettings(**(fields | settings))
+    return config
 
 
 class WorkflowCluster(SimulatedCluster):
-    def __init__(self, seed: int, operator_config: OperatorConfig | None = None, **more: Any) -> None:
-        super().__init__(seed, operator_config or workflow_config(), **({"scale": 2} | more))
+    def __init__(self, seed: int, operator_config: OperatorConfig | None = None, **options: Any) -> None:
+        super().__init__(seed, operator_config or workflow_config(), **({"scale": 2} | options))
         self.registry = SimulatedRegistry(seed)
         self.dependencies: dict[str, list[str]] = {}
-        self.revision_by_job: dict[str, tuple[str, int]] = {}  # delivery job: amendment and revision
+        self.revision_by_job: dict[str, tuple[str, int]] = {}  # amendment and revision, by delivery job
         self.lots_by_job: dict[str, list[str]] = {}
         self.sent_amendments: dict[str, dict[str, Any]] = {}
         self.accepted_at: dict[str, float] = {}
@@ -33,16 +33,16 @@
         self.answer_statuses: list[int] = []
         self.may_skip_failed = False
 
-    async def request_workflow(self, order: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """An order of a registry's or an operator's, at any node that is up."""
-        up = [n for n in self.nodes if n.service is not None]
-        if not up:
+    async def request_workflow(self, request: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        """Sends a workflow request of the registry or an operator to any running controller."""
+        running_controllers = [n for n in self.nodes if n.service is not None]
+        if not running_controllers:
             return 0, {}
-        node = self.rng.choice(up)
+        node = self.rng.choice(running_controllers)
         try:
             async with asyncio.timeout(6.0):
-                raw = orjson.dumps(order)
-                response = await node.serve_peer("POST", "/chains", raw)
+                request_body = orjson.dumps(request)
+                response = await node.serve_peer("POST", "/chains", request_body)
         except TimeoutError:
             return 0, {}
         if response is None or (not self.is_calm and self.rng.random() < 0.03):
@@ -50,9 +50,9 @@
         return response.status, orjson.loads(response.body)
 
     def register_amendment(self, amendment: dict[str, Any]) -> None:
-        last = amendment["steps"][-1]["job"]["name_id"]
-        self.revision_by_job[last] = (amendment["id"], amendment["revision"])
-        self.lots_by_job[last] = amendment["lots"]
+        delivery_job = amendment["steps"][-1]["job"]["name_id"]
+        self.revision_by_job[delivery_job] = (amendment["id"], amendment["revision"])
+        self.lots_by_job[delivery_job] = amendment["lots"]
         self.sent_amendments[amendment["id"]] = amendment
         for step in amendment["steps"]:
             self.jobs.setdefault(step["job"]["name_id"], step["job"])
@@ -61,8 +61,8 @@
 
     async def submit_amendment(self, amendment: dict[str, Any], timeout_s: float = 60.0) -> int:
         self.register_amendment(amendment)
-        end = virtual_now() + timeout_s
-        while virtual_now() < end:
+        deadline = virtual_now() + timeout_s
+        while virtual_now() < deadline:
             status, answer = await self.request_workflow({"verb": "amend", "amendment": amendment})
             self.answer_statuses.append(status)
             if status in (200, 201):
@@ -78,46 +78,46 @@
 
     def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
         super().check_start(worker, task)
-        for job in self.dependencies.get(task.job_id, ()):
-            ended = self.state.keys.get(f"over/{job}")
-            good = ended is not None and (ended[0]["state"] == "done" or self.may_skip_failed)
-            self.check_rule(good, f"started_early: {task.job_id} before the durable end of {job}")
+        for dependency in self.dependencies.get(task.job_id, ()):
+            stored_end = self.state.keys.get(f"over/{dependency}")
+            may_start = stored_end is not None and (stored_end[0]["state"] == "done" or self.may_skip_failed)
+            self.check_rule(may_start, f"started_early: {task.job_id} before the durable end of {dependency}")
 
     def record_delivery(self, job: str) -> None:
-        """A delivery's last task has completed: its lots are in the viewer."""
+        """Called when the last task of a delivery has completed: its lots are now in the viewer."""
         _, revision = self.revision_by_job[job]
         for lot in self.lots_by_job[job]:
-            before = self.shown_revisions.get(lot, (0, ""))
-            self.check_rule(revision >= before[0], f"older_after_newer: {lot} from {before} to {revision} by {job}")
+            shown = self.shown_revisions.get(lot, (0, ""))
+            self.check_rule(revision >= shown[0], f"older_after_newer: {lot} from {shown} to {revision} by {job}")
             self.shown_revisions[lot] = (revision, job)
 
     async def watch_viewer(self, cluster: SimulatedCluster) -> None:
-        told: set[str] = set()
+        delivered_jobs: set[str] = set()
         while True:
             await asyncio.sleep(0.02)
             for job in self.revision_by_job:
-                parcels = self.jobs[job]["parcels"]
-                if job not in told and all((job, n) in self.finished for n in range(parcels)):
-                    told.add(job)
+                task_count = self.jobs[job]["parcels"]
+                if job not in delivered_jobs and all((job, n) in self.finished for n in range(task_count)):
+                    delivered_jobs.add(job)
                     self.record_delivery(job)
 
     async def poll_steps(self, cluster: SimulatedCluster) -> None:
-        """Users ask about steps as about any job, also before they may start."""
+        """Users poll the jobs of steps like any job, also before these may start."""
         while True:
             await asyncio.sleep(0.3)
-            steps = sorted(j for j in self.accepted_jobs if j in self.dependencies)
-            if steps:
-                job_id = self.rng.choice(steps)
+            step_jobs = sorted(step_job for step_job in self.accepted_jobs if step_job in self.dependencies)
+            if step_jobs:
+                job_id = self.rng.choice(step_jobs)
                 status, answer = await self.ask("GET", f"/submissions/{job_id}")
                 if answer.get("standing") == "aborted":
-                    # Superseded or stopped, by the word of its sender.
+                    # The workflow was superseded or stopped, as its sender requested.
                     self.cancel_requested.add(job_id)
                 self.check_answer(job_id, status, answer)
 
     def workflow_states(self) -> dict[str, str]:
-        """As the record has them, and the leader."""
+        """The state of each workflow, as the leader holds it; empty without a ready leader."""
         for node in self.nodes:
             leader_term = None if node.service is None else node.service.leader_term
             if leader_term is not None and leader_term.is_ready:
-                return {name: chain.state for name, chain in leader_term.workflows.workflows.items()}
+                return {name: workflow.state for name, workflow in leader_term.workflows.workflows.items()}
         return {}
