--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -1,4 +1,7 @@
-"""The gap, a leader cut off, and the word of the other controllers: how long a cancelled job's tasks may stay."""
+"""How long tasks of a cancelled job may run on when controllers lose the key-value store.
+
+A leader is refused alone before an outage for all, is partitioned, or asks its peers for acknowledged cancellations.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +18,7 @@
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.leader_election.election import LeaderLease
 from roseweir.leader_election.leader_search import LeaderSearch
-from roseweir.scheduler import cluster_state as board_module
+from roseweir.scheduler import cluster_state as cluster_state_module
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
 from roseweir.workers.answer_authority import AnswerAuthority
 from tests.simulation.cluster import SimulatedCluster, SimulatedWorker, virtual_now
@@ -24,197 +27,205 @@
 
 Patch = pytest.MonkeyPatch
 
-# -- the gap: the leader refused alone, cancels confirmed, then an outage for all ----------------
+# -- the leader is refused alone, cancels are confirmed, then an outage for all ------------------
 
 
-def gap_world(seed: int) -> tuple[LongTaskCluster, list[float]]:
-    """The leader is refused alone, jobs are cancelled elsewhere, then nobody has the state service for long."""
+def refusal_then_outage_cluster(seed: int) -> tuple[LongTaskCluster, list[float]]:
+    """The store refuses the leader alone, jobs are cancelled through other controllers, then a long outage hits all."""
     draw = Random(seed)
-    lease = draw.choice([4.0, 6.0, 9.0])
-    cancel = lease + draw.choice([4.0, 8.0, 14.0])
-    alone = draw.uniform(0.3, 2.3) if seed % 3 else draw.uniform(3.0, 9.0)
-    cluster = LongTaskCluster(seed, params_override=worker_params(lease, cancel))
-    spans: list[float] = []
+    lease_s = draw.choice([4.0, 6.0, 9.0])
+    cancel_deadline_s = lease_s + draw.choice([4.0, 8.0, 14.0])
+    refused_alone_s = draw.uniform(0.3, 2.3) if seed % 3 else draw.uniform(3.0, 9.0)
+    cluster = LongTaskCluster(seed, params_override=worker_params(lease_s, cancel_deadline_s))
+    outage_durations_s: list[float] = []
 
-    async def gap(cluster: SimulatedCluster) -> None:
+    async def refuse_then_outage(cluster: SimulatedCluster) -> None:
         assert isinstance(cluster, LongTaskCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
         assert node.service is not None and node.service.leader_term is not None
         if seed % 2 == 0:
             node.network_faults["peers"] = (
-                "refused"  # or it hears of the cancels, or of its successor if one has time to come
+                "refused"  # otherwise its peers report the cancels, or a successor if one is elected in time
             )
-        # Answers that are under way as the service begins to refuse come late.
+        # Answers in flight when the store begins to refuse arrive late.
         cluster.max_store_delay_s = draw.choice([0.0, 1.0, 2.9, 2.9])
         await asyncio.sleep(3)
         cluster.state.refused_controllers.add(node.name)
-        begun = virtual_now()
-        held = sorted({task.job_id for _, task in cluster.active_tasks()})
-        reign = node.service.leader_term
-        for job_id in held[::2]:
+        started_at = virtual_now()
+        running_jobs = sorted({task.job_id for _, task in cluster.active_tasks()})
+        leader_term = node.service.leader_term
+        for job_id in running_jobs[::2]:
             cluster.spawn(cluster.cancel_via_others(job_id, node.name))
-        await asyncio.sleep(alone)
-        if reign is not None:
-            known = reign.cluster_state.jobs
+        await asyncio.sleep(refused_alone_s)
+        if leader_term is not None:
+            jobs = leader_term.cluster_state.jobs
             cluster.unheard_cancellations = sum(
-                1 for j in held[::2] if j in cluster.cancelled_at and j in known and not known[j].final_state
+                1 for j in running_jobs[::2] if j in cluster.cancelled_at and j in jobs and not jobs[j].final_state
             )
         cluster.max_store_delay_s = 0.0
         cluster.state.is_down = True
-        await asyncio.sleep(cancel * 1.5)
+        await asyncio.sleep(cancel_deadline_s * 1.5)
         cluster.state.end_outage()
         cluster.state.refused_controllers.clear()
         node.network_faults.clear()
-        spans.append(virtual_now() - begun)
+        outage_durations_s.append(virtual_now() - started_at)
 
-    cluster.schedule_action(gap)
-    return cluster, spans
+    cluster.schedule_action(refuse_then_outage)
+    return cluster, outage_durations_s
 
 
-GAPS = range(7700, 7712)
+OUTAGE_SEEDS = range(7700, 7712)
 
 
-def test_tasks_of_jobs_cancelled_in_the_gap_are_gone_in_time() -> None:
-    """Bound: the last answer goes out less than the hold-over after a read that was sent before the cancel, and the
-    worker's lease runs from a report that was sent before that answer: two seconds are left of `cancel_s`."""
-    unheard = 0
-    for seed in GAPS:
-        cluster, spans = gap_world(seed)
+def test_tasks_cancelled_between_refusal_and_outage_stop_in_time() -> None:
+    """The last answer leaves within the stale-cancellation window of a read that was sent before the cancel, and the
+    worker's lease runs from a heartbeat sent before that answer: two seconds are left of `cancel_s`."""
+    unread_cancellations = 0
+    for seed in OUTAGE_SEEDS:
+        cluster, outage_durations_s = refusal_then_outage_cluster(seed)
         check(cluster.run(length_s=80, job_count=14))
-        assert spans and spans[0] > cluster.cancel_deadline_s, "no outage longer than cancel_s"
-        unheard += cluster.unheard_cancellations
-        for job_id, last in cluster.last_seen_running.items():
-            taken = last - cluster.cancelled_at[job_id]
-            assert taken <= cluster.cancel_deadline_s - 2.0 + 0.1, (
-                f"seed {seed}: {job_id} was there {taken:.2f} s after its cancel"
+        assert outage_durations_s and outage_durations_s[0] > cluster.cancel_deadline_s, (
+            "no outage longer than cancel_s"
+        )
+        unread_cancellations += cluster.unheard_cancellations
+        for job_id, last_running_at in cluster.last_seen_running.items():
+            running_after_cancel_s = last_running_at - cluster.cancelled_at[job_id]
+            assert running_after_cancel_s <= cluster.cancel_deadline_s - 2.0 + 0.1, (
+                f"seed {seed}: {job_id} was running {running_after_cancel_s:.2f} s after its cancel"
             )
-    assert unheard >= 5, "no leader was left without the news"
+    assert unread_cancellations >= 5, "every leader read the cancels in time"
 
 
-def holdover_longer(patch: Patch) -> None:
-    """One lease too long."""
-    plain = board_module.stale_cancellation_window
+def extend_stale_cancellation_window(patch: Patch) -> None:
+    """The stale-cancellation window is one worker lease too long."""
+    original = cluster_state_module.stale_cancellation_window
     patch.setattr(
-        board_module,
+        cluster_state_module,
         "stale_cancellation_window",
-        lambda settings: plain(settings) + settings.params.workers.lease_duration,
+        lambda settings: original(settings) + settings.params.workers.lease_duration,
     )
 
 
-def news_at_the_answer(patch: Patch) -> None:
-    """News counts from when the answer came, and not from when the question went out."""
-    plain = KeyValueStoreClient.watch
-    answered: WeakKeyDictionary[KeyValueStoreClient, datetime] = WeakKeyDictionary()
-    states: WeakKeyDictionary[AnswerAuthority, KeyValueStoreClient] = WeakKeyDictionary()
+def date_reads_by_their_answer(patch: Patch) -> None:
+    """A read of cancellations is dated by the arrival of its answer instead of by its sending."""
+    original = KeyValueStoreClient.watch
+    answered_at_by_store: WeakKeyDictionary[KeyValueStoreClient, datetime] = WeakKeyDictionary()
+    store_by_authority: WeakKeyDictionary[AnswerAuthority, KeyValueStoreClient] = WeakKeyDictionary()
 
-    async def watch(self: KeyValueStoreClient, prefix: str, *args: Any, **more: Any) -> Any:
-        found = await plain(self, prefix, *args, **more)
-        if prefix == LIVE_JOB_PREFIX and found is not None:
-            answered[self] = monotonic_now()
-        return found
+    async def watch(self: KeyValueStoreClient, prefix: str, *args: Any, **options: Any) -> Any:
+        answer = await original(self, prefix, *args, **options)
+        if prefix == LIVE_JOB_PREFIX and answer is not None:
+            answered_at_by_store[self] = monotonic_now()
+        return answer
 
     def may_answer(self: AnswerAuthority, at: datetime) -> bool:
-        came = answered.get(states[self], self.cancellations_read_at)
+        answered_at = answered_at_by_store.get(store_by_authority[self], self.cancellations_read_at)
         return (
-            at - max(self.cancellations_read_at, came) < self.cluster_state.stale_cancellation_window
+            at - max(self.cancellations_read_at, answered_at) < self.cluster_state.stale_cancellation_window
             and not self.leader_lease.ended.is_set()
         )
 
-    def begun(self: LeaderTerm, *args: Any, **more: Any) -> None:
-        init(self, *args, **more)
-        states[self.worker_handlers.authority] = self.kv_store
+    def start_term(self: LeaderTerm, *args: Any, **options: Any) -> None:
+        original_init(self, *args, **options)
+        store_by_authority[self.worker_handlers.authority] = self.kv_store
 
-    init = LeaderTerm.__init__
-    patch.setattr(LeaderTerm, "__init__", begun)
+    original_init = LeaderTerm.__init__
+    patch.setattr(LeaderTerm, "__init__", start_term)
     patch.setattr(KeyValueStoreClient, "watch", watch)
     patch.setattr(AnswerAuthority, "may_answer", may_answer)
 
 
-@pytest.mark.parametrize("broken", [holdover_longer, news_at_the_answer], ids=lambda b: b.__name__)
-def test_a_gap_catches_a_leader_that_answers_too_long(broken: Callable[[Patch], None], monkeypatch: Patch) -> None:
+@pytest.mark.parametrize(
+    "broken", [extend_stale_cancellation_window, date_reads_by_their_answer], ids=lambda b: b.__name__
+)
+def test_catches_leader_that_answers_too_long(broken: Callable[[Patch], None], monkeypatch: Patch) -> None:
     broken(monkeypatch)
-    assert is_caught(lambda seed: gap_world(seed)[0], range(7736, 7760), "late")
+    assert is_caught(lambda seed: refusal_then_outage_cluster(seed)[0], range(7736, 7760), "late")
 
 
-def test_nothing_starts_on_a_lease_that_an_outage_left_before_the_first_news(monkeypatch: Patch) -> None:
-    """The lease is renewed as the outage ends; jobs that others had ended before it must not start."""
+def test_no_task_starts_on_renewed_lease_before_cancellations_are_read(monkeypatch: Patch) -> None:
+    """The lease is renewed as the outage ends; jobs cancelled through other controllers before it must not start."""
 
-    def play() -> tuple[list[str], bool]:
+    def run_outage() -> tuple[list[str], bool]:
         cluster = LongTaskCluster(7720, params_override=worker_params(6.0, 24.0))
         cluster.max_tasks = 3
         started: list[str] = []
         renewed: list[bool] = []
-        plain = cluster.on_run
+        original_on_run = cluster.on_run
 
         def on_run(worker: SimulatedWorker, key: tuple[str, int]) -> None:
-            plain(worker, key)
+            original_on_run(worker, key)
             if key[0] in cluster.cancelled_at:
                 started.append(f"{key[0]}/{key[1]}")
 
         cluster.on_run = on_run  # type: ignore[method-assign]
 
-        async def scene(cluster: SimulatedCluster) -> None:
+        async def outage_and_renewal(cluster: SimulatedCluster) -> None:
             assert isinstance(cluster, LongTaskCluster)
             await asyncio.sleep(28.6)
             node = cluster.current_leader()
             assert node.service is not None and node.service.leader_term is not None
-            reign = node.service.leader_term
-            handle, hold = cluster.state.handle, [False]
+            leader_term = node.service.leader_term
+            handle, is_live_watch_delayed = cluster.state.handle, [False]
 
-            async def slow(name: str, method: str, path: str, body: object) -> Reply:
+            async def delay_live_watch(name: str, method: str, path: str, body: object) -> Reply:
                 answer = await handle(name, method, path, body)
-                if hold[0] and path.startswith("/watch?prefix=live"):
+                if is_live_watch_delayed[0] and path.startswith("/watch?prefix=live"):
                     await asyncio.sleep(1.5)
                 return answer
 
-            cluster.state.handle = slow  # type: ignore[method-assign, assignment]
-            node.network_faults["peers"] = "refused"  # or they would tell of the cancels
-            # What is placed now is recorded, and cannot be sent: the machines' reports do not come.
+            cluster.state.handle = delay_live_watch  # type: ignore[method-assign, assignment]
+            node.network_faults["peers"] = "refused"  # otherwise its peers report the cancels
+            # Placements made now are recorded, and cannot be sent: no heartbeats arrive.
             node.network_faults["workers"] = "refused"
-            before = set(cluster.jobs)
+            earlier_jobs = set(cluster.jobs)
             for _ in range(6):
                 cluster.spawn(cluster.run_user())
             await asyncio.sleep(0.7)
             cluster.state.refused_controllers.add(node.name)
-            ready = {p.run.spec.id for m in reign.cluster_state.machines.values() for p in m.placements.values()}
-            for job_id in sorted(ready - before):
+            placed_jobs = {
+                placement.run.spec.id
+                for machine in leader_term.cluster_state.machines.values()
+                for placement in machine.placements.values()
+            }
+            for job_id in sorted(placed_jobs - earlier_jobs):
                 cluster.spawn(cluster.cancel_via_others(job_id, node.name))
             await asyncio.sleep(0.8)
             cluster.state.is_down = True
             await asyncio.sleep(1.6)
             del node.network_faults["workers"]
             await asyncio.sleep(2.6)
-            hold[0] = True  # the watch is answered later than the renewal
+            is_live_watch_delayed[0] = True  # the watch is answered later than the renewal
             cluster.state.end_outage()
             cluster.state.refused_controllers.clear()
             await asyncio.sleep(1.2)
-            renewed.append(reign.leader_lease.is_valid())
+            renewed.append(leader_term.leader_lease.is_valid())
 
-        cluster.schedule_action(scene)
+        cluster.schedule_action(outage_and_renewal)
         check(cluster.run(length_s=50, job_count=2))
         return started, bool(renewed and renewed[0])
 
-    started, renewed = play()
+    started, renewed = run_outage()
     assert renewed and started == []
     monkeypatch.setattr(AnswerAuthority, "may_start_tasks", lambda self, at: self.leader_lease.is_valid())
-    started, _ = play()
-    assert started, "the variant without news was not caught"
+    started, _ = run_outage()
+    assert started, "the variant that starts tasks without a read was not caught"
 
 
-# -- cut from state service and controllers, with workers and users -------------------------------
+# -- a leader partitioned from store and peers, but not from workers and users --------------------
 
 
-def cut_world(seed: int) -> LongTaskCluster:
-    """The leader is left with its workers and users alone; jobs are cancelled through its successor."""
+def partitioned_leader_cluster(seed: int) -> LongTaskCluster:
+    """The leader reaches only its workers and users; jobs are cancelled through its successor."""
     cluster = LongTaskCluster(seed)
 
-    async def lose(cluster: SimulatedCluster) -> None:
+    async def partition_leader(cluster: SimulatedCluster) -> None:
         assert isinstance(cluster, LongTaskCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
         assert node.service is not None and node.service.leader_term is not None
-        old = node.service.leader_term
+        old_term = node.service.leader_term
         cluster.spawn(cluster.lose_network(node, ["state", "peers"], 35.0))
         while not any(
             n is not node and n.service and n.service.leader_term and n.service.leader_term.is_ready
@@ -223,81 +234,83 @@
             await asyncio.sleep(0.02)
         for job_id in sorted({task.job_id for _, task in cluster.active_tasks()}):
             await cluster.cancel_via_others(job_id, node.name)
-            known = old.cluster_state.jobs.get(job_id)
+            run = old_term.cluster_state.jobs.get(job_id)
             cluster.unheard_cancellations += (
-                old.leader_lease.end_reason == "" and known is not None and not known.final_state
+                old_term.leader_lease.end_reason == "" and run is not None and not run.final_state
             )
 
-    cluster.schedule_action(lose)
+    cluster.schedule_action(partition_leader)
     return cluster
 
 
-def test_cancels_through_the_new_leader_reach_tasks_that_the_old_one_keeps() -> None:
-    unheard = 0
+def test_cancel_via_new_leader_stops_tasks_of_partitioned_leader() -> None:
+    unread_cancellations = 0
     for seed in range(7730, 7738):
-        cluster = cut_world(seed)
+        cluster = partitioned_leader_cluster(seed)
         check(cluster.run(length_s=70, job_count=14))
-        unheard += cluster.unheard_cancellations
-        for job_id, last in cluster.last_seen_running.items():
-            assert last - cluster.cancelled_at[job_id] <= cluster.cancel_deadline_s - 1.9, f"seed {seed}: {job_id}"
-    assert unheard >= 10, "the old leader was gone before any cancel"
+        unread_cancellations += cluster.unheard_cancellations
+        for job_id, last_running_at in cluster.last_seen_running.items():
+            assert last_running_at - cluster.cancelled_at[job_id] <= cluster.cancel_deadline_s - 1.9, (
+                f"seed {seed}: {job_id}"
+            )
+    assert unread_cancellations >= 10, "the old leader's term had ended before every cancel"
 
 
-def nobody_ends_a_term(patch: Patch) -> None:
+def never_end_leader_term(patch: Patch) -> None:
     patch.setattr(AnswerAuthority, "may_answer", lambda self, at: True)
     patch.setattr(LeaderLease, "end", lambda self, reason: None)
-    patch.setattr(LeaderSearch, "should_redirect", lambda self, *told: False)
+    patch.setattr(LeaderSearch, "should_redirect", lambda self, *args: False)
 
 
-def test_a_cut_leader_that_goes_on_is_caught(monkeypatch: Patch) -> None:
-    nobody_ends_a_term(monkeypatch)
-    assert is_caught(cut_world, range(7730, 7745), "ran_cancelled", 70)
+def test_catches_partitioned_leader_that_keeps_answering(monkeypatch: Patch) -> None:
+    never_end_leader_term(monkeypatch)
+    assert is_caught(partitioned_leader_cluster, range(7730, 7745), "ran_cancelled", 70)
 
 
-class Apart(LongTaskCluster):
-    """Workers of other zones do not reach one node."""
+class ZonePartitionCluster(LongTaskCluster):
+    """Workers of other zones cannot reach one controller."""
 
-    apart = ""
+    isolated_controller = ""
 
     async def deliver_heartbeat(
         self, worker: SimulatedWorker, controller_index: int, body: dict[str, Any]
     ) -> Response | None:
         controller = self.nodes[controller_index]
-        if controller.name == self.apart and worker.machine.zone != controller.zone:
+        if controller.name == self.isolated_controller and worker.machine.zone != controller.zone:
             await asyncio.sleep(4.0)
             return None
         return await super().deliver_heartbeat(worker, controller_index, body)
 
 
-def renewals_refused(seed: int) -> LongTaskCluster:
-    """Nothing can be written or renewed, in a zone that is cut: the leader goes on to read, and to be reported to."""
-    cluster = Apart(seed, controller_count=2, scale=3)
+def refused_renewals_cluster(seed: int) -> LongTaskCluster:
+    """In a partitioned zone the store refuses the leader's writes and renewals; reads and heartbeats still succeed."""
+    cluster = ZonePartitionCluster(seed, controller_count=2, scale=3)
 
-    async def refuse(cluster: SimulatedCluster) -> None:
-        assert isinstance(cluster, Apart)
+    async def refuse_writes(cluster: SimulatedCluster) -> None:
+        assert isinstance(cluster, ZonePartitionCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
-        plain = cluster.state.handle
+        original_handle = cluster.state.handle
 
         async def handle(name: str, method: str, path: str, body: object) -> Reply:
             if name == node.name and method != "GET":
                 return Reply(429, b"{}")
-            return await plain(name, method, path, body)
+            return await original_handle(name, method, path, body)
 
         cluster.state.handle = handle  # type: ignore[method-assign, assignment]
         node.network_faults["peers"] = "refused"
         cluster.partitioned_zones.add(node.zone)
-        cluster.apart = node.name
-        begun = virtual_now()
-        while node.service is not None and node.service.leader_term is not None and virtual_now() < begun + 45:
+        cluster.isolated_controller = node.name
+        refused_since = virtual_now()
+        while node.service is not None and node.service.leader_term is not None and virtual_now() < refused_since + 45:
             await asyncio.sleep(0.1)
         cluster.unheard_cancellations = sum(node.zone == worker.machine.zone for worker in cluster.workers.values())
 
-    cluster.schedule_action(refuse)
+    cluster.schedule_action(refuse_writes)
     return cluster
 
 
-def rights_by_news_alone(patch: Patch) -> None:
+def answer_while_reads_are_fresh(patch: Patch) -> None:
     patch.setattr(
         AnswerAuthority,
         "may_answer",
@@ -309,157 +322,170 @@
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_leader_that_reads_and_cannot_renew_keeps_no_task_beyond_what_its_successor_counts_on(
-    broken: bool, monkeypatch: Patch
-) -> None:
-    # Giving silent machines back would prove their tasks gone.
-    monkeypatch.setattr("roseweir.cloud.controller.plan_scale_in", lambda board, left, at, kept: [])
-    # As if nobody that it sends to look for another leader found one: what is shown is the bound alone.
+def test_leader_that_cannot_renew_its_lease_keeps_no_task_too_long(broken: bool, monkeypatch: Patch) -> None:
+    # Returning silent machines to the cloud would prove that their tasks have stopped.
+    monkeypatch.setattr("roseweir.cloud.controller.plan_scale_in", lambda cluster_state, left, at, kept: [])
+    # As if no redirected worker found another leader, so that only the time bound ends the tasks.
     monkeypatch.setattr(LeaderSearch, "has_found_leader", lambda self, at: False)
     if broken:
-        rights_by_news_alone(monkeypatch)
-    days = [renewals_refused(seed).run(length_s=85, job_count=14) for seed in range(7740, 7744)]
+        answer_while_reads_are_fresh(monkeypatch)
+    clusters = [refused_renewals_cluster(seed).run(length_s=85, job_count=14) for seed in range(7740, 7744)]
     if broken:
-        assert any("ran_twice" in str(error) for day in days for error in day.rule_violations)
+        assert any("ran_twice" in str(error) for cluster in clusters for error in cluster.rule_violations)
         return
-    for day in days:
-        check(day)
-    assert all(day.unheard_cancellations for day in days if isinstance(day, LongTaskCluster))
+    for cluster in clusters:
+        check(cluster)
+    assert all(cluster.unheard_cancellations for cluster in clusters if isinstance(cluster, LongTaskCluster))
 
 
-# -- the word of the other controllers ---------------------------------------------------------------
+# -- acknowledged cancellations of the other controllers ---------------------------------------------
 
 
-def out_for_all(seed: int, what: str) -> tuple[LongTaskCluster, dict[str, Any]]:
-    """The state service is down for two minutes; before, the leader may be refused alone while jobs are cancelled."""
+def full_outage_cluster(seed: int, scenario: str) -> tuple[LongTaskCluster, dict[str, Any]]:
+    """The store refuses the leader alone while jobs may be cancelled via its peers, then is down for 45 s."""
     cluster = LongTaskCluster(seed, restart_delay_range_s=(0.1, 0.1))
-    seen: dict[str, Any] = {}
+    observed: dict[str, Any] = {}
 
-    async def act(cluster: SimulatedCluster) -> None:
+    async def run_outage(cluster: SimulatedCluster) -> None:
         assert isinstance(cluster, LongTaskCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
-        others = [n for n in cluster.nodes if n is not node]
-        held = sorted({task.job_id for _, task in cluster.active_tasks()})
-        seen["sessions"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
+        peers = [n for n in cluster.nodes if n is not node]
+        running_jobs = sorted({task.job_id for _, task in cluster.active_tasks()})
+        observed["before"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
         cluster.state.refused_controllers.add(node.name)
         await asyncio.sleep(0.8)
-        for job_id in held[::2] if what != "nobody" else ():
+        for job_id in running_jobs[::2] if scenario != "no cancels" else ():
             await cluster.cancel_via_others(job_id, node.name)
-        seen["cancelled"] = len(cluster.cancelled_at)
+        observed["cancelled"] = len(cluster.cancelled_at)
         await asyncio.sleep(0.2)
         cluster.state.is_down = True
-        if what == "restarted":
-            for each in others:
-                cluster.spawn(cluster.restart_controller(each))
-        elif what == "cut":
-            others[0].network_faults["peers"] = "silent"
-        elif what == "frozen":
-            others[0].pause_gate.pause()
+        if scenario == "restarted":
+            for peer in peers:
+                cluster.spawn(cluster.restart_controller(peer))
+        elif scenario == "partitioned":
+            peers[0].network_faults["peers"] = "silent"
+        elif scenario == "paused":
+            peers[0].pause_gate.pause()
         await asyncio.sleep(45)
-        seen["after"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
-        seen["there"] = sorted({task.job_id for _, task in cluster.active_tasks()} & set(cluster.cancelled_at))
-        for each in others:
-            each.network_faults.clear()
-            each.pause_gate.resume()
+        observed["after"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
+        observed["still_running"] = sorted(
+            {task.job_id for _, task in cluster.active_tasks()} & set(cluster.cancelled_at)
+        )
+        for peer in peers:
+            peer.network_faults.clear()
+            peer.pause_gate.resume()
         cluster.state.end_outage()
         cluster.state.refused_controllers.clear()
 
-    cluster.schedule_action(act)
+    cluster.schedule_action(run_outage)
     cluster.task_duration_s = 200.0
-    return cluster, seen
+    return cluster, observed
 
 
-@pytest.mark.parametrize("what", ["nobody", "cancels"])
-def test_in_an_outage_of_all_the_word_of_all_controllers_keeps_every_lease_and_stops_what_was_cancelled(
-    what: str,
+@pytest.mark.parametrize("scenario", ["no cancels", "cancels"])
+def test_acknowledged_cancellations_of_all_peers_keep_leases_in_outage(
+    scenario: str,
 ) -> None:
     for seed in range(7850, 7853):
-        cluster, seen = out_for_all(seed, what)
+        cluster, observed = full_outage_cluster(seed, scenario)
         check(cluster.run(length_s=85, job_count=10))
-        assert seen["after"] == seen["sessions"] and not seen["there"], "leases ran out"
-        assert (seen["cancelled"] > 0) == (what == "cancels")
-        for job_id, last in cluster.last_seen_running.items():
-            assert last - cluster.cancelled_at[job_id] < 7.0, "it had to wait for its lease"
+        assert observed["after"] == observed["before"] and not observed["still_running"], "worker leases expired"
+        assert (observed["cancelled"] > 0) == (scenario == "cancels")
+        for job_id, last_running_at in cluster.last_seen_running.items():
+            assert last_running_at - cluster.cancelled_at[job_id] < 7.0, "its tasks ran until their lease expired"
 
 
-@pytest.mark.parametrize("what", ["restarted", "cut", "frozen"])
-def test_a_controller_that_began_anew_is_cut_off_or_stands_still_gives_no_word(what: str) -> None:
+@pytest.mark.parametrize("scenario", ["restarted", "partitioned", "paused"])
+def test_restarted_unreachable_or_paused_peer_confirms_nothing(scenario: str) -> None:
     for seed in range(7850, 7853):
-        cluster, seen = out_for_all(seed, what)
+        cluster, observed = full_outage_cluster(seed, scenario)
         check(cluster.run(length_s=85, job_count=10))
-        assert seen["cancelled"] > 0 and not seen["there"]
-        assert all(seen["after"].get(name, 0) != session for name, session in seen["sessions"].items())
+        assert observed["cancelled"] > 0 and not observed["still_running"]
+        assert all(observed["after"].get(name, 0) != incarnation for name, incarnation in observed["before"].items())
 
 
-def what_an_earlier_process_told_is_forgotten(patch: Patch) -> None:
+def answer_for_earlier_process(patch: Patch) -> None:
+    """A restarted controller answers for a span in which an earlier process may have acknowledged cancellations."""
     from roseweir.submissions.terminal_state_cache import TerminalStateCache
 
     patch.setattr(
         TerminalStateCache,
         "acknowledged_since",
-        lambda self, span: [job for at, job in self._acknowledged_cancellations if at >= monotonic_now() - span],
+        lambda self, span: [
+            job_id
+            for acknowledged_at, job_id in self._acknowledged_cancellations
+            if acknowledged_at >= monotonic_now() - span
+        ],
     )
 
 
-def most_are_enough(patch: Patch) -> None:
-    """The word of those that answer counts for all."""
+def accept_partial_peer_answers(patch: Patch) -> None:
+    """Counts the answers of the reachable peers as the answer of all."""
     from roseweir.membership.messages import AcknowledgedCancellations
     from roseweir.membership.peers import PeerClients
 
-    plain = PeerClients.fetch_acknowledged_cancellations
+    original_fetch = PeerClients.fetch_acknowledged_cancellations
 
-    async def some(self: PeerClients, span: Any) -> AcknowledgedCancellations | None:
-        peers, found = self._transports, AcknowledgedCancellations(0, [])
+    async def fetch_from_reachable(self: PeerClients, span: Any) -> AcknowledgedCancellations | None:
+        peers, merged = self._transports, AcknowledgedCancellations(0, [])
         for name, peer in peers.items():
             self._transports = {name: peer}
-            told = await plain(self, span)
-            if told is not None:
-                found = AcknowledgedCancellations(
-                    max(found.term, told.term), (found.job_ids or []) + (told.job_ids or [])
+            answer = await original_fetch(self, span)
+            if answer is not None:
+                merged = AcknowledgedCancellations(
+                    max(merged.term, answer.term), (merged.job_ids or []) + (answer.job_ids or [])
                 )
         self._transports = peers
-        return found
+        return merged
 
-    patch.setattr(PeerClients, "fetch_acknowledged_cancellations", some)
+    patch.setattr(PeerClients, "fetch_acknowledged_cancellations", fetch_from_reachable)
 
 
 @pytest.mark.parametrize(
-    ("broken", "what"),
-    [(what_an_earlier_process_told_is_forgotten, "restarted"), (most_are_enough, "cut"), (most_are_enough, "frozen")],
+    ("broken", "scenario"),
+    [
+        (answer_for_earlier_process, "restarted"),
+        (accept_partial_peer_answers, "partitioned"),
+        (accept_partial_peer_answers, "paused"),
+    ],
 )
-def test_a_word_that_proves_nothing_is_caught(broken: Callable[[Patch], None], what: str, monkeypatch: Patch) -> None:
+def test_catches_peer_answers_that_prove_nothing(
+    broken: Callable[[Patch], None], scenario: str, monkeypatch: Patch
+) -> None:
     broken(monkeypatch)
-    assert is_caught(lambda seed: out_for_all(seed, what)[0], range(7850, 7860), "ran_cancelled", 85, 10)
+    assert is_caught(lambda seed: full_outage_cluster(seed, scenario)[0], range(7850, 7860), "ran_cancelled", 85, 10)
 
 
-def slow_for_all(seed: int) -> tuple[LongTaskCluster, list[dict[str, int]]]:
-    """Every answer of the state service takes longer than a renewal is waited for; all that is asked is carried out."""
+def slow_store_cluster(seed: int) -> tuple[LongTaskCluster, list[dict[str, int]]]:
+    """The store commits every request, but each answer takes longer than the leader waits for a renewal."""
     cluster = LongTaskCluster(seed)
-    sessions: list[dict[str, int]] = []
+    incarnations: list[dict[str, int]] = []
 
-    async def act(cluster: SimulatedCluster) -> None:
+    async def slow_down_store(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(24)
-        plain = cluster.state.handle
+        original_handle = cluster.state.handle
 
         async def handle(name: str, method: str, path: str, body: object) -> Reply:
-            answer = await plain(name, method, path, body)
+            answer = await original_handle(name, method, path, body)
             await asyncio.sleep(1.5)
             return answer
 
-        sessions.append({name: worker.incarnation for name, worker in cluster.workers.items()})
+        incarnations.append({name: worker.incarnation for name, worker in cluster.workers.items()})
         cluster.state.handle = handle  # type: ignore[method-assign, assignment]
         await asyncio.sleep(40)
-        cluster.state.handle = plain  # type: ignore[method-assign]
-        sessions.append({name: worker.incarnation for name, worker in cluster.workers.items()})
+        cluster.state.handle = original_handle  # type: ignore[method-assign]
+        incarnations.append({name: worker.incarnation for name, worker in cluster.workers.items()})
 
-    cluster.schedule_action(act)
-    return cluster, sessions
+    cluster.schedule_action(slow_down_store)
+    return cluster, incarnations
 
 
-def test_a_leader_whose_renewals_are_answered_too_late_goes_by_the_word_of_the_others() -> None:
+def test_leader_with_late_renewal_answers_relies_on_its_peers() -> None:
     for seed in range(7870, 7873):
-        cluster, sessions = slow_for_all(seed)
+        cluster, incarnations = slow_store_cluster(seed)
         check(cluster.run(length_s=90, job_count=10))
-        before, after = sessions
-        assert before and all(after.get(name) == session for name, session in before.items()), "leases ran out"
+        before, after = incarnations
+        assert before and all(after.get(name) == incarnation for name, incarnation in before.items()), (
+            "worker leases expired"
+        )
