--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the state service that fall without notice: announced in the settings or not."""
+"""Limits of the key-value store that fall at an unknown time, announced in the settings or not."""
 
 import asyncio
 from pathlib import Path
@@ -28,7 +28,7 @@
 from roseweir.scheduler.recovery import referenced_types_and_jobs
 from roseweir.settings import KeyValueStoreSettings, load_settings
 from roseweir.workflows.model import Workflow, WorkflowStep
-from roseweir.workflows.store import WorkflowStore as ChainStore
+from roseweir.workflows.store import WorkflowStore
 from tests.simulation import virtual_time
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.job_specs import make_job_spec as job
@@ -37,13 +37,13 @@
 from tests.test_simulated_days import check
 
 MS = 1_700_000_000_000
-WIDE: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
+STORE_LIMITS: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
 
 # -- settings ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("following", "lower"),
+    ("announced", "expected"),
     [
         (None, (120.0, 30.0, 8.0, 24)),
         ({}, (120.0, 30.0, 8.0, 24)),
@@ -51,22 +51,26 @@
         ({"rps": 300.0, "write_rps": 21.0, "value_kb": 2, "txn_ops": 32}, (120.0, 21.0, 2.0, 24)),
     ],
 )
-def test_lower_of_the_limits_now_and_to_come_holds(tmp_path: Path, following: object, lower: tuple[float, ...]) -> None:
-    state = load_settings(changed(tmp_path, "params", "state", value=WIDE | {"next": following})).params.kv_store
-    assert (state.max_requests_per_s, state.max_writes_per_s, state.max_value_kib, state.max_txn_ops) == lower
-
-
-def test_settings_without_limits_to_come_are_as_before() -> None:
-    given = orjson.loads(EXAMPLE.read_bytes())["params"]["state"]
-    state = load_settings(EXAMPLE).params.kv_store
-    assert state.announced_limits is None and (state.max_value_kib, state.max_txn_ops) == (
-        given["value_kb"],
-        given["txn_ops"],
+def test_lower_of_current_and_announced_limits_applies(
+    tmp_path: Path, announced: object, expected: tuple[float, ...]
+) -> None:
+    limits = load_settings(
+        changed(tmp_path, "params", "state", value=STORE_LIMITS | {"next": announced})
+    ).params.kv_store
+    assert (limits.max_requests_per_s, limits.max_writes_per_s, limits.max_value_kib, limits.max_txn_ops) == expected
+
+
+def test_settings_without_announced_limits_keep_current_limits() -> None:
+    configured = orjson.loads(EXAMPLE.read_bytes())["params"]["state"]
+    limits = load_settings(EXAMPLE).params.kv_store
+    assert limits.announced_limits is None and (limits.max_value_kib, limits.max_txn_ops) == (
+        configured["value_kb"],
+        configured["txn_ops"],
     )
 
 
 @pytest.mark.parametrize(
-    ("following", "named"),
+    ("announced", "expected_field"),
     [
         ({"value_kb": 1.9}, "next.value_kb"),
         ({"txn_ops": 3}, "next.txn_ops"),
@@ -76,30 +80,30 @@
         ([], "next"),
     ],
 )
-def test_wrong_limit_to_come_is_named_in_one_line(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], following: object, named: str
+def test_invalid_announced_limit_is_reported_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], announced: object, expected_field: str
 ) -> None:
-    assert main(["check-config", "--config", str(changed(tmp_path, "params", "state", "next", value=following))]) == 2
-    said = capsys.readouterr().err
-    assert named in said and said.count("\n") == 1
+    assert main(["check-config", "--config", str(changed(tmp_path, "params", "state", "next", value=announced))]) == 2
+    error_output = capsys.readouterr().err
+    assert expected_field in error_output and error_output.count("\n") == 1
 
 
-# -- a state service that refuses ----------------------------------------------------------------
+# -- a key-value store that refuses --------------------------------------------------------------
 
 
-class Service:
-    """Refuses what is beyond its limits, in words of its own; a put of a key named `refused` always."""
+class RefusingStore:
+    """A key-value store that refuses transactions beyond its limits, and every put of the key `refused`."""
 
-    def __init__(self, value_bytes: int, txn_ops: int, words: str = "no") -> None:
-        self.value_bytes, self.txn_ops, self.words = value_bytes, txn_ops, words
-        self.busy = 0  # so many transactions get 429
+    def __init__(self, value_bytes: int, txn_ops: int, error_text: str = "no") -> None:
+        self.value_bytes, self.txn_ops, self.error_text = value_bytes, txn_ops, error_text
+        self.busy = 0  # number of requests still to be answered with 429
         self.keys: dict[str, Any] = {}
         self.calls = 0
 
     def connect(self, address: str, pool: int) -> Any:
         return self.send
 
-    async def send(self, method: str, path: str, body: Any = None, **more: object) -> Reply:
+    async def send(self, method: str, path: str, body: Any = None, **options: object) -> Reply:
         self.calls += 1
         if self.busy > 0:
             self.busy -= 1
@@ -109,7 +113,7 @@
         ops = body["then"]
         too_large = any(len(orjson.dumps(op.get("v"))) > self.value_bytes or op["put"] == "refused" for op in ops)
         if len(ops) > self.txn_ops or too_large:
-            return Reply(400, orjson.dumps({"error": self.words}))
+            return Reply(400, orjson.dumps({"error": self.error_text}))
         self.keys |= {op["put"]: op["v"] for op in ops}
         return Reply(200, orjson.dumps({"ledger": self.calls + 1}))
 
@@ -119,113 +123,115 @@
         return Reply(200, orjson.dumps({"path": key, "v": self.keys[key], "stamp": self.calls + 1}))
 
     def client(self) -> KeyValueStoreClient:
-        return KeyValueStoreClient("10.0.0.1:1", msgspec.convert(WIDE, KeyValueStoreSettings), self.connect)
+        return KeyValueStoreClient("10.0.0.1:1", msgspec.convert(STORE_LIMITS, KeyValueStoreSettings), self.connect)
 
 
-@pytest.mark.parametrize("words", ["no", "the value is too large", "too many changes"])
-def test_limits_are_learnt_from_refusals_and_never_fall_below_the_least(words: str) -> None:
-    """Whatever the answer says, writing within what was learnt gets through after few refusals."""
+@pytest.mark.parametrize("error_text", ["no", "the value is too large", "too many changes"])
+def test_limits_are_learned_from_refusals_down_to_the_minimum(error_text: str) -> None:
+    """Whatever the error text, writes within the learned limits succeed after at most five refusals."""
     for seed in range(40):
-        draw = Random(seed)
-        value_bytes, txn_ops = draw.choice([2048, 4096, 8192]), draw.randint(4, 24)
-        limits = TransactionLimits(msgspec.convert(WIDE, KeyValueStoreSettings))
+        rng = Random(seed)
+        value_bytes, txn_ops = rng.choice([2048, 4096, 8192]), rng.randint(4, 24)
+        limits = TransactionLimits(msgspec.convert(STORE_LIMITS, KeyValueStoreSettings))
         refusals = 0
         while True:
-            largest, count = limits.max_value_bytes, limits.max_txn_ops
-            if largest <= value_bytes and count <= txn_ops:
+            value_bytes_sent, op_count = limits.max_value_bytes, limits.max_txn_ops
+            if value_bytes_sent <= value_bytes and op_count <= txn_ops:
                 break
-            assert limits.lower_after_refusal(count, largest, "value" in words)
+            assert limits.lower_after_refusal(op_count, value_bytes_sent, "value" in error_text)
             refusals += 1
         assert refusals <= 5 and limits.max_value_bytes >= MIN_VALUE_BYTES and limits.max_txn_ops >= 4
-        assert not limits.lower_after_refusal(count + 1, 64, False), "sent before: nothing new"
+        assert not limits.lower_after_refusal(op_count + 1, 64, False), (
+            "the refused size already exceeds the learned limit"
+        )
 
 
-async def _commit_all(service: Service, changes: dict[str, int]) -> list[object]:
-    commits = GroupCommitter(service.client(), max_queued=100)
-    run = asyncio.create_task(commits.run())
-    puts = [commits.commit([(key, 0)], [put(key, "x" * size)]) for key, size in changes.items()]
-    results = await asyncio.gather(*puts, return_exceptions=True)
-    run.cancel()
+async def _commit_all(store: RefusingStore, changes: dict[str, int]) -> list[object]:
+    group_committer = GroupCommitter(store.client(), max_queued=100)
+    committer_task = asyncio.create_task(group_committer.run())
+    commit_results = [group_committer.commit([(key, 0)], [put(key, "x" * size)]) for key, size in changes.items()]
+    results = await asyncio.gather(*commit_results, return_exceptions=True)
+    committer_task.cancel()
     return list(results)
 
 
-def test_one_change_too_large_fails_alone() -> None:
-    service = Service(2048, 8)
+def test_oversized_change_fails_alone() -> None:
+    store = RefusingStore(2048, 8)
     sizes = {f"k{n}": 100 for n in range(20)} | {"large": 3000} | {f"l{n}": 2000 for n in range(20)}
-    results = dict(zip(sizes, virtual_time.run_in_virtual_time(_commit_all(service, sizes)), strict=True))
+    results = dict(zip(sizes, virtual_time.run_in_virtual_time(_commit_all(store, sizes)), strict=True))
     assert isinstance(results.pop("large"), ValueTooLarge)
-    assert all(isinstance(result, int) for result in results.values()), "the others are written"
-    assert service.keys.keys() == results.keys()
+    assert all(isinstance(result, int) for result in results.values()), "the other changes are committed"
+    assert store.keys.keys() == results.keys()
 
 
-def test_a_change_refused_for_the_rate_is_tried_again_before_anybody_hears_of_it() -> None:
-    service = Service(2048, 8)
-    service.busy = 3
-    results = virtual_time.run_in_virtual_time(_commit_all(service, {"a": 10, "b": 10}))
+def test_rate_limited_change_is_retried_before_it_fails() -> None:
+    store = RefusingStore(2048, 8)
+    store.busy = 3
+    results = virtual_time.run_in_virtual_time(_commit_all(store, {"a": 10, "b": 10}))
     assert all(isinstance(result, int) for result in results)
-    service.busy = 10**6
+    store.busy = 10**6
     assert all(
-        isinstance(result, RateLimited) for result in virtual_time.run_in_virtual_time(_commit_all(service, {"c": 10}))
+        isinstance(result, RateLimited) for result in virtual_time.run_in_virtual_time(_commit_all(store, {"c": 10}))
     )
 
 
-def test_pace_falls_with_refusals_and_recovers_to_what_was_set() -> None:
-    async def work() -> tuple[float, float, float, float]:
-        pace = AdaptiveRateLimiter(20.0)
-        assert pace.decrease_rate() and not pace.decrease_rate(), "refusals of one moment count once"
-        once = pace.rate
+def test_write_rate_falls_with_refusals_and_recovers_to_its_setting() -> None:
+    async def run() -> tuple[float, float, float, float]:
+        rate_limiter = AdaptiveRateLimiter(20.0)
+        assert rate_limiter.decrease_rate() and not rate_limiter.decrease_rate(), "refusals at the same time count once"
+        rate_after_one_refusal = rate_limiter.rate
         for _ in range(60):
             await asyncio.sleep(1.5)
-            pace.decrease_rate()
-        lowest = pace.rate
+            rate_limiter.decrease_rate()
+        lowest_rate = rate_limiter.rate
         await asyncio.sleep(10)
-        await pace.acquire()
-        later = pace.rate
+        await rate_limiter.acquire()
+        recovering_rate = rate_limiter.rate
         await asyncio.sleep(300)
-        await pace.acquire()
-        return once, lowest, later, pace.rate
+        await rate_limiter.acquire()
+        return rate_after_one_refusal, lowest_rate, recovering_rate, rate_limiter.rate
 
-    once, lowest, later, last = virtual_time.run_in_virtual_time(work())
-    assert once == 16.0 and 2.0 <= lowest < 3.0 < later < last == 20.0
+    rate_after_one_refusal, lowest_rate, recovering_rate, final_rate = virtual_time.run_in_virtual_time(run())
+    assert rate_after_one_refusal == 16.0 and 2.0 <= lowest_rate < 3.0 < recovering_rate < final_rate == 20.0
 
 
-def test_keys_of_one_leader_are_split_and_what_is_refused_holds_up_itself_alone() -> None:
-    async def work(service: Service) -> FencedWriter:
-        keyed = FencedWriter(service.client(), 1, "test")
+def test_fenced_writes_are_split_and_a_refused_key_blocks_only_itself() -> None:
+    async def run(store: RefusingStore) -> FencedWriter:
+        fenced_writer = FencedWriter(store.client(), 1, "test")
         changes: dict[str, Any] = {f"k{n}": {"v": "x" * 1500} for n in range(12)}
         with pytest.raises(ValueTooLarge):
-            await keyed.save(changes | {"refused": {"v": 1}} | {"last": {"v": 2}})
-        assert keyed.changed_values({"refused": {"v": 1}, "last": {"v": 2}}) == {"refused": {"v": 1}}
-        return keyed
+            await fenced_writer.save(changes | {"refused": {"v": 1}} | {"last": {"v": 2}})
+        assert fenced_writer.changed_values({"refused": {"v": 1}, "last": {"v": 2}}) == {"refused": {"v": 1}}
+        return fenced_writer
 
-    service = Service(2048, 8)
-    virtual_time.run_in_virtual_time(work(service))
-    assert service.keys.keys() == {f"k{n}" for n in range(12)} | {"last"}
+    store = RefusingStore(2048, 8)
+    virtual_time.run_in_virtual_time(run(store))
+    assert store.keys.keys() == {f"k{n}" for n in range(12)} | {"last"}
 
 
-# -- the record of places ------------------------------------------------------------------------
+# -- the write-ahead log of placements -----------------------------------------------------------
 
 Tasks = dict[str, set[tuple[str, str, int]]]
 
 
-def tasks_of(stored: dict[int, Any]) -> Tasks:
-    """What a reader takes from these pages: of a machine on several of them, the tasks of all."""
-    found: Tasks = {}
-    for value in stored.values():
-        for name, detail in value["machines"].items():
-            tasks = found.setdefault(name, set())
-            for job_id, attempts in detail["tasks"].items():
+def tasks_of(values_by_segment: dict[int, Any]) -> Tasks:
+    """The tasks that a reader of these segments finds; a machine in several segments has the tasks of all of them."""
+    tasks_by_machine: Tasks = {}
+    for value in values_by_segment.values():
+        for name, entry in value["machines"].items():
+            tasks = tasks_by_machine.setdefault(name, set())
+            for job_id, attempts in entry["tasks"].items():
                 tasks |= {(job_id, attempt, index) for attempt, indices in attempts.items() for index in indices}
-    return found
+    return tasks_by_machine
 
 
-def busy_fleet(draw: Random, machines: int) -> ClusterState:
+def make_busy_fleet(rng: Random, machines: int) -> ClusterState:
     cluster_state = new_board()
     runs = [cluster_state.add_job(job(n, task_count=4000, cpus=0.01, memory_gb=0.01), 1) for n in range(40)]
     for n in range(machines):
         machine = cluster_state.restore_machine(f"i-{n:06d}", CPU, "a", False, NOW)
-        for run in draw.sample(runs, draw.randint(1, 12)):
-            for _ in range(draw.randint(1, 3)):
+        for run in rng.sample(runs, rng.randint(1, 12)):
+            for _ in range(rng.randint(1, 3)):
                 cluster_state.restore_placement(
                     run, run.placed_index_bound, machine, cluster_state.allocate_attempt(), NOW
                 ).is_in_segment = True
@@ -233,84 +239,86 @@
     return cluster_state
 
 
-def stored_by(value_bytes: int, cluster_state: ClusterState) -> dict[int, Any]:
-    pages = SegmentTable(value_bytes)
+def encode_segments(value_bytes: int, cluster_state: ClusterState) -> dict[int, Any]:
+    segments = SegmentTable(value_bytes)
     for name in cluster_state.machines:
-        pages.update_machine(cluster_state, name)
-    return {number: pages.encode_segment(number) for number in pages.entries_by_segment}
+        segments.update_machine(cluster_state, name)
+    return {number: segments.encode_segment(number) for number in segments.entries_by_segment}
 
 
-def loaded(value_bytes: int, stored: dict[int, Any]) -> SegmentTable:
-    pages = SegmentTable(value_bytes)
-    for number, value in stored.items():
-        pages.load_segment(number, value, 1)
-    pages.split_oversized()
-    return pages
+def load_segments(value_bytes: int, values_by_segment: dict[int, Any]) -> SegmentTable:
+    segments = SegmentTable(value_bytes)
+    for number, value in values_by_segment.items():
+        segments.load_segment(number, value, 1)
+    segments.split_oversized()
+    return segments
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_pages_of_a_higher_limit_are_split_and_no_task_is_ever_missing(seed: int) -> None:
-    """Written in any order, with take-overs between: each value fits, and a reader always finds every task."""
-    draw = Random(seed)
-    cluster_state = busy_fleet(draw, 60)
-    stored = stored_by(8192, cluster_state)
-    wanted = tasks_of(stored)
-    assert max(len(orjson.dumps(value)) for value in stored.values()) > 4096
-    pages = loaded(2048, stored)
-    writes = 0
+def test_oversized_segments_are_split_without_losing_a_task(seed: int) -> None:
+    """With segments written in any order and leaders changing in between, values fit and readers find every task."""
+    rng = Random(seed)
+    cluster_state = make_busy_fleet(rng, 60)
+    values_by_segment = encode_segments(8192, cluster_state)
+    expected_tasks = tasks_of(values_by_segment)
+    assert max(len(orjson.dumps(value)) for value in values_by_segment.values()) > 4096
+    segments = load_segments(2048, values_by_segment)
+    write_count = 0
     while True:
-        writable = [number for number in sorted(pages.dirty_segments) if pages.is_writable(number)]
+        writable = [number for number in sorted(segments.dirty_segments) if segments.is_writable(number)]
         if not writable:
             break
-        if draw.random() < 0.05:
-            pages = loaded(2048, stored)
-            for name in pages.superseded_segments:
-                pages.update_machine(cluster_state, name)
+        if rng.random() < 0.05:
+            segments = load_segments(2048, values_by_segment)
+            for name in segments.superseded_segments:
+                segments.update_machine(cluster_state, name)
             continue
-        if draw.random() < 0.3:
-            pages.update_machine(cluster_state, draw.choice(sorted(cluster_state.machines)))
-        number = draw.choice(writable)
-        if not pages.is_writable(number):
+        if rng.random() < 0.3:
+            segments.update_machine(cluster_state, rng.choice(sorted(cluster_state.machines)))
+        number = rng.choice(writable)
+        if not segments.is_writable(number):
             continue
-        stored[number] = pages.encode_segment(number)
-        pages.mark_written(number, 1)
-        writes += 1
-        assert len(orjson.dumps(stored[number])) <= 2048
-        assert tasks_of(stored) == wanted
-        assert writes < 2000
-    assert all(len(orjson.dumps(value)) <= 2048 for value in stored.values())
-    names = [name for value in stored.values() for name in value["machines"]]
+        values_by_segment[number] = segments.encode_segment(number)
+        segments.mark_written(number, 1)
+        write_count += 1
+        assert len(orjson.dumps(values_by_segment[number])) <= 2048
+        assert tasks_of(values_by_segment) == expected_tasks
+        assert write_count < 2000
+    assert all(len(orjson.dumps(value)) <= 2048 for value in values_by_segment.values())
+    names = [name for value in values_by_segment.values() for name in value["machines"]]
     assert len(names) == len(set(names)) == 60
 
 
-def test_machine_that_no_value_holds_keeps_some_tasks_in_notes() -> None:
+def test_machine_too_large_for_a_value_keeps_some_tasks_in_deltas() -> None:
     cluster_state = new_board()
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
         run = cluster_state.add_job(job(n, cpus=0.01, memory_gb=0.01), 1)
         cluster_state.add_placement(run, 0, machine, cluster_state.allocate_attempt(), NOW)
-    pages = SegmentTable(2048)
-
-    def write() -> int:
-        pages.update_machine(cluster_state, "i-1")
-        number = pages.segment_by_machine["i-1"]
-        assert pages.is_writable(number) and len(orjson.dumps(pages.encode_segment(number))) <= 2048
-        held = set(pages.placements_in_entry(machine))
-        assert all(p in held for p in machine.placements.values() if p.is_in_segment), "it is in no note any more"
-        for placement in held:
+    segments = SegmentTable(2048)
+
+    def write_segment() -> int:
+        segments.update_machine(cluster_state, "i-1")
+        number = segments.segment_by_machine["i-1"]
+        assert segments.is_writable(number) and len(orjson.dumps(segments.encode_segment(number))) <= 2048
+        segment_placements = set(segments.placements_in_entry(machine))
+        assert all(p in segment_placements for p in machine.placements.values() if p.is_in_segment), (
+            "no delta holds the placement any more"
+        )
+        for placement in segment_placements:
             placement.is_in_segment = True
-        return len(held)
+        return len(segment_placements)
 
-    assert 20 < write() < 120
+    assert 20 < write_segment() < 120
     while machine.placements:
         for placement in list(machine.placements.values())[:10]:
             cluster_state.remove_placement(placement, NOW)
         if machine.placements:
-            held = write()
-    assert held == 10
+            written_count = write_segment()
+    assert written_count == 10
 
 
-def test_entry_of_a_higher_limit_that_no_value_holds_stays_as_stored_until_it_fits() -> None:
+def test_oversized_machine_entry_stays_as_stored_until_it_fits() -> None:
     cluster_state = new_board()
     machine = cluster_state.restore_machine("i-1", CPU, "a", False, NOW)
     for n in range(120):
@@ -320,156 +328,162 @@
     cluster_state.add_placement(
         cluster_state.add_job(job(900), 1), 0, cluster_state.machines["i-2"], cluster_state.allocate_attempt(), NOW
     )
-    stored = stored_by(8192, cluster_state)
-    pages = loaded(2048, stored)
-    first = pages.segment_by_machine["i-1"]
-    assert not pages.is_writable(first)
+    values_by_segment = encode_segments(8192, cluster_state)
+    segments = load_segments(2048, values_by_segment)
+    segment = segments.segment_by_machine["i-1"]
+    assert not segments.is_writable(segment)
     while len(machine.placements) > 10:
-        before = len(machine.placements)
+        placement_count = len(machine.placements)
         for placement in list(machine.placements.values())[:10]:
             cluster_state.remove_placement(placement, NOW)
-        pages.update_machine(cluster_state, "i-1")
-        assert (len(orjson.dumps(pages.encode_segment(pages.segment_by_machine["i-1"]))) <= 2048) == pages.is_writable(
-            pages.segment_by_machine["i-1"]
-        )
-        assert pages.is_writable(pages.segment_by_machine["i-1"]) or before > 40
-    assert pages.is_writable(pages.segment_by_machine["i-1"])
+        segments.update_machine(cluster_state, "i-1")
+        assert (
+            len(orjson.dumps(segments.encode_segment(segments.segment_by_machine["i-1"]))) <= 2048
+        ) == segments.is_writable(segments.segment_by_machine["i-1"])
+        assert segments.is_writable(segments.segment_by_machine["i-1"]) or placement_count > 40
+    assert segments.is_writable(segments.segment_by_machine["i-1"])
 
 
-class Store:
-    """The recorder's state service: takes what is within its limits, refuses some keys, and can be read again."""
+class LogStore:
+    """The log writer's key-value store: commits transactions within its limits, refuses some keys, and can be read."""
 
     writes_per_s = 15.0
 
-    def __init__(self, value_bytes: int = 2048, txn_ops: int = 8, learns: bool = True) -> None:
-        self.transaction_limits = TransactionLimits(msgspec.convert(WIDE, KeyValueStoreSettings))
-        self.value_bytes, self.txn_ops, self.learns = value_bytes, txn_ops, learns
-        self.refuses: set[str] = set()
+    def __init__(self, value_bytes: int = 2048, txn_ops: int = 8, learns_limits: bool = True) -> None:
+        self.transaction_limits = TransactionLimits(msgspec.convert(STORE_LIMITS, KeyValueStoreSettings))
+        self.value_bytes, self.txn_ops, self.learns_limits = value_bytes, txn_ops, learns_limits
+        self.refused_keys: set[str] = set()
         self.keys: dict[str, Any] = {}
-        self.refused = self.changes = 0
+        self.refusal_count = self.change_count = 0
 
     async def wait_for_write_capacity(self, reserved_share: float = 0.0) -> float:
         return 12.0
 
     async def compare_and_swap(self, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
-        largest = max(len(orjson.dumps(op.get("v"))) for op in ops)
-        if len(ops) > self.txn_ops or largest > self.value_bytes or self.refuses & {op.get("put") for op in ops}:
-            self.refused += 1
+        largest_value_bytes = max(len(orjson.dumps(op.get("v"))) for op in ops)
+        if (
+            len(ops) > self.txn_ops
+            or largest_value_bytes > self.value_bytes
+            or self.refused_keys & {op.get("put") for op in ops}
+        ):
+            self.refusal_count += 1
             raise ValueTooLarge(
-                "no", self.learns and self.transaction_limits.lower_after_refusal(len(ops), largest, False)
+                "no",
+                self.learns_limits
+                and self.transaction_limits.lower_after_refusal(len(ops), largest_value_bytes, False),
             )
-        self.changes += len(ops)
+        self.change_count += len(ops)
         for op in ops:
             self.keys.pop(op.get("delete", ""), None)
             self.keys |= {op["put"]: op["v"]} if "put" in op else {}
-        return self.changes + 1
+        return self.change_count + 1
 
-    def places(self) -> list[Entry]:
+    def log_entries(self) -> list[Entry]:
         return [Entry(key, value, 1) for key, value in self.keys.items() if key.startswith(LOG_PREFIX)]
 
 
-async def record_for(recorder: LogWriter, span: float) -> None:
-    task = asyncio.create_task(recorder.run())
-    recorder.work_available.set()
-    await asyncio.sleep(span)
+async def run_log_writer(log_writer: LogWriter, duration_s: float) -> None:
+    task = asyncio.create_task(log_writer.run())
+    log_writer.work_available.set()
+    await asyncio.sleep(duration_s)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-def start_tasks(cluster_state: ClusterState, machines: int, each: int) -> None:
-    run = cluster_state.add_job(job(500, task_count=machines * each, cpus=0.01, memory_gb=0.01), 1)
-    for n in range(machines * each):
+def start_tasks(cluster_state: ClusterState, machines: int, tasks_per_machine: int) -> None:
+    run = cluster_state.add_job(job(500, task_count=machines * tasks_per_machine, cpus=0.01, memory_gb=0.01), 1)
+    for n in range(machines * tasks_per_machine):
         machine = cluster_state.restore_machine(f"i-{n % machines:06d}", CPU, "a", False, NOW)
         cluster_state.add_placement(run, n, machine, cluster_state.allocate_attempt(), NOW)
 
 
-def is_recorded(cluster_state: ClusterState) -> bool:
+def are_all_starts_committed(cluster_state: ClusterState) -> bool:
     return all(
         p.phase == PlacementPhase.COMMITTED for run in cluster_state.jobs.values() for p in run.placements.values()
     )
 
 
-def test_recorder_learns_a_limit_that_no_setting_announced() -> None:
+def test_log_writer_learns_a_limit_that_is_not_announced() -> None:
     cluster_state = new_board()
     start_tasks(cluster_state, 100, 12)
-    store = Store()
+    store = LogStore()
     virtual_time.run_in_virtual_time(
-        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+        run_log_writer(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
     )
-    assert is_recorded(cluster_state) and 0 < store.refused <= 6
+    assert are_all_starts_committed(cluster_state) and 0 < store.refusal_count <= 6
     assert all(len(orjson.dumps(value)) <= 2048 for value in store.keys.values())
 
 
-def test_checks_catch_refusals_that_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As before: the same was written again and again, and nothing else got through."""
+def test_catches_ignored_refusals(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A writer that ignores refusals repeats the refused batch for ever and commits nothing else."""
     monkeypatch.setattr(TransactionLimits, "lower_after_refusal", lambda *args: False)
     monkeypatch.setattr(LogWriter, "_handle_refused_batch", lambda *args: None)
     cluster_state = new_board()
     start_tasks(cluster_state, 100, 12)
-    store = Store()
+    store = LogStore()
     virtual_time.run_in_virtual_time(
-        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+        run_log_writer(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
     )
-    assert not is_recorded(cluster_state) and store.refused > 20
+    assert not are_all_starts_committed(cluster_state) and store.refusal_count > 20
 
 
-def test_recorder_that_learns_nothing_finds_what_is_refused_and_goes_on_with_the_rest() -> None:
+def test_log_writer_isolates_refused_keys_and_commits_the_rest() -> None:
     cluster_state = new_board()
     start_tasks(cluster_state, 100, 12)
-    store = Store(learns=False)
+    store = LogStore(learns_limits=False)
     store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
-    store.refuses = {"places/0003", "places/note-1"}
+    store.refused_keys = {"places/0003", "places/note-1"}
     virtual_time.run_in_virtual_time(
-        record_for(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
+        run_log_writer(LogWriter(cast(KeyValueStoreClient, store), cluster_state, 1, Notifier()), 60.0)
     )
-    assert is_recorded(cluster_state) and 0 < store.refused < 60
+    assert are_all_starts_committed(cluster_state) and 0 < store.refusal_count < 60
     assert "places/0002" in store.keys and "places/note-2" in store.keys
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_record_of_a_higher_limit_drains_in_the_background(seed: int) -> None:
-    """Pages and notes of 8 KiB: under 2 KiB no start is missing at any time, and in the end every value fits."""
-    draw = Random(seed)
-    wide = Store(8192, 24)
-    cluster_state = busy_fleet(draw, 60)
+def test_oversized_log_shrinks_in_the_background(seed: int) -> None:
+    """With segments and deltas of 8 KiB under a limit of 2 KiB, no start is lost, and in the end every value fits."""
+    rng = Random(seed)
+    wide_store = LogStore(8192, 24)
+    cluster_state = make_busy_fleet(rng, 60)
     start_tasks(cluster_state, 300, 8)
     virtual_time.run_in_virtual_time(
-        record_for(LogWriter(cast(KeyValueStoreClient, wide), cluster_state, 1, Notifier()), 0.5)
+        run_log_writer(LogWriter(cast(KeyValueStoreClient, wide_store), cluster_state, 1, Notifier()), 0.5)
     )
-    assert max(len(orjson.dumps(value)) for key, value in wide.keys.items() if "note" in key) > 4096
+    assert max(len(orjson.dumps(value)) for key, value in wide_store.keys.items() if "note" in key) > 4096
 
-    store = Store()
+    store = LogStore()
     store.transaction_limits.max_value_bytes, store.transaction_limits.max_txn_ops = 2048, 8
-    store.keys = dict(wide.keys)
-    heir = new_board()
-    heir_recorder = LogWriter(cast(KeyValueStoreClient, store), heir, 2, Notifier())
+    store.keys = dict(wide_store.keys)
+    successor = new_board()
+    successor_log_writer = LogWriter(cast(KeyValueStoreClient, store), successor, 2, Notifier())
     for run in cluster_state.jobs.values():
-        heir.add_job(run.spec, 1)
+        successor.add_job(run.spec, 1)
 
-    async def inherit() -> None:
-        heir_recorder._restore_state([], [], store.places(), {})
-        await record_for(heir_recorder, 120.0)
+    async def take_over() -> None:
+        successor_log_writer._restore_state([], [], store.log_entries(), {})
+        await run_log_writer(successor_log_writer, 120.0)
 
-    before = starts_in(store)
-    virtual_time.run_in_virtual_time(inherit())
-    assert store.refused == 0
+    starts_before = latest_starts(store)
+    virtual_time.run_in_virtual_time(take_over())
+    assert store.refusal_count == 0
     assert all(len(orjson.dumps(value)) <= 2048 for value in store.keys.values())
-    assert starts_in(store) == before
+    assert latest_starts(store) == starts_before
 
 
-def starts_in(store: Store) -> dict[tuple[str, int], tuple[int, int]]:
-    """Of each task the newest start that a new leader would find."""
+def latest_starts(store: LogStore) -> dict[tuple[str, int], tuple[int, int]]:
+    """The latest start of each task that a new leader restores."""
     cluster_state = new_board()
-    recorder = LogWriter(cast(KeyValueStoreClient, store), cluster_state, 3, Notifier())
-    for entry in store.places():
+    log_writer = LogWriter(cast(KeyValueStoreClient, store), cluster_state, 3, Notifier())
+    for entry in store.log_entries():
         for job_id in referenced_types_and_jobs(entry.value)[1]:
             if job_id not in cluster_state.jobs:
                 cluster_state.add_job(job(int(job_id[2:]), task_count=4000, cpus=0.01, memory_gb=0.01), 1)
 
-    async def use() -> None:
-        recorder._restore_state([], [], store.places(), {})
+    async def restore() -> None:
+        log_writer._restore_state([], [], store.log_entries(), {})
 
-    virtual_time.run_in_virtual_time(use())
+    virtual_time.run_in_virtual_time(restore())
     return {
         (p.run.spec.id, p.index): (p.attempt, p.replacement_number)
         for run in cluster_state.jobs.values()
@@ -477,32 +491,32 @@
     }
 
 
-# -- days on which the limits fall ---------------------------------------------------------------
+# -- simulated runs in which the limits fall -----------------------------------------------------
 
-HIGH: dict[str, Any] = {"rps": 200.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
-LOW: dict[str, Any] = {"value_kb": 2.0, "txn_ops": 8, "write_rps": 21.0}
-LENGTH, FALLS_BY, USERS_UNTIL = 120.0, 45.0, 84.0
+HIGH_LIMITS: dict[str, Any] = {"rps": 200.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
+LOW_LIMITS: dict[str, Any] = {"value_kb": 2.0, "txn_ops": 8, "write_rps": 21.0}
+RUN_LENGTH_S, LATEST_FALL_S, USERS_UNTIL_S = 120.0, 45.0, 84.0
 
 
-class Fall(SimulatedCluster):
-    """Limits fall at a drawn instant, announced or not; what is asked for before the last 40 s has to end."""
+class FallingLimitsCluster(SimulatedCluster):
+    """Limits fall at a random time, announced or not; jobs submitted before the last 40 s must end."""
 
-    def __init__(self, seed: int, announced: bool, also: str = "", is_calm: bool = True) -> None:
-        state = HIGH | ({"next": LOW} if announced else {})
+    def __init__(self, seed: int, announced: bool, extra_fault: str = "", is_calm: bool = True) -> None:
+        state = HIGH_LIMITS | ({"next": LOW_LIMITS} if announced else {})
         super().__init__(seed, is_calm=is_calm, scale=3, params_override={"state": state})
-        self.also = also
-        self.schedule_action(lambda _: self._fall())
+        self.extra_fault = extra_fault
+        self.schedule_action(lambda _: self._lower_limits())
 
-    async def _fall(self) -> None:
-        await asyncio.sleep(self.rng.uniform(10.0, FALLS_BY))
-        if self.also == "outage":
+    async def _lower_limits(self) -> None:
+        await asyncio.sleep(self.rng.uniform(10.0, LATEST_FALL_S))
+        if self.extra_fault == "outage":
             self.state.is_down = True
             await asyncio.sleep(2.0)
-        self.state.lower_limits(**LOW)
-        if self.also == "outage":
+        self.state.lower_limits(**LOW_LIMITS)
+        if self.extra_fault == "outage":
             await asyncio.sleep(2.0)
             self.state.end_outage()
-        if self.also == "take-over":
+        if self.extra_fault == "failover":
             await asyncio.sleep(self.rng.uniform(0.5, 5.0))
             node = self.current_leader()
             node.crash()
@@ -510,90 +524,92 @@
             node.start()
 
     def make_job(self) -> dict[str, Any]:
-        """Arrays of many small tasks: a machine holds tasks of many jobs, and what is recorded outgrows 2 KiB."""
-        plain = {"accelerators": 0.0, "shape": "sweep", "rank": "normal", "builds": None, "mistaken": False}
-        more = {"parcels": self.rng.randint(40, 160), "cores": 0.05, "memory_gb": 0.05, "together": False}
-        rest = {"yard": None, "scatter": False, "guess_s": 8.0, "crew": "t0", "due_s": None}
-        return super().make_job() | plain | more | rest
+        """Arrays of many small tasks: a machine runs tasks of many jobs, and its log entry outgrows 2 KiB."""
+        job_fields = {"accelerators": 0.0, "shape": "sweep", "rank": "normal", "builds": None, "mistaken": False}
+        task_fields = {"parcels": self.rng.randint(40, 160), "cores": 0.05, "memory_gb": 0.05, "together": False}
+        placement_fields = {"yard": None, "scatter": False, "guess_s": 8.0, "crew": "t0", "due_s": None}
+        return super().make_job() | job_fields | task_fields | placement_fields
 
     @property
     def unfinished(self) -> list[str]:
         return sorted(job for job in self.accepted_jobs - set(self.observed_ends) if job not in self.cancel_requested)
 
 
-def played(seed: int, announced: bool, also: str = "") -> Fall:
-    cluster = Fall(seed, announced, also)
-    cluster.run(length_s=LENGTH, job_count=20)
+def run_falling_limits(seed: int, announced: bool, extra_fault: str = "") -> FallingLimitsCluster:
+    cluster = FallingLimitsCluster(seed, announced, extra_fault)
+    cluster.run(length_s=RUN_LENGTH_S, job_count=20)
     return cluster
 
 
-@pytest.mark.parametrize("also", ["", "outage", "take-over"])
+@pytest.mark.parametrize("extra_fault", ["", "outage", "failover"])
 @pytest.mark.parametrize("announced", [True, False])
-def test_limits_fall_in_mid_run_and_all_jobs_end(announced: bool, also: str) -> None:
+def test_all_jobs_end_when_limits_fall_during_a_run(announced: bool, extra_fault: str) -> None:
     for seed in range(8100, 8102):
-        cluster = played(seed, announced, also)
+        cluster = run_falling_limits(seed, announced, extra_fault)
         check(cluster)
         assert cluster.state.lowered_limits is not None and cluster.accepted_jobs and cluster.unfinished == []
         if announced:
-            assert cluster.state.lowered_limits.too_large_count == 0, "nothing beyond the limits to come was written"
+            assert cluster.state.lowered_limits.too_large_count == 0, "a write exceeded the announced limits"
 
 
-def test_days_catch_limits_to_come_that_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settings_module, "_minimum", lambda now, later: now)
-    fallen = [played(seed, True).state.lowered_limits for seed in range(8100, 8102)]
-    assert any(limits is not None and limits.too_large_count for limits in fallen)
+def test_catches_ignored_announced_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(settings_module, "_minimum", lambda now, announced: now)
+    limits_by_run = [run_falling_limits(seed, True).state.lowered_limits for seed in range(8100, 8102)]
+    assert any(limits is not None and limits.too_large_count for limits in limits_by_run)
 
 
-# -- other records of an earlier leader's --------------------------------------------------------
+# -- workflows and drains stored by an earlier leader --------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_chains_of_a_higher_limit_are_split_and_none_is_ever_missing(seed: int) -> None:
-    """A leader may end between any two transactions: each chain is found, and in the end every page fits."""
-    draw = Random(seed)
-
-    async def work() -> None:
-        service = Service(8192, 24)
-        wide = ChainStore(service.client(), 1)
-        chains = {name: chain_of(name, draw.randint(1, 4)) for name in (f"c-{n:03d}" for n in range(60))}
-        numbers = {number for number in map(wide.assign_page, chains.values()) if number is not None}
-        await wide.save({ChainStore.page_key(n): wide.encode_page(n, chains) for n in numbers})
-        stored = [Entry(key, value, 1) for key, value in service.keys.items()]
-        client = Service(2048, 8).client()
+def test_oversized_workflow_pages_are_split_without_losing_one(seed: int) -> None:
+    """If the leader changes between any two transactions, every workflow is found, and in the end every page fits."""
+    rng = Random(seed)
+
+    async def run() -> None:
+        wide_store = RefusingStore(8192, 24)
+        wide_workflows = WorkflowStore(wide_store.client(), 1)
+        workflows = {name: make_workflow(name, rng.randint(1, 4)) for name in (f"c-{n:03d}" for n in range(60))}
+        numbers = {number for number in map(wide_workflows.assign_page, workflows.values()) if number is not None}
+        await wide_workflows.save(
+            {WorkflowStore.page_key(n): wide_workflows.encode_page(n, workflows) for n in numbers}
+        )
+        stored = [Entry(key, value, 1) for key, value in wide_store.keys.items()]
+        client = RefusingStore(2048, 8).client()
         client.transaction_limits.max_value_bytes, client.transaction_limits.max_txn_ops = 2048, 8
-        store = ChainStore(client, 2)
-        found = store.restore(stored)
-        assert found.keys() == chains.keys() and store.oversized_pages()
-        old = store.oversized_pages()
-        order = dict.fromkeys([*store.split_oversized_pages(found), *sorted(old)])
+        store = WorkflowStore(client, 2)
+        restored = store.restore(stored)
+        assert restored.keys() == workflows.keys() and store.oversized_pages()
+        oversized = store.oversized_pages()
+        page_order = dict.fromkeys([*store.split_oversized_pages(restored), *sorted(oversized)])
         keys = {entry.key: entry.value for entry in stored}
-        for number in order:
-            keys[ChainStore.page_key(number)] = value = store.encode_page(number, found)
+        for number in page_order:
+            keys[WorkflowStore.page_key(number)] = value = store.encode_page(number, restored)
             assert len(orjson.dumps(value)) <= 2048
-            reader = ChainStore(client, 3)
-            assert reader.restore([Entry(key, keys[key], 1) for key in sorted(keys)]) == chains
+            reader = WorkflowStore(client, 3)
+            assert reader.restore([Entry(key, keys[key], 1) for key in sorted(keys)]) == workflows
         assert not store.oversized_pages()
 
-    virtual_time.run_in_virtual_time(work())
+    virtual_time.run_in_virtual_time(run())
 
 
-def test_drains_of_a_higher_limit_end_within_the_lower_one() -> None:
-    client = Service(2048, 8).client()
+def test_oversized_drain_fits_the_lower_limit_when_it_ends() -> None:
+    client = RefusingStore(2048, 8).client()
     client.transaction_limits.max_value_bytes = 2048
     store = DrainStore(client, 1)
-    named = Drain(DrainRequest("d", machines=[f"i-{n:06d}" for n in range(400)]), MS, MS, 0.0, "i-999999")
-    assert not store.fits_value(named) and store.fits_value(
+    large_drain = Drain(DrainRequest("d", machines=[f"i-{n:06d}" for n in range(400)]), MS, MS, 0.0, "i-999999")
+    assert not store.fits_value(large_drain) and store.fits_value(
         Drain(DrainRequest("e", machines=["i-1"]), MS, MS, 0.0, "i-9")
     )
-    ended = msgspec.structs.replace(named, outcome="done", ended_at_ms=MS)
-    assert len(orjson.dumps(store.encode_ended_drain(ended))) <= 2048
-    assert msgspec.convert(store.encode_ended_drain(ended), Drain).outcome == "done"
-    moves = store.fit_rebalancing(
+    ended_drain = msgspec.structs.replace(large_drain, outcome="done", ended_at_ms=MS)
+    assert len(orjson.dumps(store.encode_ended_drain(ended_drain))) <= 2048
+    assert msgspec.convert(store.encode_ended_drain(ended_drain), Drain).outcome == "done"
+    stored_moves = store.fit_rebalancing(
         {"plans": [], "moved": {f"j-{n:06d}-long-name-of-a-replica/{n}": n for n in range(60)}}
     )
-    assert len(orjson.dumps(moves)) <= 2048 and max(moves["moved"].values()) == 59
+    assert len(orjson.dumps(stored_moves)) <= 2048 and max(stored_moves["moved"].values()) == 59
 
 
-def chain_of(name: str, steps: int) -> Workflow:
-    made = [WorkflowStep(f"{name}-step-{n}", "import", list(range(n)), []) for n in range(steps)]
-    return Workflow(name, 1, "t0", MS, MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], made)
+def make_workflow(name: str, steps: int) -> Workflow:
+    workflow_steps = [WorkflowStep(f"{name}-step-{n}", "import", list(range(n)), []) for n in range(steps)]
+    return Workflow(name, 1, "t0", MS, MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], workflow_steps)
