--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""What comes late: old reports, answers that overtake reports, transactions, a cancel as its job completes."""
+"""Messages that arrive late: stale heartbeats, overtaken heartbeats, delayed transactions, a cancel as a job ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,250 +31,268 @@
 
 Patch = pytest.MonkeyPatch
 
-# -- old reports, and answers that overtake them ---------------------------------------------------
+# -- stale heartbeats, and probe responses that overtake heartbeats --------------------------------
 
 
-class Leased:
-    """A worker whose lease is its own, and what is under way between it and a board."""
+class LeasedWorker:
+    """A worker with its lease, and the heartbeats in flight between it and a cluster state."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = Random(seed)
-        self.board = new_board()
-        self.hand = Hand(self.board, "i-1")
-        self.lease = seconds(LEASE_DURATION_S)
+        self.rng = Random(seed)
+        self.cluster_state = new_board()
+        self.simulated_worker = Hand(self.cluster_state, "i-1")
+        self.lease_duration = seconds(LEASE_DURATION_S)
         self.now = NOW
-        self.session, self.renewed = 1, NOW
-        self.under_way: list[tuple[datetime, wire.Heartbeat]] = []
-        self.sent: list[wire.Heartbeat] = []
-        self.overtaken = self.copied = self.lapsed = 0
+        self.incarnation, self.renewed_at = 1, NOW
+        self.heartbeats_in_flight: list[tuple[datetime, wire.Heartbeat]] = []
+        self.sent_heartbeats: list[wire.Heartbeat] = []
+        self.overtaken_count = self.duplicate_count = self.lease_expiry_count = 0
 
-    def body(self) -> wire.Heartbeat:
-        return self.hand.body(session=self.session)
+    def make_heartbeat(self) -> wire.Heartbeat:
+        return self.simulated_worker.body(session=self.incarnation)
 
     def place(self) -> None:
-        if not self.hand.machine.placements and self.hand.machine.has_acknowledged_term:
-            if not any(run.pending_count for run in self.board.jobs.values()):
-                self.board.add_job(job(len(self.board.jobs) + 1, cpus=8.0), 1)
-            run_scheduling_pass(self.board, self.now)
-            record(self.board)
-
-    def arrives(self, sent: datetime, report: wire.Heartbeat, copy: bool = False) -> None:
-        machine = HeartbeatReconciler(self.board).apply_heartbeat(report, self.now)
-        orders: list[dict[str, Any]] = []
+        if not self.simulated_worker.machine.placements and self.simulated_worker.machine.has_acknowledged_term:
+            if not any(run.pending_count for run in self.cluster_state.jobs.values()):
+                self.cluster_state.add_job(job(len(self.cluster_state.jobs) + 1, cpus=8.0), 1)
+            run_scheduling_pass(self.cluster_state, self.now)
+            record(self.cluster_state)
+
+    def deliver(self, sent_at: datetime, heartbeat: wire.Heartbeat, is_duplicate: bool = False) -> None:
+        machine = HeartbeatReconciler(self.cluster_state).apply_heartbeat(heartbeat, self.now)
+        commands: list[dict[str, Any]] = []
         if machine is None:
-            known = self.board.machines.get(report.machine_name)
+            known_machine = self.cluster_state.machines.get(heartbeat.machine_name)
             if (
-                known is not None
-                and report.sequence <= known.sequence
-                and report.incarnation == known.incarnation
-                and not copy
+                known_machine is not None
+                and heartbeat.sequence <= known_machine.sequence
+                and heartbeat.incarnation == known_machine.incarnation
+                and not is_duplicate
             ):
-                self.overtaken += 1
-            if decide_lease_renewal(self.board, report, self.now) is not LeaseRenewal.RENEWED:
+                self.overtaken_count += 1
+            if decide_lease_renewal(self.cluster_state, heartbeat, self.now) is not LeaseRenewal.RENEWED:
                 return
         else:
-            orders = self.board.collect_commands(machine, self.now, may_start_tasks=True)
-        if copy or report.incarnation != self.session or self.now - sent > seconds(4):
-            return  # its worker has given it up, or never waits for a copy's answer
-        self.renewed = max(self.renewed, sent)
-        for order in orders:
-            if order["verb"] == "run":
-                self.hand.tasks[order["parcel"], order["try"]] = wire.TaskStatus(
-                    order["parcel"], order["try"], "running"
+            commands = self.cluster_state.collect_commands(machine, self.now, may_start_tasks=True)
+        if is_duplicate or heartbeat.incarnation != self.incarnation or self.now - sent_at > seconds(4):
+            return  # the worker timed out, restarted, or does not wait for an answer to a duplicate
+        self.renewed_at = max(self.renewed_at, sent_at)
+        for command in commands:
+            if command["verb"] == "run":
+                self.simulated_worker.tasks[command["parcel"], command["try"]] = wire.TaskStatus(
+                    command["parcel"], command["try"], "running"
                 )
 
     def step(self) -> None:
-        draw = self.draw
-        self.now += seconds(draw.choice([0.05, 0.3, 0.3, 1.0, 4.0]))
-        if self.now - self.renewed > self.lease:
-            self.session, self.renewed = self.session + 1, self.now
-            self.hand.tasks.clear()
-            self.lapsed += 1
-        what = draw.random()
-        if what < 0.4 and len(self.under_way) < 2:
-            report = self.body()
-            self.under_way.append((self.now, report))
-            self.sent.append(report)
-        elif what < 0.7 and self.under_way:
-            self.arrives(*self.under_way.pop(0))
-        elif what < 0.8 and self.sent:
-            self.copied += 1
-            self.arrives(self.now, draw.choice(self.sent), copy=True)
-        elif what < 0.95 and "i-1" in self.board.machines:
-            machine = self.hand.machine
-            before = (machine.incarnation, machine.sequence)
-            HeartbeatReconciler(self.board).apply_probe_response(self.body(), before, self.now)
-        if "i-1" in self.board.machines:
+        rng = self.rng
+        self.now += seconds(rng.choice([0.05, 0.3, 0.3, 1.0, 4.0]))
+        if self.now - self.renewed_at > self.lease_duration:
+            self.incarnation, self.renewed_at = self.incarnation + 1, self.now
+            self.simulated_worker.tasks.clear()
+            self.lease_expiry_count += 1
+        event_draw = rng.random()
+        if event_draw < 0.4 and len(self.heartbeats_in_flight) < 2:
+            heartbeat = self.make_heartbeat()
+            self.heartbeats_in_flight.append((self.now, heartbeat))
+            self.sent_heartbeats.append(heartbeat)
+        elif event_draw < 0.7 and self.heartbeats_in_flight:
+            self.deliver(*self.heartbeats_in_flight.pop(0))
+        elif event_draw < 0.8 and self.sent_heartbeats:
+            self.duplicate_count += 1
+            self.deliver(self.now, rng.choice(self.sent_heartbeats), is_duplicate=True)
+        elif event_draw < 0.95 and "i-1" in self.cluster_state.machines:
+            machine = self.simulated_worker.machine
+            sequence_before = (machine.incarnation, machine.sequence)
+            HeartbeatReconciler(self.cluster_state).apply_probe_response(
+                self.make_heartbeat(), sequence_before, self.now
+            )
+        if "i-1" in self.cluster_state.machines:
             self.place()
-        self.board.apply_timeouts(self.now)
+        self.cluster_state.apply_timeouts(self.now)
 
     def check(self) -> None:
-        """What the board takes for gone is gone: the worker's lease, counted from the sending, is over."""
-        there = {task for task, _ in self.hand.tasks}
-        if self.now - self.renewed <= self.lease:
-            placed = {p.task_name for p in self.hand.machine.placements.values()} if there else set()
-            assert there <= placed, f"{there - placed} runs for {self.renewed + self.lease - self.now} more"
-
-
-def test_what_the_board_takes_for_gone_is_gone_whatever_overtakes_a_report() -> None:
-    overtaken = copied = lapsed = 0
+        """A task that the cluster state counts as gone has ended: its worker's lease, counted from sending, is over."""
+        running_tasks = {task for task, _ in self.simulated_worker.tasks}
+        if self.now - self.renewed_at <= self.lease_duration:
+            placed_tasks = (
+                {p.task_name for p in self.simulated_worker.machine.placements.values()} if running_tasks else set()
+            )
+            assert running_tasks <= placed_tasks, (
+                f"{running_tasks - placed_tasks} runs for {self.renewed_at + self.lease_duration - self.now} more"
+            )
+
+
+def test_tasks_counted_as_gone_have_ended_when_heartbeats_are_overtaken() -> None:
+    overtaken_count = duplicate_count = lease_expiry_count = 0
     for seed in range(150):
-        worker = Leased(seed)
+        worker = LeasedWorker(seed)
         for _ in range(120):
             worker.step()
             worker.check()
-        overtaken, copied, lapsed = overtaken + worker.overtaken, copied + worker.copied, lapsed + worker.lapsed
-    assert overtaken > 100 and copied > 100 and lapsed > 100, (overtaken, copied, lapsed)
+        overtaken_count, duplicate_count, lease_expiry_count = (
+            overtaken_count + worker.overtaken_count,
+            duplicate_count + worker.duplicate_count,
+            lease_expiry_count + worker.lease_expiry_count,
+        )
+    assert overtaken_count > 100 and duplicate_count > 100 and lease_expiry_count > 100, (
+        overtaken_count,
+        duplicate_count,
+        lease_expiry_count,
+    )
 
 
-def uncounted(patch: Patch) -> None:
-    """A report that is not the newest word is answered, and the lease that it renews does not count."""
+def answer_without_recording_lease(patch: Patch) -> None:
+    """Answers every stale heartbeat, without recording the lease that the answer renews."""
 
-    def renewal(cluster_state: ClusterState, report: wire.Heartbeat, at: datetime) -> LeaseRenewal:
+    def always_renew(cluster_state: ClusterState, heartbeat: wire.Heartbeat, at: datetime) -> LeaseRenewal:
         return LeaseRenewal.RENEWED
 
     for caller in (__name__, "roseweir.workers.handlers"):
-        patch.setattr(f"{caller}.decide_lease_renewal", renewal)
+        patch.setattr(f"{caller}.decide_lease_renewal", always_renew)
 
 
-def test_a_lease_that_is_not_counted_is_caught(monkeypatch: Patch) -> None:
-    uncounted(monkeypatch)
+def test_catches_lease_renewal_that_is_not_recorded(monkeypatch: Patch) -> None:
+    answer_without_recording_lease(monkeypatch)
     with pytest.raises(AssertionError, match="runs for"):
         for seed in range(150):
-            worker = Leased(seed)
+            worker = LeasedWorker(seed)
             for _ in range(120):
                 worker.step()
                 worker.check()
 
 
-# -- transactions carried out late ------------------------------------------------------------------
+# -- transactions that commit late ------------------------------------------------------------------
 
 
-class LateStore:
-    """A state service that gives some transactions no answer, and carries them out when it likes."""
+class DelayedCommitStore:
+    """A key-value store that leaves some transactions unanswered and commits them at a random later request."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = Random(seed)
-        self.world = SimulatedCluster(seed, is_calm=True)
-        self.state = SimulatedKeyValueStore(self.world)
+        self.rng = Random(seed)
+        self.cluster = SimulatedCluster(seed, is_calm=True)
+        self.simulated_store = SimulatedKeyValueStore(self.cluster)
         self.settings = make_settings(0).params.kv_store
         self.transaction_limits = TransactionLimits(self.settings)
-        self.waiting: list[dict[str, Any]] = []
-        self.late = 0
+        self.pending_transactions: list[dict[str, Any]] = []
+        self.late_commit_count = 0
 
     async def get(self, key: str) -> Any:
         from roseweir.kv_store import Entry
 
-        self.some_run_late()
-        found = self.state.keys.get(key)
-        return None if found is None else Entry(key, found[0], found[1])
+        self.commit_some_pending()
+        stored = self.simulated_store.keys.get(key)
+        return None if stored is None else Entry(key, stored[0], stored[1])
 
     async def compare_and_swap(self, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
         from roseweir.kv_store import CompareFailed
 
-        self.some_run_late()
-        body = {"guards": [{"path": k, "stamp": v} for k, v in guards], "then": ops}
-        luck = self.draw.random()
-        if luck < 0.3:
-            self.waiting.append(body)
+        self.commit_some_pending()
+        transaction = {"guards": [{"path": k, "stamp": v} for k, v in guards], "then": ops}
+        outcome_draw = self.rng.random()
+        if outcome_draw < 0.3:
+            self.pending_transactions.append(transaction)
             raise Unreachable("not yet")
-        answer = self.state.commit_transaction(body)
-        if luck < 0.4:
+        answer = self.simulated_store.commit_transaction(transaction)
+        if outcome_draw < 0.4:
             raise Unreachable("answer lost")
         if answer.status == 409:
             raise CompareFailed(answer.json()["failed"])
         return int(answer.json()["ledger"])
 
-    def some_run_late(self, share: float = 0.2) -> None:
-        self.draw.shuffle(self.waiting)
-        while self.waiting and self.draw.random() < share:
-            self.late += self.state.commit_transaction(self.waiting.pop()).status == 200
+    def commit_some_pending(self, probability: float = 0.2) -> None:
+        self.rng.shuffle(self.pending_transactions)
+        while self.pending_transactions and self.rng.random() < probability:
+            self.late_commit_count += (
+                self.simulated_store.commit_transaction(self.pending_transactions.pop()).status == 200
+            )
 
     def value(self, key: str) -> Any:
-        found = self.state.keys.get(key)
-        return None if found is None else found[0]
-
-
-async def _differential(seed: int) -> tuple[int, int, list[str]]:
-    """Keys written, read and deleted while answers are lost: late runs carried out, resurrections, what was wrong."""
-    store = LateStore(seed)
-    store.state.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 1})]})
-    keyed = FencedWriter(store, store.state.keys[LEADER_KEY][1], "test")  # type: ignore[arg-type]
-    draw = Random(seed)
-    wrong: list[str] = []
-    final: dict[str, Any] = {}
-    newest: dict[str, Any] = {}  # what a key held last, if it is deleted now
+        stored = self.simulated_store.keys.get(key)
+        return None if stored is None else stored[0]
+
+
+async def _write_with_lost_answers(seed: int) -> tuple[int, int, list[str]]:
+    """Writes and deletes keys while answers are lost; returns late commits, pending transactions and violations."""
+    store = DelayedCommitStore(seed)
+    store.simulated_store.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 1})]})
+    fenced_writer = FencedWriter(store, store.simulated_store.keys[LEADER_KEY][1], "test")  # type: ignore[arg-type]
+    rng = Random(seed)
+    violations: list[str] = []
+    expected_values: dict[str, Any] = {}
+    last_values: dict[str, Any] = {}  # last value of each key, kept after its deletion
     number = 0
     for _ in range(25):
         number += 1
-        wanted = {f"k{n}": {"n": number} if draw.random() < 0.6 else None for n in range(3) if draw.random() < 0.6}
+        changes = {f"k{n}": {"n": number} if rng.random() < 0.6 else None for n in range(3) if rng.random() < 0.6}
         for _ in range(12):
             try:
-                await keyed.save(wanted)
+                await fenced_writer.save(changes)
                 break
             except (StoreError, Unreachable):
                 continue
         else:
-            return store.late, 0, wrong
-        final |= wanted
-        store.some_run_late(0.5)
-        for key, value in final.items():
-            held = store.value(key)
-            last = newest.setdefault(key, value)
+            return store.late_commit_count, 0, violations
+        expected_values |= changes
+        store.commit_some_pending(0.5)
+        for key, value in expected_values.items():
+            stored_value = store.value(key)
+            last_value = last_values.setdefault(key, value)
             if value is not None:
-                newest[key] = value
-                if held != value:
-                    wrong.append(f"{key} is {held} and not {value}")
-            elif held is not None and held != last:
-                wrong.append(f"{key} was deleted, and is back as {held}")
-    # The next leader: nothing that is still under way counts any more, and it can delete what was left.
-    store.state.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 2})]})
-    left = dict(store.state.keys)
-    for body in store.waiting:
-        store.state.commit_transaction(body)
-    if store.state.keys != left:
-        wrong.append("a write of the last leader's counted")
-    return store.late, len(store.waiting), wrong
-
-
-def test_any_order_of_late_runs_leaves_a_leaders_keys_as_some_order_of_answered_ones_would() -> None:
-    late = waiting = 0
+                last_values[key] = value
+                if stored_value != value:
+                    violations.append(f"{key} is {stored_value} and not {value}")
+            elif stored_value is not None and stored_value != last_value:
+                violations.append(f"{key} was deleted, and is back as {stored_value}")
+    # No pending transaction of the last leader may commit under the next, which can so delete what is left.
+    store.simulated_store.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 2})]})
+    keys_after_takeover = dict(store.simulated_store.keys)
+    for transaction in store.pending_transactions:
+        store.simulated_store.commit_transaction(transaction)
+    if store.simulated_store.keys != keys_after_takeover:
+        violations.append("a write of the last leader was committed")
+    return store.late_commit_count, len(store.pending_transactions), violations
+
+
+def test_late_commits_do_not_override_a_leaders_answered_writes() -> None:
+    late_commits = pending_count = 0
     for seed in range(200):
-        ran, left, wrong = virtual_time.run_in_virtual_time(_differential(seed))
-        late, waiting = late + ran, waiting + left
-        assert not wrong, f"seed {seed}: {wrong}"
-    assert late > 200 and waiting > 50
+        late, pending, violations = virtual_time.run_in_virtual_time(_write_with_lost_answers(seed))
+        late_commits, pending_count = late_commits + late, pending_count + pending
+        assert not violations, f"seed {seed}: {violations}"
+    assert late_commits > 200 and pending_count > 50
 
 
-def test_a_key_that_is_deleted_while_its_making_is_under_way_is_caught(monkeypatch: Patch) -> None:
-    init = FencedWriter.__init__
+def test_catches_key_deleted_while_its_creation_is_pending(monkeypatch: Patch) -> None:
+    original_init = FencedWriter.__init__
 
-    class Never(set[str]):
+    class EmptySet(set[str]):
         def __contains__(self, key: object) -> bool:
             return False
 
-    def forgetful(self: FencedWriter, *args: Any) -> None:
-        init(self, *args)
-        self._possibly_created_keys = Never()
+    def start_without_created_keys(self: FencedWriter, *args: Any) -> None:
+        original_init(self, *args)
+        self._possibly_created_keys = EmptySet()
 
-    monkeypatch.setattr(FencedWriter, "__init__", forgetful)
+    monkeypatch.setattr(FencedWriter, "__init__", start_without_created_keys)
     assert any(
-        "is back" in each for seed in range(200) for each in virtual_time.run_in_virtual_time(_differential(seed))[2]
+        "is back" in each
+        for seed in range(200)
+        for each in virtual_time.run_in_virtual_time(_write_with_lost_answers(seed))[2]
     )
 
 
-def late_writes(seed: int) -> SimulatedCluster:
-    """Half of all transactions are carried out late, while leaders end and come back."""
+def late_write_cluster(seed: int) -> SimulatedCluster:
+    """Half of all transactions commit late while leaders are restarted."""
     cluster = LongTaskCluster(seed, restart_delay_range_s=(0.1, 1.0))
     cluster.max_tasks, cluster.task_duration_s = 12, 10.0
 
-    async def trouble(cluster: SimulatedCluster) -> None:
+    async def restart_leaders(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(8)
         cluster.late_write_probability = 0.5
         for _ in range(9):
             await asyncio.sleep(cluster.rng.uniform(5, 9))
             await cluster.restart_controller(cluster.current_leader())
-            # What the next leader reads is all that it knows of the machines that it does not hear.
+            # The next leader knows machines that send no heartbeat only from the stored log.
             for worker in cluster.workers.values():
                 worker.is_hung = cluster.rng.random() < 0.4
             await asyncio.sleep(2.5)
@@ -282,98 +300,106 @@
                 worker.is_hung = False
         cluster.late_write_probability = 0.0
 
-    cluster.schedule_action(trouble)
+    cluster.schedule_action(restart_leaders)
     return cluster
 
 
-def test_late_writes_while_leaders_follow_one_another_break_no_rule() -> None:
+def test_late_writes_during_leader_changes_break_no_rule() -> None:
     for seed in range(7750, 7756):
-        cluster = late_writes(seed)
+        cluster = late_write_cluster(seed)
         check(cluster.run(length_s=110, job_count=25))
         assert cluster.start_count > 20 and cluster.state.keys["lead/term"][0] >= 4
 
 
-def no_guards_of_their_own(patch: Patch) -> None:
-    """The leader's key alone guards pages and notes: an older write of the same reign passes."""
-    txn = KeyValueStoreClient.compare_and_swap
+def guard_by_leader_key_alone(patch: Patch) -> None:
+    """The leader key alone guards segments and deltas, so an older write of the same term succeeds."""
+    original_compare_and_swap = KeyValueStoreClient.compare_and_swap
 
-    async def unguarded(self: KeyValueStoreClient, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
-        return await txn(self, [g for g in guards if not g[0].startswith("places/")], ops)
+    async def compare_leader_key_alone(
+        self: KeyValueStoreClient, guards: list[tuple[str, int]], ops: list[dict[str, Any]]
+    ) -> int:
+        return await original_compare_and_swap(
+            self, [guard for guard in guards if not guard[0].startswith("places/")], ops
+        )
 
-    patch.setattr(KeyValueStoreClient, "compare_and_swap", unguarded)
+    patch.setattr(KeyValueStoreClient, "compare_and_swap", compare_leader_key_alone)
 
 
-def test_records_without_guards_of_their_own_are_caught(monkeypatch: Patch) -> None:
-    no_guards_of_their_own(monkeypatch)
-    monkeypatch.setattr("roseweir.cloud.controller.plan_scale_in", lambda board, left, at, kept: [])
-    assert is_caught(late_writes, range(7770, 7800), "ran_twice", 110, 25)
+def test_catches_log_writes_without_version_guards(monkeypatch: Patch) -> None:
+    guard_by_leader_key_alone(monkeypatch)
+    monkeypatch.setattr("roseweir.cloud.controller.plan_scale_in", lambda cluster_state, left, at, kept: [])
+    assert is_caught(late_write_cluster, range(7770, 7800), "ran_twice", 110, 25)
 
 
 # -- a cancel as its job completes ------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_how_a_job_ended_is_told_as_the_state_service_has_it(broken: bool, monkeypatch: Patch) -> None:
-    """A user's cancel comes between the last task's end and its record: the steps that follow must not be let go."""
+def test_job_outcome_is_reported_as_stored(broken: bool, monkeypatch: Patch) -> None:
+    """A cancel between the last task's end and the stored record must not release the steps that follow."""
     if broken:
-        learn = LiveJobWatcher._apply_live_job
+        apply_live_job = LiveJobWatcher._apply_live_job
 
-        def guess(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
+        def assume_completed(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
             run = self.cluster_state.jobs.get(job_id)
             if value is None and run is not None and run.is_complete and not run.final_state:
                 from roseweir.submissions.jobs import completed_job
 
                 self.log_writer.record_job_end(job_id, completed_job(run.spec, "done"))
                 return
-            learn(self, job_id, value, version, revision)
+            apply_live_job(self, job_id, value, version, revision)
 
-        monkeypatch.setattr(LiveJobWatcher, "_apply_live_job", guess)
-    raced = 0
-    wrong: list[str] = []
+        monkeypatch.setattr(LiveJobWatcher, "_apply_live_job", assume_completed)
+    raced_cancels = 0
+    violations: list[str] = []
     for seed in range(7760, 7764):
         cluster = LongTaskCluster(seed)
         cluster.task_duration_s, cluster.max_tasks = 4.0, 2
-        told: list[tuple[str, str]] = []
+        reported_ends: list[tuple[str, str]] = []
 
-        async def race(cluster: SimulatedCluster, told: list[tuple[str, str]] = told) -> None:
-            nonlocal raced
+        async def cancel_completed_jobs(
+            cluster: SimulatedCluster, reported_ends: list[tuple[str, str]] = reported_ends
+        ) -> None:
+            nonlocal raced_cancels
             assert isinstance(cluster, LongTaskCluster)
-            plain = cluster.state.handle
+            original_handle = cluster.state.handle
             await asyncio.sleep(6)
             node = cluster.current_leader()
             assert node.service is not None and node.service.leader_term is not None
-            reign = node.service.leader_term
-            ended = reign.log_writer.on_job_ended
+            leader_term = node.service.leader_term
+            original_on_job_ended = leader_term.log_writer.on_job_ended
 
-            def on_end(job_id: str, state: str, ended: Callable[[str, str], None] = ended) -> None:
-                told.append((job_id, state))
-                ended(job_id, state)
+            def record_end(
+                job_id: str, state: str, original_on_job_ended: Callable[[str, str], None] = original_on_job_ended
+            ) -> None:
+                reported_ends.append((job_id, state))
+                original_on_job_ended(job_id, state)
 
-            reign.log_writer.on_job_ended = on_end
+            leader_term.log_writer.on_job_ended = record_end
 
             async def handle(name: str, method: str, path: str, body: Any) -> Reply:
                 if name == node.name and path == "/txn" and "over/" in str(body):
                     await asyncio.sleep(0.8)
-                return await plain(name, method, path, body)
+                return await original_handle(name, method, path, body)
 
             cluster.state.handle = handle  # type: ignore[method-assign, assignment]
             while True:
                 await asyncio.sleep(0.05)
-                for job_id, run in list(reign.cluster_state.jobs.items()):
+                for job_id, run in list(leader_term.cluster_state.jobs.items()):
                     if (
                         run.is_complete
                         and not run.final_state
                         and job_id not in cluster.cancel_requested
                         and cluster.rng.random() < 0.5
                     ):
-                        raced += 1
+                        raced_cancels += 1
                         cluster.spawn(cluster.cancel_via_others(job_id, node.name))
 
-        cluster.schedule_action(race)
+        cluster.schedule_action(cancel_completed_jobs)
         check(cluster.run(length_s=60, job_count=14))
-        for job_id, how in told:
-            store = cluster.state.keys[COMPLETED_JOB_PREFIX + job_id][0]["state"]
-            if how != store:
-                wrong.append(f"{job_id} is {store}, and told as {how}")
-        assert len(told) > 5
-    assert raced > 5 and bool(wrong) == broken, wrong
+        for job_id, reported_state in reported_ends:
+            stored_state = cluster.state.keys[COMPLETED_JOB_PREFIX + job_id][0]["state"]
+            if reported_state != stored_state:
+                violations.append(f"{job_id} is stored as {stored_state}, and was reported as {reported_state}")
+        assert len(reported_ends) > 5
+    assert raced_cancels > 5 and bool(violations) == broken, violations
