--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""The comparison of traffic: equal for one tree, and small changes of what a controller sends are found."""
+"""The traffic comparison reports no difference for one tree, and detects small changes in what a controller sends."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -21,37 +21,37 @@
 
 @pytest.fixture(scope="module")
 def messages() -> list[Message]:
-    """Those of one play of the present tree."""
-    found = run_day(SEED, PRESENT, LENGTH_S, JOBS)
-    assert not found.errors
-    return found.messages
+    """The messages of one run of the present tree."""
+    traffic_run = run_day(SEED, PRESENT, LENGTH_S, JOBS)
+    assert not traffic_run.errors
+    return traffic_run.messages
 
 
-def test_two_plays_of_the_present_tree_are_equal(messages: list[Message]) -> None:
+def test_two_runs_of_the_present_tree_are_equal(messages: list[Message]) -> None:
     assert first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages) is None
-    # All that the comparison is about is among them.
-    for kind in ("sends POST /txn to 10.2.0.1:1", "sends GET /machines", "is asked POST /hello at its public"):
-        assert any(kind in f"{message.event} {message.summary}" for message in messages), kind
+    # Every type of traffic that is compared occurs.
+    for event_text in ("sends POST /txn to 10.2.0.1:1", "sends GET /machines", "is asked POST /hello at its public"):
+        assert any(event_text in f"{message.event} {message.summary}" for message in messages), event_text
     assert any(":9000" in message.summary for message in messages)
     assert any("at its back address" in message.summary for message in messages)
     assert len({message.controller for message in messages}) == 3
 
 
-def test_a_retry_one_millisecond_later_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_retry_one_millisecond_later_is_detected(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(election, "RETRY_INTERVAL", election.RETRY_INTERVAL + timedelta(milliseconds=1))
     difference = first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages)
     assert difference is not None and "base: " in difference and "present: " in difference
 
 
-def test_one_more_read_of_the_state_service_is_found(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
-    plain: Callable[..., Any] = KeyValueStoreClient.get
+def test_one_more_store_read_is_detected(messages: list[Message], monkeypatch: pytest.MonkeyPatch) -> None:
+    original_get: Callable[..., Any] = KeyValueStoreClient.get
     calls: list[str] = []
 
-    async def get(self: KeyValueStoreClient, key: str, *more: Any, **options: Any) -> Any:
+    async def get(self: KeyValueStoreClient, key: str, *args: Any, **options: Any) -> Any:
         calls.append(key)
         if len(calls) == 10:
-            await plain(self, key, *more, **options)
-        return await plain(self, key, *more, **options)
+            await original_get(self, key, *args, **options)
+        return await original_get(self, key, *args, **options)
 
     monkeypatch.setattr(KeyValueStoreClient, "get", get)
     difference = first_difference(messages, run_day(SEED, PRESENT, LENGTH_S, JOBS).messages)
@@ -75,31 +75,31 @@
     assert "no more messages" in str(first_difference([message], [message, message]))
 
 
-def test_a_version_of_the_history_plays_as_recorded() -> None:
-    found = run_day(1, production(), 10.0, 3)
-    assert not found.errors and found.messages
-    assert first_difference(found.messages, run_day(1, production(), 10.0, 3).messages) is None
+def test_historical_version_runs_deterministically() -> None:
+    traffic_run = run_day(1, production(), 10.0, 3)
+    assert not traffic_run.errors and traffic_run.messages
+    assert first_difference(traffic_run.messages, run_day(1, production(), 10.0, 3).messages) is None
 
 
-def test_the_seed_alone_makes_the_world() -> None:
-    one, other = make_cluster(SEED, PRESENT), make_cluster(SEED, production())
-    assert (type(one), one.controller_count, one.max_clock_skew_s) == (
+def test_cluster_depends_on_the_seed_alone() -> None:
+    present_cluster, other = make_cluster(SEED, PRESENT), make_cluster(SEED, production())
+    assert (type(present_cluster), present_cluster.controller_count, present_cluster.max_clock_skew_s) == (
         type(other),
         other.controller_count,
         other.max_clock_skew_s,
     )
 
 
-def test_the_hash_seed_is_fixed_by_a_second_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    started: list[dict[str, str]] = []
-    monkeypatch.setattr("os.execve", lambda path, arguments, environment: started.append(environment))
+def test_hash_seed_is_fixed_by_a_process_restart(monkeypatch: pytest.MonkeyPatch) -> None:
+    restart_environments: list[dict[str, str]] = []
+    monkeypatch.setattr("os.execve", lambda path, arguments, environment: restart_environments.append(environment))
     monkeypatch.setenv("PYTHONHASHSEED", "0")
     traffic.fix_hash_seed()
-    assert not started
+    assert not restart_environments
     for value in ("", "random"):
         monkeypatch.setenv("PYTHONHASHSEED", value)
         traffic.fix_hash_seed()
-    assert [environment["PYTHONHASHSEED"] for environment in started] == ["0", "0"]
+    assert [environment["PYTHONHASHSEED"] for environment in restart_environments] == ["0", "0"]
 
 
 @pytest.mark.parametrize(
@@ -113,12 +113,12 @@
         ["--base", "HEAD", "--jobs", "-1"],
     ],
 )
-def test_bad_arguments_are_told_in_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_invalid_arguments_are_reported_in_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as exit_info:
         traffic.main(arguments)
     assert exit_info.value.code == 2
-    told = capsys.readouterr()
-    assert told.err.count("\n") == 1 and not told.out
+    output = capsys.readouterr()
+    assert output.err.count("\n") == 1 and not output.out
 
 
 class RenamedPeer(msgspec.Struct, rename={"label": "node_name", "area": "site", "where": "peer_addr"}):
@@ -127,7 +127,7 @@
     where: str
 
 
-def test_renamed_names_are_looked_up_in_the_history(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_renamed_names_resolve_in_historical_versions(monkeypatch: pytest.MonkeyPatch) -> None:
     old = production()
     monkeypatch.setitem(versions.MODULES_IN_HISTORY, "settings_now", "settings")
     monkeypatch.setitem(versions.NAMES_IN_HISTORY, "settings_now:RenamedPeer", "Peer")
@@ -138,12 +138,12 @@
     assert type(peer) is old.find("settings", "Peer")
     assert (peer.name, peer.zone, peer.address) == ("n1", "a", "10.0.0.2:8081")
     assert old.attribute(peer, "label") == "n1"
-    # A class that has moved to a module of another origin.
+    # A class that moved here from another module.
     monkeypatch.setitem(versions.NAMES_IN_HISTORY, "controller.process:MovedPeer", "settings:Peer")
     assert old.find("controller.process", "MovedPeer") is old.find("settings", "Peer")
 
 
-def test_a_version_without_the_old_name_has_the_present_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_version_without_the_old_name_resolves_the_present_name(monkeypatch: pytest.MonkeyPatch) -> None:
     old: Version = production()
     monkeypatch.setitem(versions.MODULES_IN_HISTORY, "settings", "settings_long_ago")
     monkeypatch.setitem(versions.NAMES_IN_HISTORY, "settings:Peer", "LongAgo")
