--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -1,4 +1,4 @@
-"""Stored values and messages of the version in production and of the present one, read and written by the other."""
+"""Stored values and messages of the production version and the present one, read and written by the other."""
 
 import asyncio
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 import pytest
 
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX, JobSpec, StoredDependencies, to_stored
-from roseweir.workflows import store as chain_store
+from roseweir.workflows import store as workflow_store
 from tests.simulation import virtual_time
 from tests.simulation.cluster import CANCEL_DEADLINE_S, SimulatedCluster, virtual_now
 from tests.simulation.rolling_upgrade import MixedVersionCluster, raise_first_failure, stored_job_state, terms_led_by
@@ -19,15 +19,15 @@
 from tests.versions import PRESENT, Version, production
 
 VERSIONS = (production, lambda: PRESENT)
-NAMES = ("production", "present")
-# What a leader writes on and on, and what every job's acceptance and end write once.
+VERSION_IDS = ("production", "present")
+# Families that a leader rewrites, and families written once as a job is accepted or ends.
 REWRITTEN = {"chain", "done", "drain/account", "drain/ask", "drain/steps", "lead/leader", "lead/term"}
 REWRITTEN |= {"places", "places/note", "promise/nights", "served/account", "demand"}
 WRITTEN_ONCE = {"catalog", "live", "over"}
 
 
 @dataclass(frozen=True)
-class Value:
+class StoredValue:
     family: str
     key: str
     value: Any
@@ -35,11 +35,11 @@
 
 
 @pytest.fixture(scope="module")
-def shared() -> Iterator[MixedVersionCluster]:
-    """A day on which both versions have led in turn and have written all that there is to write."""
+def mixed_cluster() -> Iterator[MixedVersionCluster]:
+    """A run in which both versions lead in turn and write every family of values."""
     with pytest.MonkeyPatch.context() as patched:
         for version in (PRESENT, production()):
-            # These are written after minutes, too rarely for a short day.
+            # Saved only every few minutes by default, which is too rare for a short run.
             for module in ("forecast.predictive_scaler", "delivery_deadlines.controller"):
                 patched.setattr(*version.locate(module, "SAVE_INTERVAL"), timedelta(seconds=6))
         cluster = MixedVersionCluster(7)
@@ -48,16 +48,16 @@
     yield cluster
 
 
-def values_of(cluster: MixedVersionCluster) -> list[Value]:
+def values_of(cluster: MixedVersionCluster) -> list[StoredValue]:
     return [
-        Value(family, key, orjson.loads(raw), writer)
+        StoredValue(family, key, orjson.loads(raw), writer)
         for family, written in sorted(cluster.tracking_store.values_by_family.items())
         for raw, (key, writer) in written.items()
     ]
 
 
-# Of families that a short day writes nothing of.
-RARE = [
+# Values of families that a short run does not write.
+RARELY_WRITTEN = [
     ("drain/moves", {"plans": [["j-1", "m-1", 5, [["j-2", 0, "m-2"]]]], "moved": {"j-2/0": 7}}),
     ("lead/ask", {"term": 3, "number": 1, "workers": {"m-1": "m-1:9000"}}),
     ("lead/reach/n1", {"term": 3, "number": 1, "reached": ["m-1"], "came": ["m-2"], "tallies": {"m-2": [1, 7]}}),
@@ -66,150 +66,156 @@
 
 
 def without_level(value: Any) -> Any:
-    return {name: each for name, each in value.items() if name != "level"}
+    return {name: item for name, item in value.items() if name != "level"}
 
 
-def lost(version: Version, key: str, value: Any) -> Any:
-    """None, or what the version makes of a value of which it does not keep everything."""
-    found = orjson.loads(orjson.dumps(rewrite_value(version, key, value)))
+def value_if_changed(version: Version, key: str, value: Any) -> Any:
+    """Returns None if the version keeps the whole value, and otherwise the value that it writes back."""
+    rewritten = orjson.loads(orjson.dumps(rewrite_value(version, key, value)))
     if key == "lead/leader":
-        # Each leader writes its own record, and never another's.
-        found, value = without_level(found), without_level(value)
-    return None if found == value else found
+        # A leader never rewrites the record of another leader.
+        rewritten, value = without_level(rewritten), without_level(value)
+    return None if rewritten == value else rewritten
 
 
-def test_both_versions_have_written_over_one_another_in_every_family(shared: MixedVersionCluster) -> None:
-    led = terms_led_by(shared, PRESENT)
-    assert True in led and False in led
+def test_each_version_rewrites_values_of_the_other_in_every_family(mixed_cluster: MixedVersionCluster) -> None:
+    present_version_led = terms_led_by(mixed_cluster, PRESENT)
+    assert True in present_version_led and False in present_version_led
     old = production()
     for family in sorted(REWRITTEN):
-        found = {(before, after) for each, before, after in shared.tracking_store.rewrites if each == family}
-        assert (old, PRESENT) in found and (PRESENT, old) in found, f"{family}: {found}"
-    families = {value.family for value in values_of(shared)}
+        writers = {
+            (before, after)
+            for family_rewritten, before, after in mixed_cluster.tracking_store.rewrites
+            if family_rewritten == family
+        }
+        assert (old, PRESENT) in writers and (PRESENT, old) in writers, f"{family}: {writers}"
+    families = {value.family for value in values_of(mixed_cluster)}
     assert families >= REWRITTEN | WRITTEN_ONCE
-    assert families - {"drain/pool"} <= REWRITTEN | WRITTEN_ONCE, "a family that no test knows"
+    assert families - {"drain/pool"} <= REWRITTEN | WRITTEN_ONCE, "a family that no test covers"
 
 
-@pytest.mark.parametrize("version", VERSIONS, ids=NAMES)
-def test_a_version_keeps_all_of_what_the_other_has_written(shared: MixedVersionCluster, version: Any) -> None:
-    values = [value for value in values_of(shared) if value.family != "places/note"]
+@pytest.mark.parametrize("version", VERSIONS, ids=VERSION_IDS)
+def test_each_version_keeps_all_values_of_the_other(mixed_cluster: MixedVersionCluster, version: Any) -> None:
+    values = [value for value in values_of(mixed_cluster) if value.family != "places/note"]
     assert {value.writer for value in values} == {PRESENT, production()}
-    for each in values:
-        found = lost(version(), each.key, each.value)
-        assert found is None, f"{each.key} of {each.writer.package}: {each.value} became {found}"
-    for key, value in RARE:
-        assert lost(version(), key, value) is None, key
+    for item in values:
+        rewritten = value_if_changed(version(), item.key, item.value)
+        assert rewritten is None, f"{item.key} of {item.writer.package}: {item.value} became {rewritten}"
+    for key, value in RARELY_WRITTEN:
+        assert value_if_changed(version(), key, value) is None, key
 
 
-def test_both_versions_read_the_same_from_notes(shared: MixedVersionCluster) -> None:
-    values = values_of(shared)
-    live = {value.key.removeprefix(LIVE_JOB_PREFIX): value.value for value in values if value.family == "live"}
-    notes = [value for value in values if value.family == "places/note"]
-    assert len(notes) > 50 and {note.writer for note in notes} == {PRESENT, production()}
+def test_both_versions_read_the_same_from_deltas(mixed_cluster: MixedVersionCluster) -> None:
+    values = values_of(mixed_cluster)
+    live_jobs = {value.key.removeprefix(LIVE_JOB_PREFIX): value.value for value in values if value.family == "live"}
+    deltas = [value for value in values if value.family == "places/note"]
+    assert len(deltas) > 50 and {delta.writer for delta in deltas} == {PRESENT, production()}
 
     async def read() -> None:
-        for note in notes:
-            both = [read_delta(version, note.key, note.value, live) for version in (production(), PRESENT)]
-            assert both[0] == both[1], note
-            started = {job for job, places in note.value["starts"].items() if places}
-            assert set(both[0]["starts"]) <= started
-            # Another leader may have had more notes; a field that it does not know is dropped.
-            assert read_delta(production(), "places/note-9", with_more(note.value), live) == both[0]
+        for delta in deltas:
+            readings = [read_delta(version, delta.key, delta.value, live_jobs) for version in (production(), PRESENT)]
+            assert readings[0] == readings[1], delta
+            started_jobs = {job for job, placements in delta.value["starts"].items() if placements}
+            assert set(readings[0]["starts"]) <= started_jobs
+            # Another leader may have written more deltas; production drops a field that it does not know.
+            assert read_delta(production(), "places/note-9", with_added_field(delta.value), live_jobs) == readings[0]
 
     virtual_time.run_in_virtual_time(read())
 
 
-def test_dropped_field_is_caught(shared: MixedVersionCluster, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A rewriting that loses what the other version needs: which jobs a delivery waits for."""
-    pages = [value for value in values_of(shared) if value.family == "chain"]
-    keep = chain_store.WorkflowStore.encode_page
+def test_catches_dropped_field(mixed_cluster: MixedVersionCluster, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A rewrite that loses a field that the other version needs: the deadline of a workflow."""
+    pages = [value for value in values_of(mixed_cluster) if value.family == "chain"]
+    original_encode_page = workflow_store.WorkflowStore.encode_page
 
-    def drop(self: chain_store.WorkflowStore, number: int, chains: dict[str, Any]) -> dict[str, Any]:
-        value: dict[str, Any] = keep(self, number, chains)
-        for chain in value["chains"].values():
-            chain.pop("due_ms", None)
+    def encode_without_deadline(
+        self: workflow_store.WorkflowStore, number: int, workflows: dict[str, Any]
+    ) -> dict[str, Any]:
+        value: dict[str, Any] = original_encode_page(self, number, workflows)
+        for workflow in value["chains"].values():
+            workflow.pop("due_ms", None)
         return value
 
-    assert all(lost(PRESENT, page.key, page.value) is None for page in pages)
-    monkeypatch.setattr(chain_store.WorkflowStore, "encode_page", drop)
-    assert any(lost(PRESENT, page.key, page.value) is not None for page in pages)
+    assert all(value_if_changed(PRESENT, page.key, page.value) is None for page in pages)
+    monkeypatch.setattr(workflow_store.WorkflowStore, "encode_page", encode_without_deadline)
+    assert any(value_if_changed(PRESENT, page.key, page.value) is not None for page in pages)
 
 
-# -- what production does with fields that it does not know -------------------------------------
+# -- unknown fields read by production -----------------------------------------------------------
 
 KEPT, DROPPED, REFUSED = "kept", "dropped", "refused"
 
 
-def with_more(value: dict[str, Any]) -> dict[str, Any]:
+def with_added_field(value: dict[str, Any]) -> dict[str, Any]:
     return value | {"later": 1}
 
 
-# Where a later version might put one more field, and what production makes of it. docs/upgrades.md holds this table.
-MORE = [
-    ("live/j-1", lambda value: with_more(value), DROPPED),
-    ("over/j-1", lambda value: with_more(value), DROPPED),
-    ("places/0000", lambda value: with_more(value), DROPPED),
-    ("places/0000", lambda value: {"machines": {n: with_more(m) for n, m in value["machines"].items()}}, KEPT),
-    ("chain/0000", lambda value: {"chains": {n: with_more(c) for n, c in value["chains"].items()}}, DROPPED),
-    ("chain/0000", lambda value: with_more(value), DROPPED),
-    ("drain/ask/d0", lambda value: with_more(value), DROPPED),
+# Where a later version may add a field, and what production does with it. docs/upgrades.md has the same table.
+ADDED_FIELDS = [
+    ("live/j-1", lambda value: with_added_field(value), DROPPED),
+    ("over/j-1", lambda value: with_added_field(value), DROPPED),
+    ("places/0000", lambda value: with_added_field(value), DROPPED),
+    ("places/0000", lambda value: {"machines": {n: with_added_field(m) for n, m in value["machines"].items()}}, KEPT),
+    ("chain/0000", lambda value: {"chains": {n: with_added_field(c) for n, c in value["chains"].items()}}, DROPPED),
+    ("chain/0000", lambda value: with_added_field(value), DROPPED),
+    ("drain/ask/d0", lambda value: with_added_field(value), DROPPED),
     ("drain/steps/00", lambda value: {"machines": {n: [*m, 1] for n, m in value["machines"].items()}}, REFUSED),
-    ("drain/account/00", lambda value: with_more(value), DROPPED),
+    ("drain/account/00", lambda value: with_added_field(value), DROPPED),
     ("served/account", lambda value: value | {"rows": [[*row, 1] for row in value["rows"]]}, REFUSED),
-    ("served/account", lambda value: with_more(value), DROPPED),
-    ("promise/nights", lambda value: with_more(value), DROPPED),
-    ("lead/leader", lambda value: with_more(value), DROPPED),
-    ("demand/000/00", lambda value: with_more(value), DROPPED),
-    ("drain/pool", lambda value: with_more(value), DROPPED),
+    ("served/account", lambda value: with_added_field(value), DROPPED),
+    ("promise/nights", lambda value: with_added_field(value), DROPPED),
+    ("lead/leader", lambda value: with_added_field(value), DROPPED),
+    ("demand/000/00", lambda value: with_added_field(value), DROPPED),
+    ("drain/pool", lambda value: with_added_field(value), DROPPED),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("key", "change", "expected"), MORE)
-def test_what_production_makes_of_one_more_field(
-    shared: MixedVersionCluster, key: str, change: Any, expected: str
+@pytest.mark.parametrize(("key", "change", "expected"), ADDED_FIELDS)
+def test_production_handles_added_field_as_expected(
+    mixed_cluster: MixedVersionCluster, key: str, change: Any, expected: str
 ) -> None:
     family = (
         "/".join(key.split("/")[:2]) if key.startswith(("lead", "drain", "served", "promise")) else key.split("/")[0]
     )
-    # The largest holds the most of what there can be.
-    rare = [Value(each, each, value, PRESENT) for each, value in RARE]
-    candidates = [each for each in values_of(shared) + rare if each.family == family]
-    largest = max(candidates, key=lambda each: len(orjson.dumps(each.value)))
+    # The largest value has the most optional fields.
+    rarely_written = [StoredValue(item, item, value, PRESENT) for item, value in RARELY_WRITTEN]
+    candidates = [item for item in values_of(mixed_cluster) + rarely_written if item.family == family]
+    largest = max(candidates, key=lambda item: len(orjson.dumps(item.value)))
     changed = change(largest.value)
     assert changed != largest.value
     try:
-        found = orjson.loads(orjson.dumps(rewrite_value(production(), largest.key, changed)))
+        rewritten = orjson.loads(orjson.dumps(rewrite_value(production(), largest.key, changed)))
     except Exception:
         assert expected == REFUSED
         return
-    assert expected == (KEPT if found == changed else DROPPED)
+    assert expected == (KEPT if rewritten == changed else DROPPED)
 
 
-# -- what production does with keys that it does not know ---------------------------------------
+# -- unknown keys read by production -------------------------------------------------------------
 
-ENDS_EVERY_TERM, TIDIED_AWAY, TAKEN_FOR_A_JOB, LEFT_ALONE = "ends every term", "tidied away", "a job", "left alone"
-MORE_KEYS = [
+ENDS_EVERY_TERM, DELETED, READ_AS_JOB, IGNORED_KEY = "ends every term", "deleted", "read as a job", "ignored"
+ADDED_KEYS = [
     ("places/later", ENDS_EVERY_TERM),
     ("chain/later", ENDS_EVERY_TERM),
-    ("done/j-777777/0", TIDIED_AWAY),
-    ("live/j-777777/0", TAKEN_FOR_A_JOB),
-    ("over/j-777777/0", LEFT_ALONE),
-    ("drain/later", LEFT_ALONE),
-    ("lead/later", LEFT_ALONE),
-    ("served/later", LEFT_ALONE),
-    ("promise/later", LEFT_ALONE),
-    ("demand/later", LEFT_ALONE),
-    ("awaits/j-777777/0", LEFT_ALONE),
+    ("done/j-777777/0", DELETED),
+    ("live/j-777777/0", READ_AS_JOB),
+    ("over/j-777777/0", IGNORED_KEY),
+    ("drain/later", IGNORED_KEY),
+    ("lead/later", IGNORED_KEY),
+    ("served/later", IGNORED_KEY),
+    ("promise/later", IGNORED_KEY),
+    ("demand/later", IGNORED_KEY),
+    ("awaits/j-777777/0", IGNORED_KEY),
 ]
 
 
-@pytest.mark.parametrize(("key", "expected"), MORE_KEYS)
-def test_what_production_makes_of_one_more_key(key: str, expected: str) -> None:
-    """A key that a later version might make, as a leader of production takes over."""
+@pytest.mark.parametrize(("key", "expected"), ADDED_KEYS)
+def test_production_handles_added_key_as_expected(key: str, expected: str) -> None:
+    """A leader of the production version takes over with a key that a later version may write."""
     cluster = SimulatedCluster(7800, is_calm=True, controller_count=2, versions=[production()] * 2)
-    found: list[str] = []
+    outcomes: list[str] = []
 
-    def leading() -> Any:
+    def find_leader_term() -> Any:
         return next(
             (
                 leader_term
@@ -226,21 +232,21 @@
         cluster.state.apply_change(key, {"jobs": ["j-1"]}, None)
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(14)
-        leader_term = leading()
+        leader_term = find_leader_term()
         if leader_term is None:
-            found.append(ENDS_EVERY_TERM)
+            outcomes.append(ENDS_EVERY_TERM)
         elif key not in cluster.state.keys:
-            found.append(TIDIED_AWAY)
+            outcomes.append(DELETED)
         else:
-            found.append(
-                TAKEN_FOR_A_JOB
+            outcomes.append(
+                READ_AS_JOB
                 if key.removeprefix(LIVE_JOB_PREFIX) in production().attribute(leader_term, "cluster_state.jobs")
-                else LEFT_ALONE
+                else IGNORED_KEY
             )
 
     cluster.schedule_action(take_over)
     cluster.run(length_s=40, job_count=5)
-    assert found == [expected]
+    assert outcomes == [expected]
     if expected != ENDS_EVERY_TERM:
         raise_first_failure(cluster)
 
@@ -248,15 +254,15 @@
 # -- messages between controllers ----------------------------------------------------------------
 
 
-@pytest.mark.parametrize("leader", VERSIONS, ids=NAMES)
-def test_controllers_of_both_versions_answer_one_another(leader: Any) -> None:
-    """One of each version, and either of them leads: what each is told by the other."""
+@pytest.mark.parametrize("leader", VERSIONS, ids=VERSION_IDS)
+def test_controllers_of_both_versions_answer_each_other(leader: Any) -> None:
+    """Two controllers, one of each version, with either as leader: each answers every query of the other."""
     other = PRESENT if leader() is production() else production()
     cluster = SimulatedCluster(7700, is_calm=True, controller_count=2, versions=[leader(), other])
-    asked: list[str] = []
+    verified: list[str] = []
 
-    async def ask(cluster: SimulatedCluster) -> None:
-        # The other one stands later: its process ends, and is back when the first leads.
+    async def query_each_other(cluster: SimulatedCluster) -> None:
+        # The second controller starts later, so that the first leads.
         cluster.nodes[1].crash()
         await asyncio.sleep(4)
         cluster.nodes[1].start()
@@ -264,21 +270,24 @@
         assert cluster.current_leader() is cluster.nodes[0]
         for node in cluster.nodes:
             service: Any = node.service
-            own = node.running_version.attribute
-            assert await own(service, "membership.fetch_latest_leader")() == ("n0", 1)
-            acknowledged = await own(service, "membership.fetch_acknowledged_cancellations")(timedelta(seconds=5))
-            others = [each for each in cluster.nodes if each is not node and each.service is not None]
+            attribute = node.running_version.attribute
+            assert await attribute(service, "membership.fetch_latest_leader")() == ("n0", 1)
+            acknowledged = await attribute(service, "membership.fetch_acknowledged_cancellations")(timedelta(seconds=5))
+            others = [peer for peer in cluster.nodes if peer is not node and peer.service is not None]
             acknowledged_since = others[0].running_version.attribute(
                 others[0].service, "submission_handlers.acknowledged_cancellations_since"
             )
-            assert (acknowledged.term, own(acknowledged, "job_ids")) == (1, acknowledged_since(timedelta(seconds=5)))
-            turned_away = await own(service, "_gather_rejections")()
-            assert turned_away.keys() == {"n0", "n1"}
-            reached, _ = await own(service, "membership.probe_workers")(
+            assert (acknowledged.term, attribute(acknowledged, "job_ids")) == (
+                1,
+                acknowledged_since(timedelta(seconds=5)),
+            )
+            rejections = await attribute(service, "_gather_rejections")()
+            assert rejections.keys() == {"n0", "n1"}
+            reached, _ = await attribute(service, "membership.probe_workers")(
                 {name: f"{name}:9000" for name in cluster.workers}
             )
             assert sorted(reached) == sorted(cluster.workers)
-            asked.append(node.name)
+            verified.append(node.name)
         jobs = sorted(cluster.accepted_jobs - cluster.observed_ends.keys())
         counts = [
             await node.running_version.attribute(node.service, "_fetch_progress")(jobs)
@@ -286,25 +295,25 @@
             if node.service is not None
         ]
         assert jobs and counts[0].keys() == counts[1].keys() == set(jobs)
-        report = orjson.dumps(next(iter(cluster.workers.values())).heartbeat_body())
-        sent_on = await cluster.nodes[1].serve_public("POST", "/hello", report)
-        assert sent_on is not None and sent_on.status == 421
-        assert orjson.loads(sent_on.body)["answers_to"] == "n0"
+        heartbeat = orjson.dumps(next(iter(cluster.workers.values())).heartbeat_body())
+        redirect = await cluster.nodes[1].serve_public("POST", "/hello", heartbeat)
+        assert redirect is not None and redirect.status == 421
+        assert orjson.loads(redirect.body)["answers_to"] == "n0"
         for path in ("/reach", "/status", "/limits", "/forecast"):
             response = await cluster.nodes[1].serve_peer("GET", path, b"")
             assert response is not None and response.status == 200, path
-        passed_on = await cluster.nodes[1].serve_peer("POST", "/drains", orjson.dumps({"verb": "status"}))
-        assert passed_on is not None and passed_on.status == 200
-        asked.append("all")
+        forwarded = await cluster.nodes[1].serve_peer("POST", "/drains", orjson.dumps({"verb": "status"}))
+        assert forwarded is not None and forwarded.status == 200
+        verified.append("all")
 
-    cluster.schedule_action(ask)
+    cluster.schedule_action(query_each_other)
     raise_first_failure(cluster.run(length_s=30, job_count=10))
-    assert asked == ["n0", "n1", "all"]
+    assert verified == ["n0", "n1", "all"]
 
 
 IGNORED = "ignored"
-# One more field in what is said, and what production makes of it. Orders with one are refused with 400.
-MESSAGES = [
+# What production does with an additional field in a message. Operator commands with one are refused with 400.
+ADDED_MESSAGE_FIELDS = [
     ("membership.messages", "AcknowledgedCancellationsQuery", {"since_s": 5.0}, IGNORED),
     ("membership.messages", "AcknowledgedCancellations", {"term": 1, "cancelled": []}, IGNORED),
     ("service_levels.messages", "RejectedRequests", {"instance": "a", "up_s": 1.0, "rows": []}, IGNORED),
@@ -316,85 +325,91 @@
 ]
 
 
-@pytest.mark.parametrize(("module", "name", "value", "expected"), MESSAGES)
-def test_what_production_makes_of_one_more_field_in_a_message(
+@pytest.mark.parametrize(("module", "name", "value", "expected"), ADDED_MESSAGE_FIELDS)
+def test_production_handles_added_message_field_as_expected(
     module: str, name: str, value: dict[str, Any], expected: str
 ) -> None:
     message = production().find(module, name)
     assert msgspec.convert(value, message)
     if expected == REFUSED:
         with pytest.raises(msgspec.ValidationError):
-            msgspec.convert(with_more(value), message)
+            msgspec.convert(with_added_field(value), message)
     else:
-        assert msgspec.convert(with_more(value), message) == msgspec.convert(value, message)
+        assert msgspec.convert(with_added_field(value), message) == msgspec.convert(value, message)
 
 
-def test_production_takes_a_submission_that_names_awaited_jobs_for_one_that_names_none() -> None:
-    """So users may name them only once every controller has the new version."""
+def test_production_ignores_dependencies_of_a_submission() -> None:
+    """So users may submit dependencies only after every controller runs the new version."""
     cluster = SimulatedCluster(1)
     wire = {name: value for name, value in cluster.make_job().items() if name != "mistaken"}
     submission = production().find("submissions.messages", "Submission")
-    found = msgspec.convert(wire | {"awaits": ["j-1"]}, submission)
-    assert found == msgspec.convert(wire, submission)
+    converted = msgspec.convert(wire | {"awaits": ["j-1"]}, submission)
+    assert converted == msgspec.convert(wire, submission)
 
 
-# -- jobs that await others, under a leader of production ---------------------------------------
+# -- jobs with dependencies under a leader of production -----------------------------------------
 
-AWAITING = "j-777777"
+DEPENDENT_JOB = "j-777777"
 
 
-def awaiting_record(after: Any) -> dict[str, Any]:
+def dependent_job_record(dependencies: Any) -> dict[str, Any]:
     spec = JobSpec(
-        AWAITING, "x", "t0", "array", 3, 2, 1.0, 0.0, 1.0, estimated_duration_s=2.0, image="img-1", image_gb=0.5
+        DEPENDENT_JOB, "x", "t0", "array", 3, 2, 1.0, 0.0, 1.0, estimated_duration_s=2.0, image="img-1", image_gb=0.5
     )
     record: dict[str, Any] = to_stored(spec)
-    return record | {"after": msgspec.to_builtins(after)}
+    return record | {"after": msgspec.to_builtins(dependencies)}
 
 
-class AwaitingWorld(SimulatedCluster):
-    """Two controllers of production; one job's record names another that is done; later the present version leads."""
+class DependentJobCluster(SimulatedCluster):
+    """Two production controllers and a stored job that depends on a completed one; later both are upgraded."""
 
     def __init__(self, seed: int, record: dict[str, Any]) -> None:
         super().__init__(
             seed, is_calm=True, controller_count=2, versions=[production()] * 2, restart_delay_range_s=(3.0, 4.0)
         )
         self.record = record
-        self.without_request.add(AWAITING)  # its record is written, and no user submits it
+        self.without_request.add(DEPENDENT_JOB)  # the test stores its record; no user submits it
         self.answers: list[tuple[float, int, dict[str, Any]]] = []
-        self.started: list[float] = []
-        self.upgrade_begins, self.upgraded_at = 45.0, 0.0
+        self.start_times: list[float] = []
+        self.upgrade_begins_at, self.upgraded_at = 45.0, 0.0
         self.cancel_at: float | None = None
-        for act in (AwaitingWorld.write, AwaitingWorld.ask_on, AwaitingWorld.upgrade):
-            self.schedule_action(act)  # type: ignore[arg-type]
+        for action in (DependentJobCluster.store_records, DependentJobCluster.poll_status, DependentJobCluster.upgrade):
+            self.schedule_action(action)  # type: ignore[arg-type]
 
-    async def write(self) -> None:
+    async def store_records(self) -> None:
         await asyncio.sleep(10)
         wire = self.make_job() | {"shape": "sweep", "parcels": 2, "cores": 1.0, "accelerators": 0.0, "builds": None}
-        more = {"kit": "img-1", "size_gb": 0.5, "guess_s": 2.0, "crew": "t0", "mistaken": False, "yard": None}
-        self.jobs[AWAITING] = wire | more | {"name_id": AWAITING, "together": False, "loaners": True}
+        job_fields = {"kit": "img-1", "size_gb": 0.5, "guess_s": 2.0, "crew": "t0", "mistaken": False, "yard": None}
+        self.jobs[DEPENDENT_JOB] = wire | job_fields | {"name_id": DEPENDENT_JOB, "together": False, "loaners": True}
         ended = {"state": "done", "tasks": 1, "team": "t0", "job_class": "x"}
-        guards = [{"path": COMPLETED_JOB_PREFIX + "j-1", "stamp": 0}, {"path": LIVE_JOB_PREFIX + AWAITING, "stamp": 0}]
-        ops = [{"put": COMPLETED_JOB_PREFIX + "j-1", "v": ended}, {"put": LIVE_JOB_PREFIX + AWAITING, "v": self.record}]
+        guards = [
+            {"path": COMPLETED_JOB_PREFIX + "j-1", "stamp": 0},
+            {"path": LIVE_JOB_PREFIX + DEPENDENT_JOB, "stamp": 0},
+        ]
+        ops = [
+            {"put": COMPLETED_JOB_PREFIX + "j-1", "v": ended},
+            {"put": LIVE_JOB_PREFIX + DEPENDENT_JOB, "v": self.record},
+        ]
         await self.state.handle("n0", "POST", "/txn", {"guards": guards, "then": ops})
-        self.accepted_jobs.add(AWAITING)
+        self.accepted_jobs.add(DEPENDENT_JOB)
 
-    async def ask_on(self) -> None:
+    async def poll_status(self) -> None:
         await asyncio.sleep(11)
         while True:
             if self.cancel_at is not None and virtual_now() >= self.cancel_at:
-                self.cancel_requested.add(AWAITING)
-                status, answer = await self.ask("POST", f"/submissions/{AWAITING}/cancel")
+                self.cancel_requested.add(DEPENDENT_JOB)
+                status, answer = await self.ask("POST", f"/submissions/{DEPENDENT_JOB}/cancel")
             else:
-                status, answer = await self.ask("GET", f"/submissions/{AWAITING}")
-            self.check_answer(AWAITING, status, answer)
+                status, answer = await self.ask("GET", f"/submissions/{DEPENDENT_JOB}")
+            self.check_answer(DEPENDENT_JOB, status, answer)
             self.answers.append((virtual_now(), status, answer))
             await asyncio.sleep(1)
 
     async def upgrade(self) -> None:
-        # Elections of production on production's record first.
+        # First, a production leader takes over from a production leader.
         await asyncio.sleep(25)
         await self.restart_controller(self.current_leader())
-        await asyncio.sleep(max(0.0, self.upgrade_begins - virtual_now()))
+        await asyncio.sleep(max(0.0, self.upgrade_begins_at - virtual_now()))
         self.upgraded_at = virtual_now()
         for node in self.nodes:
             node.version = PRESENT
@@ -402,44 +417,47 @@
 
     def check_start(self, worker: Any, task: Any) -> None:
         super().check_start(worker, task)
-        if task.job_id == AWAITING:
-            self.started.append(virtual_now())
+        if task.job_id == DEPENDENT_JOB:
+            self.start_times.append(virtual_now())
             self.check_rule(
-                self.upgraded_at > 0, f"too_early: {AWAITING} started by a version that does not know why it waits"
+                self.upgraded_at > 0,
+                f"too_early: {DEPENDENT_JOB} started by a version that cannot read its dependencies",
             )
 
 
 @pytest.mark.parametrize("seed", [7600, 7601])
-def test_an_awaiting_job_is_held_by_production_and_goes_on_after_the_upgrade(seed: int) -> None:
-    cluster = AwaitingWorld(seed, awaiting_record(StoredDependencies(job_ids=["j-1"])))
+def test_production_holds_dependent_job_until_the_upgrade(seed: int) -> None:
+    cluster = DependentJobCluster(seed, dependent_job_record(StoredDependencies(job_ids=["j-1"])))
     raise_first_failure(cluster.run(length_s=90, job_count=8))
-    before = [
+    statuses_before_upgrade = [
         (status, answer["standing"]) for at, status, answer in cluster.answers if at < cluster.upgraded_at and status
     ]
-    assert len(before) > 20 and set(before) == {(200, "queued")}
-    assert cluster.started and stored_job_state(cluster, AWAITING) == "done"
+    assert len(statuses_before_upgrade) > 20 and set(statuses_before_upgrade) == {(200, "queued")}
+    assert cluster.start_times and stored_job_state(cluster, DEPENDENT_JOB) == "done"
 
 
-def test_an_awaiting_job_can_be_cancelled_under_production() -> None:
-    cluster = AwaitingWorld(7602, awaiting_record(StoredDependencies(part_count=2, digest="0123")))
+def test_dependent_job_can_be_cancelled_under_production() -> None:
+    cluster = DependentJobCluster(7602, dependent_job_record(StoredDependencies(part_count=2, digest="0123")))
     cluster.cancel_at = 18.0
     raise_first_failure(cluster.run(length_s=18 + 2 * CANCEL_DEADLINE_S, job_count=4))
-    assert not cluster.started and stored_job_state(cluster, AWAITING) == "cancelled"
+    assert not cluster.start_times and stored_job_state(cluster, DEPENDENT_JOB) == "cancelled"
 
 
-def test_an_awaiting_record_that_names_a_chain_too_is_ended_by_production() -> None:
-    """So such a record must not be written: production takes it for a step whose chain was never recorded.
+def test_production_cancels_dependent_job_record_that_names_a_workflow() -> None:
+    """Such a record must not be written: production treats it as a step whose workflow was never stored.
 
-    It is accepted long ago here; production gives a chain some minutes to be recorded.
+    The job here was accepted long ago; production waits some minutes for a workflow to be stored.
     """
-    cluster = AwaitingWorld(7603, awaiting_record(StoredDependencies(job_ids=["j-1"])) | {"chain": "c-1"})
-    cluster.upgrade_begins = 1e9
+    cluster = DependentJobCluster(7603, dependent_job_record(StoredDependencies(job_ids=["j-1"])) | {"chain": "c-1"})
+    cluster.upgrade_begins_at = 1e9
     cluster.run(length_s=60, job_count=2)
-    assert any("cancelled by nobody" in str(broken) for broken in cluster.rule_violations), cluster.rule_violations
-    assert stored_job_state(cluster, AWAITING) == "cancelled"
+    assert any("cancelled by nobody" in str(violation) for violation in cluster.rule_violations), (
+        cluster.rule_violations
+    )
+    assert stored_job_state(cluster, DEPENDENT_JOB) == "cancelled"
 
 
-def test_wrote_new_early_is_caught() -> None:
-    """Awaited jobs as a plain list: production takes it for a record of its own, and starts the job."""
-    cluster = AwaitingWorld(7600, awaiting_record(["j-1"])).run(length_s=40, job_count=8)
-    assert any("too_early" in str(broken) for broken in cluster.rule_violations), cluster.rule_violations
+def test_catches_dependencies_written_in_a_format_production_misreads() -> None:
+    """With dependencies as a plain list, production reads the record as its own format and starts the job."""
+    cluster = DependentJobCluster(7600, dependent_job_record(["j-1"])).run(length_s=40, job_count=8)
+    assert any("too_early" in str(violation) for violation in cluster.rule_violations), cluster.rule_violations
