--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -49,8 +49,8 @@
     fault_probability: float
     draw_outcome: Callable[[Random], str]
     violations: list[str] = field(default_factory=list)
-    acceptance_times_s: list[float] = field(default_factory=list)  # to the answer of each first submission; 1e9: none
-    rejection_times_s: list[float] = field(default_factory=list)  # to each 503
+    acceptance_times_s: list[float] = field(default_factory=list)  # of first submissions; 1e9: no answer
+    rejection_times_s: list[float] = field(default_factory=list)  # of answers with 503
     cancel_times_s: list[float] = field(default_factory=list)
     requests_by_second: Counter[int] = field(default_factory=Counter)  # requests to the key-value store
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -411,9 +411,9 @@
     answer_times_s: list[float] = []
     success_count = 0
     for seed in LEADER_SEEDS:
-        violations, each, successes = virtual_time.run_in_virtual_time(_run_leader(seed, may_resend))
+        violations, run_times_s, successes = virtual_time.run_in_virtual_time(_run_leader(seed, may_resend))
         assert not violations, f"seed {seed}: {violations}"
-        answer_times_s, success_count = answer_times_s + each, success_count + successes
+        answer_times_s, success_count = answer_times_s + run_times_s, success_count + successes
     assert success_count > (4000 if may_resend else 2000)
     # A value that equals that of an earlier attempt which may still run cannot be confirmed without delay.
     assert sum(each < PROMPT_ANSWER_S for each in answer_times_s) / len(answer_times_s) > 0.9
