--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -36,7 +36,7 @@
 from tests.test_settings import EXAMPLE, changed
 from tests.test_simulated_days import check
 
-MS = 1_700_000_000_000
+NOW_MS = 1_700_000_000_000
 STORE_LIMITS: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
 
 # -- settings ------------------------------------------------------------------------------------
@@ -96,7 +96,7 @@
 
     def __init__(self, value_bytes: int, txn_ops: int, error_text: str = "no") -> None:
         self.value_bytes, self.txn_ops, self.error_text = value_bytes, txn_ops, error_text
-        self.busy = 0  # number of requests still to be answered with 429
+        self.rate_limited_requests = 0  # number of requests still to be answered with 429
         self.keys: dict[str, Any] = {}
         self.calls = 0
 
@@ -105,8 +105,8 @@
 
     async def send(self, method: str, path: str, body: Any = None, **options: object) -> Reply:
         self.calls += 1
-        if self.busy > 0:
-            self.busy -= 1
+        if self.rate_limited_requests > 0:
+            self.rate_limited_requests -= 1
             return Reply(429, b"")
         if method == "GET":
             return self.read(path.removeprefix("/store/"))
@@ -166,10 +166,10 @@
 
 def test_rate_limited_change_is_retried_before_it_fails() -> None:
     store = RefusingStore(2048, 8)
-    store.busy = 3
+    store.rate_limited_requests = 3
     results = virtual_time.run_in_virtual_time(_commit_all(store, {"a": 10, "b": 10}))
     assert all(isinstance(result, int) for result in results)
-    store.busy = 10**6
+    store.rate_limited_requests = 10**6
     assert all(
         isinstance(result, RateLimited) for result in virtual_time.run_in_virtual_time(_commit_all(store, {"c": 10}))
     )
@@ -597,11 +597,11 @@
     client = RefusingStore(2048, 8).client()
     client.transaction_limits.max_value_bytes = 2048
     store = DrainStore(client, 1)
-    large_drain = Drain(DrainRequest("d", machines=[f"i-{n:06d}" for n in range(400)]), MS, MS, 0.0, "i-999999")
+    large_drain = Drain(DrainRequest("d", machines=[f"i-{n:06d}" for n in range(400)]), NOW_MS, NOW_MS, 0.0, "i-999999")
     assert not store.fits_value(large_drain) and store.fits_value(
-        Drain(DrainRequest("e", machines=["i-1"]), MS, MS, 0.0, "i-9")
+        Drain(DrainRequest("e", machines=["i-1"]), NOW_MS, NOW_MS, 0.0, "i-9")
     )
-    ended_drain = msgspec.structs.replace(large_drain, outcome="done", ended_at_ms=MS)
+    ended_drain = msgspec.structs.replace(large_drain, outcome="done", ended_at_ms=NOW_MS)
     assert len(orjson.dumps(store.encode_ended_drain(ended_drain))) <= 2048
     assert msgspec.convert(store.encode_ended_drain(ended_drain), Drain).outcome == "done"
     stored_moves = store.fit_rebalancing(
@@ -612,4 +612,4 @@
 
 def make_workflow(name: str, steps: int) -> Workflow:
     workflow_steps = [WorkflowStep(f"{name}-step-{n}", "import", list(range(n)), []) for n in range(steps)]
-    return Workflow(name, 1, "t0", MS, MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], workflow_steps)
+    return Workflow(name, 1, "t0", NOW_MS, NOW_MS, "digest" * 5, [f"lot-{name}-{n}" for n in range(3)], workflow_steps)
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -32,10 +32,10 @@
 
 def refusal_then_outage_cluster(seed: int) -> tuple[LongTaskCluster, list[float]]:
     """The store refuses the leader alone, jobs are cancelled through other controllers, then a long outage hits all."""
-    draw = Random(seed)
-    lease_s = draw.choice([4.0, 6.0, 9.0])
-    cancel_deadline_s = lease_s + draw.choice([4.0, 8.0, 14.0])
-    refused_alone_s = draw.uniform(0.3, 2.3) if seed % 3 else draw.uniform(3.0, 9.0)
+    rng = Random(seed)
+    lease_s = rng.choice([4.0, 6.0, 9.0])
+    cancel_deadline_s = lease_s + rng.choice([4.0, 8.0, 14.0])
+    refused_alone_s = rng.uniform(0.3, 2.3) if seed % 3 else rng.uniform(3.0, 9.0)
     cluster = LongTaskCluster(seed, params_override=worker_params(lease_s, cancel_deadline_s))
     outage_durations_s: list[float] = []
 
@@ -49,7 +49,7 @@
                 "refused"  # otherwise its peers report the cancels, or a successor if one is elected in time
             )
         # Answers in flight when the store begins to refuse arrive late.
-        cluster.max_store_delay_s = draw.choice([0.0, 1.0, 2.9, 2.9])
+        cluster.max_store_delay_s = rng.choice([0.0, 1.0, 2.9, 2.9])
         await asyncio.sleep(3)
         cluster.state.refused_controllers.add(node.name)
         started_at = virtual_now()
