--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -1,4 +1,4 @@
-"""Demand as it is counted and kept: against a plain recount, through take-overs, and with whatever the store holds."""
+"""Demand history: counts against a direct recount, across leader changes, and with corrupt stored blocks."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
     SimulatedKeyValueStore,
     virtual_wall_clock,
 )
-from tests.simulation.cluster import make_settings as world_settings
+from tests.simulation.cluster import make_settings as make_controller_settings
 from tests.simulation.demand_weeks import make_demand
 from tests.test_simulated_days import check
 
@@ -46,138 +46,161 @@
     return f"demand/{block}"
 
 
-def again(history: DemandHistory, weeks: int = 2, series_most: int = 48, at: float = 0.0) -> DemandHistory:
-    """What a new leader reads back."""
-    copy = DemandHistory(SLOT, weeks, series_most)
+def reload_as_new_leader(
+    history: DemandHistory, weeks: int = 2, series_most: int = 48, loaded_at: float = 0.0
+) -> DemandHistory:
+    """The history that a new leader loads from the stored blocks."""
+    loaded = DemandHistory(SLOT, weeks, series_most)
     for number, block in sorted(history.open_blocks.items()):
         value = orjson.loads(orjson.dumps(history.encode(block, 8192)))
-        copy.load_block(value, 1, at, key_of(number), key_of)
-    return copy
+        loaded.load_block(value, 1, loaded_at, key_of(number), key_of)
+    return loaded
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_counts_agree_with_a_plain_recount_after_each_slot(seed: int) -> None:
-    draw = random.Random(seed)
+def test_slot_peaks_and_means_match_a_direct_recount(seed: int) -> None:
+    rng = random.Random(seed)
     history = DemandHistory(SLOT, 1, 48)
     jobs: list[Demand] = []
-    ended: dict[str, float] = {}
-    at = float(BEGIN)
-    while at < BEGIN + 5000:
-        at += draw.expovariate(1 / 60)
-        if jobs and draw.random() < 0.2:
-            job = draw.choice(jobs)
-            if at < min(ended.get(job.job_id, at + 1), job.accepted_at + job.duration_s):
-                history.record_ended_job(job.job_id, at)
-                ended[job.job_id] = at
+    ended_at_by_job: dict[str, float] = {}
+    now = float(BEGIN)
+    while now < BEGIN + 5000:
+        now += rng.expovariate(1 / 60)
+        if jobs and rng.random() < 0.2:
+            job = rng.choice(jobs)
+            if now < min(ended_at_by_job.get(job.job_id, now + 1), job.accepted_at + job.duration_s):
+                history.record_ended_job(job.job_id, now)
+                ended_at_by_job[job.job_id] = now
             continue
-        job = make_demand(
-            at, draw.uniform(1, 9), draw.expovariate(1 / 400), draw.choice(["t0", "t1"]), draw.choice("xy")
-        )
+        job = make_demand(now, rng.uniform(1, 9), rng.expovariate(1 / 400), rng.choice(["t0", "t1"]), rng.choice("xy"))
         history.record_accepted_job(job)
         jobs.append(job)
-        slot = history.slot_of(at) - 1
-        spans = [(j, j.accepted_at, min(j.accepted_at + j.duration_s, ended.get(j.job_id, at + 1e9))) for j in jobs]
-        begin, end = slot * SLOT, (slot + 1) * SLOT
+        slot = history.slot_of(now) - 1
+        active_spans = [
+            (job, job.accepted_at, min(job.accepted_at + job.duration_s, ended_at_by_job.get(job.job_id, now + 1e9)))
+            for job in jobs
+        ]
+        slot_begin, slot_end = slot * SLOT, (slot + 1) * SLOT
         for key, _, peak, mean in history.loads(slot):
-            mine = [(j.units, a, b) for j, a, b in spans if j.key == key and a < end and b > begin]
-            area = sum(u * (min(b, end) - max(a, begin)) for u, a, b in mine)
-            moments = [begin, *(a for _, a, _ in mine if a >= begin)]
-            most = max(sum(u for u, a, b in mine if a <= m < b) for m in moments)
-            assert mean * SLOT == pytest.approx(area, rel=1e-4, abs=1e-2)
-            assert peak == pytest.approx(most, rel=1e-4)
-    tasks = sum(
+            overlapping_jobs = [
+                (job.units, begins, ends)
+                for job, begins, ends in active_spans
+                if job.key == key and begins < slot_end and ends > slot_begin
+            ]
+            unit_seconds = sum(
+                units * (min(ends, slot_end) - max(begins, slot_begin)) for units, begins, ends in overlapping_jobs
+            )
+            change_instants = [slot_begin, *(begins for _, begins, _ in overlapping_jobs if begins >= slot_begin)]
+            expected_peak = max(
+                sum(units for units, begins, ends in overlapping_jobs if begins <= moment < ends)
+                for moment in change_instants
+            )
+            assert mean * SLOT == pytest.approx(unit_seconds, rel=1e-4, abs=1e-2)
+            assert peak == pytest.approx(expected_peak, rel=1e-4)
+    counted_tasks = sum(
         cell[1]
         for block in history.open_blocks.values()
         for cells in block.cells_by_series.values()
         for cell in cells.values()
     )
-    assert tasks == sum(job.task_count for job in jobs)
+    assert counted_tasks == sum(job.task_count for job in jobs)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_take_over_at_any_moment_counts_each_job_once(seed: int) -> None:
-    """Jobs up to the mark are the former leader's; what is newer and still lives is the new one's to count."""
-    draw = random.Random(seed)
-    jobs = [make_demand(BEGIN + draw.uniform(0, 3000), draw.uniform(1, 9), number=n) for n in range(30)]
+def test_leader_change_at_any_point_counts_each_job_once(seed: int) -> None:
+    """Jobs up to the stored revision are only added to the active ones; the new leader counts those after it."""
+    rng = random.Random(seed)
+    jobs = [make_demand(BEGIN + rng.uniform(0, 3000), rng.uniform(1, 9), number=number) for number in range(30)]
     jobs.sort(key=lambda job: job.accepted_at)
-    first = DemandHistory(SLOT, 2, 48)
-    cut = draw.randrange(30)
-    first.advance_to(BEGIN)
-    for job in jobs[:cut]:
-        first.record_accepted_job(job)
-    first.counted_revision = cut  # revisions are places in the list
-    lost = draw.randrange(cut, 31)  # counted by the former leader, but never written
-    at = jobs[lost - 1].accepted_at + 3 if lost else float(BEGIN)
-    second = again(first, at=at)
-    second.advance_to(at)
-    for number, job in enumerate(jobs[:lost], 1):
-        second.record_accepted_job(job, is_recount=number <= second.counted_revision)
-    for job in jobs[lost:]:
-        second.record_accepted_job(job)
-    whole = DemandHistory(SLOT, 2, 48)
+    first_leader = DemandHistory(SLOT, 2, 48)
+    saved_count = rng.randrange(30)
+    first_leader.advance_to(BEGIN)
+    for job in jobs[:saved_count]:
+        first_leader.record_accepted_job(job)
+    first_leader.counted_revision = saved_count  # a job's revision is its position in the list, from 1
+    accepted_count = rng.randrange(saved_count, 31)  # the last counts were never written
+    loaded_at = jobs[accepted_count - 1].accepted_at + 3 if accepted_count else float(BEGIN)
+    second_leader = reload_as_new_leader(first_leader, loaded_at=loaded_at)
+    second_leader.advance_to(loaded_at)
+    for number, job in enumerate(jobs[:accepted_count], 1):
+        second_leader.record_accepted_job(job, is_recount=number <= second_leader.counted_revision)
+    for job in jobs[accepted_count:]:
+        second_leader.record_accepted_job(job)
+    uninterrupted = DemandHistory(SLOT, 2, 48)
     for job in jobs:
-        whole.record_accepted_job(job)
-    for history in (second, whole):
+        uninterrupted.record_accepted_job(job)
+    for history in (second_leader, uninterrupted):
         history.advance_to(BEGIN + 3600)
     for slot in range(BEGIN // SLOT, BEGIN // SLOT + 12):
-        found, right = ([peak for _, _, peak, _ in h.loads(slot)] for h in (second, whole))
-        if slot >= second.slot_of(at):
-            assert found == pytest.approx(right, rel=1e-3)  # four digits are kept
-    sums = [
+        loaded_peaks, expected_peaks = (
+            [peak for _, _, peak, _ in history.loads(slot)] for history in (second_leader, uninterrupted)
+        )
+        if slot >= second_leader.slot_of(loaded_at):
+            assert loaded_peaks == pytest.approx(expected_peaks, rel=1e-3)  # stored values have four significant digits
+    totals = [
         [
-            sum(c[i] for b in h.open_blocks.values() for cells in b.cells_by_series.values() for c in cells.values())
-            for i in (0, 1)
+            sum(
+                cell[index]
+                for block in history.open_blocks.values()
+                for cells in block.cells_by_series.values()
+                for cell in cells.values()
+            )
+            for index in (0, 1)
         ]
-        for h in (second, whole)
+        for history in (second_leader, uninterrupted)
     ]
-    assert sums[0] == pytest.approx(sums[1], rel=1e-3)
+    assert totals[0] == pytest.approx(totals[1], rel=1e-3)
 
 
-def test_clock_behind_the_former_leaders_leaves_its_counts_alone() -> None:
-    first = DemandHistory(SLOT, 2, 48)
-    first.record_accepted_job(make_demand(BEGIN + 290, 8.0))
-    first.advance_to(BEGIN + 310)  # into the next slot
-    second = again(first, at=BEGIN + 299)
-    second.advance_to(BEGIN + 299)
-    second.record_accepted_job(make_demand(BEGIN + 299, 1.0, span=100.0, number=1))
-    second.advance_to(BEGIN + 330)
-    assert [peak for _, _, peak, _ in second.loads(BEGIN // SLOT + 1)] == [pytest.approx(8.0)]
+def test_clock_behind_the_previous_leader_keeps_its_counts() -> None:
+    first_leader = DemandHistory(SLOT, 2, 48)
+    first_leader.record_accepted_job(make_demand(BEGIN + 290, 8.0))
+    first_leader.advance_to(BEGIN + 310)  # into the next slot
+    second_leader = reload_as_new_leader(first_leader, loaded_at=BEGIN + 299)
+    second_leader.advance_to(BEGIN + 299)
+    second_leader.record_accepted_job(make_demand(BEGIN + 299, 1.0, duration_s=100.0, number=1))
+    second_leader.advance_to(BEGIN + 330)
+    assert [peak for _, _, peak, _ in second_leader.loads(BEGIN // SLOT + 1)] == [pytest.approx(8.0)]
 
 
-def test_thousand_classes_of_many_teams_stay_within_the_bounds_and_lose_no_task() -> None:
+def test_thousand_job_classes_stay_within_size_limits_and_lose_no_task() -> None:
     history = DemandHistory(SLOT, 2, 24, best_effort_teams=["guest"])
-    tasks = 0
+    task_count = 0
     for number in range(1000):
-        guest = number % 3 == 0
-        at = BEGIN + 7000 + number
-        job = make_demand(at, 4.0, team="guest" if guest else f"t{number % 40}", job_class="k" * 180 + str(number))
+        is_best_effort = number % 3 == 0
+        accepted_at = BEGIN + 7000 + number
+        job = make_demand(
+            accepted_at, 4.0, team="guest" if is_best_effort else f"t{number % 40}", job_class="k" * 180 + str(number)
+        )
         history.record_accepted_job(job)
-        tasks += job.task_count
+        task_count += job.task_count
     assert len(history.series) <= 24 + MAX_TEAM_WIDE_SERIES + 4
     assert sum(key.team == "guest" for key in history.series) <= 24 * 0.25 + 1
-    total = 0.0
+    stored_task_count = 0.0
     for block in history.open_blocks.values():
         value = history.encode(block, 8192)
         assert len(orjson.dumps(value)) <= 8192
-        total += sum(cell[1] for row in value["series"] for cell in row[4].values())
-    assert total == pytest.approx(tasks, rel=1e-3)
-    assert sum(peak for _, _, peak, _ in again(history, 2, 24, BEGIN + 8000).loads(history.newest_slot)) > 0
+        stored_task_count += sum(cell[1] for row in value["series"] for cell in row[4].values())
+    assert stored_task_count == pytest.approx(task_count, rel=1e-3)
+    assert (
+        sum(peak for _, _, peak, _ in reload_as_new_leader(history, 2, 24, BEGIN + 8000).loads(history.newest_slot)) > 0
+    )
 
 
-def test_keys_of_many_weeks_are_a_bounded_ring_and_old_rounds_are_not_read_as_new() -> None:
+def test_block_keys_form_a_bounded_ring_and_expired_blocks_are_ignored() -> None:
     store = DemandHistoryStore(None, DemandHistory(SLOT, 2, 48), 1)  # type: ignore[arg-type]
     keys = {store.block_key(BEGIN // BLOCK_DURATION_S + hour) for hour in range(24 * 7 * 70)}
     assert len(keys) == store.max_keys == 15 * 24
-    old = DemandHistory(SLOT, 2, 48)
-    old.record_accepted_job(make_demand(BEGIN + 100, 8.0))
-    late = BEGIN + 86400 * 15
-    found = DemandHistory(SLOT, 2, 48)
-    value = old.encode(old.open_blocks[BEGIN // BLOCK_DURATION_S], 8192)
-    found.load_block(value, 1, late, key_of(BEGIN // BLOCK_DURATION_S), key_of)
-    assert not found.series and not found.open_blocks
+    old_history = DemandHistory(SLOT, 2, 48)
+    old_history.record_accepted_job(make_demand(BEGIN + 100, 8.0))
+    loaded_at = BEGIN + 86400 * 15
+    new_history = DemandHistory(SLOT, 2, 48)
+    value = old_history.encode(old_history.open_blocks[BEGIN // BLOCK_DURATION_S], 8192)
+    new_history.load_block(value, 1, loaded_at, key_of(BEGIN // BLOCK_DURATION_S), key_of)
+    assert not new_history.series and not new_history.open_blocks
 
 
-def test_series_that_nobody_uses_any_more_make_way() -> None:
+def test_unused_series_are_removed() -> None:
     history = DemandHistory(SLOT, 1, 8)
     for number in range(20):
         history.record_accepted_job(make_demand(BEGIN + number, 1.0, job_class=f"old-{number}", number=number))
@@ -224,16 +247,18 @@
             found.encode(found.open_blocks[number], 8192)
 
 
-# -- the store --------------------------------------------------------------------------------
+# -- history store ----------------------------------------------------------------------------
 
 
-def on_store(scene: Any) -> None:
+def run_with_store(scenario: Any) -> None:
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
         cluster.state, cluster.nodes = SimulatedKeyValueStore(cluster), []
         node = SimulatedController(cluster, 0)
         with virtual_wall_clock():
-            await scene(cluster, KeyValueStoreClient("10.2.0.1:1", world_settings(0).params.kv_store, node.connect))
+            await scenario(
+                cluster, KeyValueStoreClient("10.2.0.1:1", make_controller_settings(0).params.kv_store, node.connect)
+            )
             for task in list(cluster.tasks):
                 task.cancel()
             await asyncio.sleep(0)
@@ -241,166 +266,168 @@
     virtual_time.run_in_virtual_time(main())
 
 
-def filled(units: float = 4.0, at: float = BEGIN + 10.0) -> DemandHistory:
+def history_with_one_job(units: float = 4.0, at: float = BEGIN + 10.0) -> DemandHistory:
     history = DemandHistory(SLOT, 2, 48)
     history.record_accepted_job(make_demand(at, units))
     return history
 
 
-def test_former_leaders_late_write_changes_nothing() -> None:
-    async def scene(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
+def test_late_write_of_a_previous_leader_is_rejected() -> None:
+    async def scenario(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
         first_term = await client.compare_and_swap([], [{"put": LEADER_KEY, "v": 1}])
-        former = DemandHistoryStore(client, filled(), first_term)
-        await former.save()
+        first_store = DemandHistoryStore(client, history_with_one_job(), first_term)
+        await first_store.save()
         second_term = await client.compare_and_swap([], [{"put": LEADER_KEY, "v": 2}])
         history = DemandHistory(SLOT, 2, 48)
-        new = DemandHistoryStore(client, history, second_term)
-        await new.load(BEGIN + 60)
+        second_store = DemandHistoryStore(client, history, second_term)
+        await second_store.load(BEGIN + 60)
         history.advance_to(BEGIN + 60)
         history.record_accepted_job(make_demand(BEGIN + 60, 3.0, number=1))
-        await new.save()
-        held = dict(cluster.state.keys)
-        former.history.record_accepted_job(make_demand(BEGIN + 70, 50.0, number=2))
+        await second_store.save()
+        stored_keys = dict(cluster.state.keys)
+        first_store.history.record_accepted_job(make_demand(BEGIN + 70, 50.0, number=2))
         with pytest.raises(LeadershipLost):
-            await former.save()
-        assert cluster.state.keys == held
+            await first_store.save()
+        assert cluster.state.keys == stored_keys
 
-    on_store(scene)
+    run_with_store(scenario)
 
 
-def test_write_whose_answer_is_lost_is_counted_once() -> None:
-    async def scene(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
+def test_write_with_a_lost_answer_is_counted_once() -> None:
+    async def scenario(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
         term = await client.compare_and_swap([], [{"put": LEADER_KEY, "v": 1}])
-        store = DemandHistoryStore(client, filled(), term)
+        store = DemandHistoryStore(client, history_with_one_job(), term)
         send = client._send
 
-        async def lossy(*args: Any, **more: Any) -> Any:
-            await send(*args, **more)
+        async def send_and_lose_answer(*args: Any, **options: Any) -> Any:
+            await send(*args, **options)
             raise Unreachable("answer lost")
 
-        client._send = lossy
+        client._send = send_and_lose_answer
         await store.save()
         client._send = send
-        await store.save()  # finds another version than it knows
+        await store.save()  # the stored revision differs from the last one that this store received
         await store.save()
         assert not store.history.dirty_blocks()
-        [(value, _, _)] = [v for k, v in cluster.state.keys.items() if k.startswith("demand/")]
+        [(value, _, _)] = [record for key, record in cluster.state.keys.items() if key.startswith("demand/")]
         assert [cell[1] for row in value["series"] for cell in row[4].values()] == [2]
 
-    on_store(scene)
+    run_with_store(scenario)
 
 
-def test_store_full_of_nonsense_is_left_out_and_written_over() -> None:
-    async def scene(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
+def test_invalid_stored_blocks_are_skipped_and_overwritten() -> None:
+    async def scenario(cluster: SimulatedCluster, client: KeyValueStoreClient) -> None:
         term = await client.compare_and_swap([], [{"put": LEADER_KEY, "v": 1}])
         store = DemandHistoryStore(client, DemandHistory(SLOT, 2, 48), term)
         for hour in range(0, store.max_keys, 7):
             await client.compare_and_swap([], [{"put": store.block_key(hour), "v": ["?", hour]}])
-        own = store.block_key(BEGIN // BLOCK_DURATION_S)
-        await client.compare_and_swap([], [{"put": own, "v": {"slot_s": 60, "start": 0}}])
+        current_key = store.block_key(BEGIN // BLOCK_DURATION_S)
+        await client.compare_and_swap([], [{"put": current_key, "v": {"slot_s": 60, "start": 0}}])
         await store.load(BEGIN)
         assert store.invalid_block_count >= store.max_keys // 7 and not store.history.series
         store.history.record_accepted_job(make_demand(BEGIN + 5, 4.0))
         await store.save()
-        assert cluster.state.keys[own][0]["start"] == BEGIN
+        assert cluster.state.keys[current_key][0]["start"] == BEGIN
 
-    on_store(scene)
+    run_with_store(scenario)
 
 
-# -- the whole service ------------------------------------------------------------------------
+# -- simulated cluster ------------------------------------------------------------------------
 
 
-def tuning() -> OperatorConfig:
+def predictive_scaling_config() -> OperatorConfig:
     return OperatorConfig(
         predictive_scaling=PredictiveScalingSettings(slot=timedelta(minutes=1), least_weeks=1, series_most=100, weeks=1)
     )
 
 
-def expecting(cluster: SimulatedCluster) -> Any:
-    """Past weeks in the state service that make the service rent ahead all day long."""
+def store_past_week(cluster: SimulatedCluster) -> Any:
+    """Store demand of a week earlier, whose forecast makes the leader keep machines ahead for the whole run."""
 
-    async def act(_: SimulatedCluster) -> None:
+    async def store_blocks(_: SimulatedCluster) -> None:
         history = DemandHistory(60, 1, 100)
-        begin = 1767225600 - 7 * 86400  # the same hours a week before the world's first instant
+        first_s = 1767225600 - 7 * 86400  # a week before the simulated day begins
         for minute in range(0, 60, 5):
-            history.advance_to(begin + minute * 60)
-            history.record_accepted_job(make_demand(begin + minute * 60, 24.0, 290.0))
-            history.mark_watched(begin + minute * 60, begin + minute * 60 + 300)
+            history.advance_to(first_s + minute * 60)
+            history.record_accepted_job(make_demand(first_s + minute * 60, 24.0, 290.0))
+            history.mark_watched(first_s + minute * 60, first_s + minute * 60 + 300)
         store = DemandHistoryStore(None, history, 0)  # type: ignore[arg-type]
         for block in history.open_blocks.values():
             cluster.state.revision += 1
             cluster.state.apply_change(store.block_key(block.number), history.encode(block, 8192), None)
 
-    return act
+    return store_blocks
 
 
-def own_classes(cluster: SimulatedCluster) -> None:
-    """Each job its own class, so that what is stored tells which jobs have been counted."""
-    make = cluster.make_job
+def give_jobs_their_own_class(cluster: SimulatedCluster) -> None:
+    """Give each job a class of its own, so that the stored series show which jobs have been counted."""
+    make_job = cluster.make_job
 
-    def made() -> dict[str, Any]:
-        made_job = make()
-        return made_job | {"docket": made_job["name_id"]}
+    def make_job_with_own_class() -> dict[str, Any]:
+        job = make_job()
+        return job | {"docket": job["name_id"]}
 
-    cluster.make_job = made  # type: ignore[method-assign]
+    cluster.make_job = make_job_with_own_class  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("seed", range(400, 412))
-def test_rough_days_count_each_job_at_most_once_and_break_no_rule(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_days_with_faults_count_each_job_at_most_once_and_break_no_rule(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(predictive_scaler, "SAVE_INTERVAL", timedelta(seconds=3))
     cluster = SimulatedCluster(
         seed,
-        operator_config=tuning(),
+        operator_config=predictive_scaling_config(),
         faults=EXTENDED_FAULTS if seed % 2 else ["crash", "all", "outage", "roll", "paused"],
     )
-    own_classes(cluster)
-    cluster.schedule_action(expecting(cluster))
-    ahead: list[int] = []
+    give_jobs_their_own_class(cluster)
+    cluster.schedule_action(store_past_week(cluster))
+    machines_ahead: list[int] = []
 
-    async def look(cluster: SimulatedCluster) -> None:
+    async def record_machines_ahead(cluster: SimulatedCluster) -> None:
         while True:
             await asyncio.sleep(1)
             for node in cluster.nodes:
-                reign = None if node.service is None else node.service.leader_term
-                if reign is not None and reign.predictive_scaler is not None:
-                    assert not reign.predictive_scaler.failure, reign.predictive_scaler.failure
-                    ahead.append(len(reign.predictive_scaler.planner.capacity_plan.kept_machines))
+                leader_term = None if node.service is None else node.service.leader_term
+                if leader_term is not None and leader_term.predictive_scaler is not None:
+                    assert not leader_term.predictive_scaler.failure, leader_term.predictive_scaler.failure
+                    machines_ahead.append(len(leader_term.predictive_scaler.planner.capacity_plan.kept_machines))
                     assert "machines_ahead" in node.service.status_reporter.describe_status()  # type: ignore[union-attr]
 
-    cluster.schedule_action(look)
+    cluster.schedule_action(record_machines_ahead)
     cluster.run()
     check(cluster)
     counted: dict[str, float] = {}
-    mark = 0
-    for name, (value, _, _) in cluster.state.keys.items():
-        if name.startswith("demand/"):
-            mark = max(mark, value["mark"])
+    newest_counted_revision = 0
+    for key, (value, _, _) in cluster.state.keys.items():
+        if key.startswith("demand/"):
+            newest_counted_revision = max(newest_counted_revision, value["mark"])
             for _, job_class, _, _, slots in value["series"]:
                 if job_class in cluster.jobs:
                     counted[job_class] = counted.get(job_class, 0) + sum(cell[1] for cell in slots.values())
-    assert all(tasks == cluster.jobs[name]["parcels"] for name, tasks in counted.items())
-    for name, (_, version, _) in cluster.state.keys.items():
-        if name.startswith("live/") and version <= mark:
-            assert counted.get(name.removeprefix("live/")), (
-                f"{name} lives, was accepted before the mark, and is missing"
+    assert all(task_count == cluster.jobs[key]["parcels"] for key, task_count in counted.items())
+    for key, (_, version, _) in cluster.state.keys.items():
+        if key.startswith("live/") and version <= newest_counted_revision:
+            assert counted.get(key.removeprefix("live/")), (
+                f"{key} is live and was accepted before the counted revision, but is not counted"
             )
     assert len(counted) >= len(cluster.accepted_jobs) / 2
-    assert max(ahead, default=0) > 0
+    assert max(machines_ahead, default=0) > 0
 
 
-def test_fault_in_the_forecast_ends_no_term(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fault(*args: object) -> None:
-        raise ZeroDivisionError("drawn")
+def test_forecast_error_stops_the_forecast_but_not_the_term(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*args: object) -> None:
+        raise ZeroDivisionError("injected")
 
-    monkeypatch.setattr(ScalingPlanner, "plan", fault)
-    cluster = SimulatedCluster(77, operator_config=tuning(), is_calm=True)
-    said: list[Any] = []
+    monkeypatch.setattr(ScalingPlanner, "plan", raise_error)
+    cluster = SimulatedCluster(77, operator_config=predictive_scaling_config(), is_calm=True)
+    statuses: list[Any] = []
 
-    async def look(cluster: SimulatedCluster) -> None:
+    async def record_status(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(40)
         service = cluster.current_leader().service
         assert service is not None and service.leader_term is not None
-        said.append(
+        statuses.append(
             (
                 service.leader_term.leader_lease.term,
                 service.status_reporter.describe_status()["ahead"],
@@ -408,7 +435,7 @@
             )
         )
 
-    cluster.schedule_action(look)
+    cluster.schedule_action(record_status)
     cluster.run()
     check(cluster)
-    assert said == [(1, ["stopped: ZeroDivisionError: drawn"], "ZeroDivisionError: drawn")]
+    assert statuses == [(1, ["stopped: ZeroDivisionError: injected"], "ZeroDivisionError: injected")]
