--- a/benchmarks/workflows.py
+++ b/benchmarks/workflows.py
@@ -1,10 +1,11 @@
-"""What thousands of chains cost: bytes and changes of the state service, memory and time of a controller.
+"""Cost of thousands of workflows: bytes and changes in the key-value store, memory and time of a controller.
 
     python3 -m benchmarks.workflows [--chains 3000] [--lots 10000]
 
-Chains are taken by the leader's own desk against a stand-in for the state service that counts, at 15 and at 30 changes
-a second. Changes are counted, bytes are those of the encoded pages, memory is Python's own account of what chains and
-their jobs take. The night is so many lots, one amendment each with three steps.
+The leader's workflow controller accepts workflows and runs them to their end on a simulated key-value store with a
+limit of 15 and of 30 changes a second. The store counts changes, bytes are the size of the encoded workflow pages, and
+memory is what `tracemalloc` attributes to workflows and their jobs. `--lots` is the size of a night: one amendment with
+three steps for each lot.
 """
 
 import argparse
@@ -26,7 +27,7 @@
 
 
 class CountingStore:
-    """Takes everything within its limits, and counts."""
+    """A simulated key-value store: accepts each transaction within its limits, and counts changes."""
 
     def __init__(self, settings: Any) -> None:
         self.settings = settings
@@ -35,15 +36,17 @@
         self.change_count = self.workflow_change_count = self.transaction_count = 0
 
     async def get(self, key: str) -> Entry | None:
-        known = self.keys.get(key)
-        return None if known is None else Entry(key, *known)
+        stored = self.keys.get(key)
+        return None if stored is None else Entry(key, *stored)
 
     async def watch(self, prefix: str, after: int, block: Any) -> tuple[list[Any], int]:
         return [], self.revision
 
     async def compare_and_swap(self, guards: list[tuple[str, int]], ops: list[dict[str, Any]]) -> int:
         assert len(ops) <= self.settings.max_txn_ops and len(orjson.dumps([guards, ops])) <= 65536
-        failed = [k for k, v in guards if k != "lead/leader" and self.keys.get(k, (None, 0))[1] != v]
+        failed = [
+            key for key, version in guards if key != "lead/leader" and self.keys.get(key, (None, 0))[1] != version
+        ]
         if failed:
             raise CompareFailed(failed)
         self.revision += 1
@@ -62,9 +65,9 @@
 
 async def measure(workflow_count: int, write_rps: float, txn_ops: int, value_kb: float) -> dict[str, float]:
     from roseweir.scheduler.cluster_state import ClusterState
-    from tests.simulation.cluster import make_settings as world_settings
+    from tests.simulation.cluster import make_settings as make_controller_settings
 
-    controller_settings: Settings = world_settings(0, write_rps=write_rps, txn_ops=txn_ops, value_kb=value_kb)
+    controller_settings: Settings = make_controller_settings(0, write_rps=write_rps, txn_ops=txn_ops, value_kb=value_kb)
     store = CountingStore(controller_settings.params.kv_store)
     cluster_state = ClusterState(controller_settings, OperatorConfig(), 1, monotonic_now())
     cluster_state.catalog = {"cpu": MachineType("cpu", 8, 0, 64, 50, 1.0, 1.0, 0.3, 10, ("a", "b"))}
@@ -81,33 +84,33 @@
     for key, (value, version) in list(store.keys.items()):
         if key.startswith(LIVE_JOB_PREFIX):
             cluster_state.add_stored_job(key.removeprefix(LIVE_JOB_PREFIX), value, version)
-    changes_at_acceptance, taken_changes = store.workflow_change_count, store.change_count
-    memory = tracemalloc.get_traced_memory()[0]
+    workflow_changes_at_acceptance, changes_at_acceptance = store.workflow_change_count, store.change_count
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    pages = {key: len(orjson.dumps(v)) for key, (v, _) in store.keys.items() if key.startswith("chain/")}
-    longest = 0.0
-    for number in range(3):
-        for chain in list(controller.workflows.values()):
-            if len(chain.steps) > number and not chain.is_ended:
-                controller.record_job_end(chain.steps[number].job_id, "done")
+    page_sizes = {key: len(orjson.dumps(value)) for key, (value, _) in store.keys.items() if key.startswith("chain/")}
+    longest_step_s = 0.0
+    for step_index in range(3):
+        for workflow in list(controller.workflows.values()):
+            if len(workflow.steps) > step_index and not workflow.is_ended:
+                controller.record_job_end(workflow.steps[step_index].job_id, "done")
             if len(controller._workflows_to_evaluate) >= 20:
-                # As many ends as a second brings at the most.
-                began = time.perf_counter()
+                # The maximum number of job ends in a second.
+                started_at = time.perf_counter()
                 await controller._evaluate_workflows()
-                longest = max(longest, time.perf_counter() - began)
+                longest_step_s = max(longest_step_s, time.perf_counter() - started_at)
         await controller._evaluate_workflows()
         await controller._save_pages()
     assert controller.count_by_state() == {"done": workflow_count}, controller.count_by_state()
     return {
         "chains": workflow_count,
         "changes_a_second": write_rps,
-        "pages": len(pages),
-        "kilobytes": round(sum(pages.values()) / 1024),
-        "changes_a_chain_taken": round(changes_at_acceptance / workflow_count, 2),
+        "pages": len(page_sizes),
+        "kilobytes": round(sum(page_sizes.values()) / 1024),
+        "changes_a_chain_taken": round(workflow_changes_at_acceptance / workflow_count, 2),
         "changes_a_chain_in_all": round(store.workflow_change_count / workflow_count, 2),
-        "seconds_to_take_400": round(400 * taken_changes / workflow_count / write_rps, 1),
-        "megabytes_of_a_controller": round(memory / 1e6, 1),
-        "longest_step_ms": round(longest * 1000, 1),
+        "seconds_to_take_400": round(400 * changes_at_acceptance / workflow_count / write_rps, 1),
+        "megabytes_of_a_controller": round(memory_bytes / 1e6, 1),
+        "longest_step_ms": round(longest_step_s * 1000, 1),
     }
 
 
@@ -120,13 +123,13 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--chains", type=int, default=3000)
-    parser.add_argument("--lots", type=int, default=10_000, help="lots of a night")
+    parser.add_argument("--lots", type=int, default=10_000, help="lots amended in a night")
     args = parser.parse_args()
     for write_rps, txn_ops, value_kb in ((15.0, 8, 4.0), (30.0, 24, 8.0)):
-        found = asyncio.run(measure(args.chains, write_rps, txn_ops, value_kb))
-        # Three jobs of a lot are accepted, ended and gone: three changes each, and the chain's own.
-        night = args.lots * (9 + found["changes_a_chain_in_all"]) / write_rps / 3600
-        print(msgspec.json.encode(found | {f"hours_of_changes_for_{args.lots}_lots": round(night, 1)}).decode())
+        result = asyncio.run(measure(args.chains, write_rps, txn_ops, value_kb))
+        # A lot's three jobs are each accepted, completed and removed: three changes a job, and those of the workflow.
+        night_hours = args.lots * (9 + result["changes_a_chain_in_all"]) / write_rps / 3600
+        print(msgspec.json.encode(result | {f"hours_of_changes_for_{args.lots}_lots": round(night_hours, 1)}).decode())
     return 0
 
 
