--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -11,7 +11,7 @@
 
 A stop is reserved in the disruption account when it is decided, then stored, and only then carried out. Failures only
 delay a drain: a machine without a current heartbeat gets no stop requests, machines in an unresponsive zone are not
-cordoned, and no task is stopped while the state service is down, because the decision cannot be stored. Past its
+cordoned, and no task is stopped while the key-value store is down, because the decision cannot be stored. Past its
 deadline a drain either stops the remaining tasks by force or gives up, as its request says.
 """
 
--- a/roseweir/drain/machine_health.py
+++ b/roseweir/drain/machine_health.py
@@ -14,7 +14,7 @@
 MIN_RUNS_FOR_SLOWDOWN, MIN_RUN_WEIGHT = 8, 0.2
 # Failures and expired leases count against a machine for this long.
 INCIDENT_RETENTION = timedelta(hours=1)
-# Lifetimes of spot machines kept per type, and how many are needed to tell the typical one.
+# Lifetimes of spot machines kept per type, and how many are needed to determine the typical one.
 MAX_SPOT_LIFETIMES, MIN_SPOT_LIFETIMES = 40, 5
 
 
--- a/roseweir/drain/model.py
+++ b/roseweir/drain/model.py
@@ -14,7 +14,7 @@
 # Machines that one drain may name, so that it fits a value of 8 KiB.
 MAX_NAMED_MACHINES = 400
 _NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9.-]{0,39}")
-# Subcommands of `roseweir drain`, which the command line could not tell from a drain's name.
+# Subcommands of `roseweir drain`, which the command line could not distinguish from a drain's name.
 RESERVED_NAMES = ("start", "status", "stop")
 
 
--- a/roseweir/drain/store.py
+++ b/roseweir/drain/store.py
@@ -1,4 +1,4 @@
-"""Stores drain state in a bounded number of keys of the state service.
+"""Stores drain state in a bounded number of keys of the key-value store.
 
 Every write is conditional on the leader's key and on the versions of the keys that it changes.
 
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -32,7 +32,7 @@
 MIN_IDLE_IN_PLACE = timedelta(seconds=5)
 # If no work has waited for machines of a pool for this long, its missing machines are not needed.
 DEMAND_TIMEOUT = timedelta(seconds=30)
-# Share of the state service's write rate and of this process's sockets that drains may use; others need them too.
+# Share of the key-value store's write rate and of this process's sockets that drains may use; others need them too.
 MAX_WRITE_RATE_SHARE, MAX_SOCKET_SHARE = 0.1, 0.1
 
 
@@ -210,7 +210,7 @@
             self.ready_replacements.setdefault(machine_type, set()).add(min(ready))
 
     def max_cordons_per_step(self) -> int:
-        """Machines that may be cordoned in one step: each cordon changes values in the state service."""
+        """Machines that may be cordoned in one step: each cordon changes values in the key-value store."""
         return max(1, int(self.cluster_state.settings.params.kv_store.max_writes_per_s * MAX_WRITE_RATE_SHARE))
 
     # -- rentals ------------------------------------------------------------------------------
--- a/roseweir/leader_election/leader_search.py
+++ b/roseweir/leader_election/leader_search.py
@@ -23,11 +23,12 @@
 class LeaderSearch:
     """Workers that this leader redirects to search for another one, while neither store nor peers confirm it.
 
-    The leader goes on renewing its workers' leases for the hold-over, since in an outage of the whole store no other
-    node renews them. It can't distinguish such an outage from its own isolation, so it stops answering a few workers.
-    In an outage these find no leader and return after trying every node; if another node leads, they stay with it, and
-    this leader can step down long before the hold-over ends. A redirected worker loses nothing in an outage: its lease
-    was renewed shortly before it leaves, and is renewed when it returns.
+    The leader goes on renewing its workers' leases for the stale cancellation window
+    (`cluster_state.stale_cancellation_window`), since in an outage of the whole store no other node renews them. It
+    can't distinguish such an outage from its own isolation, so it stops answering a few workers. In an outage these
+    find no leader and return after trying every node; if another node leads, they stay with it, and this leader can
+    step down long before the window ends. A redirected worker loses nothing in an outage: its lease was renewed shortly
+    before it leaves, and is renewed when it returns.
 
     Attributes:
         started_at: When the search began; NEVER if there is none.
--- a/roseweir/leader_election/lease.py
+++ b/roseweir/leader_election/lease.py
@@ -143,9 +143,9 @@
     async def _check_peer_leader(self) -> None:
         """Step down as soon as a peer reports a later term.
 
-        Without this check, a leader that is isolated from the store answers heartbeats for the whole hold-over, and its
-        workers stay with it: no task starts for 18 s, while the new leader gets no heartbeats from these workers and
-        releases their machines.
+        Without this check, a leader that is isolated from the store answers heartbeats for the whole stale cancellation
+        window, and its workers stay with it: no task starts for 18 s, while the new leader gets no heartbeats from
+        these workers and releases their machines.
         """
         peer_leader = await self._fetch_peer_leader()
         if peer_leader is None:
--- a/roseweir/leader_election/worker_reachability.py
+++ b/roseweir/leader_election/worker_reachability.py
@@ -174,7 +174,7 @@
         answers: The nodes' answers, by node name.
         query: The query.
         leader_reachable_count: How many of the queried workers answer the leader's probes.
-        missed_workers: The workers that the leader still misses, with the newest heartbeat that it has of each. A
+        missed_workers: The workers that the leader still misses, with the newest heartbeat that it has of each. An
             older heartbeat received by another node was delivered late, and does not show that the node is reachable.
     """
     for name, answer in answers.items():
--- a/roseweir/scheduler/__init__.py
+++ b/roseweir/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""What runs where: the queue, quotas, gangs, preemption, and the write-ahead record."""
+"""Scheduling: the queue, quotas, placement, gangs, preemption, and the write-ahead log."""
--- a/roseweir/scheduler/gang_placement.py
+++ b/roseweir/scheduler/gang_placement.py
@@ -39,7 +39,7 @@
     if not run.placements:
         run.gang_attempt = cluster_state.allocate_attempt()
     else:
-        # The write-ahead log may still list the replaced tasks with the same attempt: this number tells them apart.
+        # The write-ahead log may still list the replaced tasks with the same attempt: this number distinguishes them.
         run.replacement_count += 1
     placed_count = 0
     for machine, task_count in assignments:
--- a/roseweir/scheduler/log_writer.py
+++ b/roseweir/scheduler/log_writer.py
@@ -198,7 +198,7 @@
         self._apply_committed(batch, revision)
 
     def _apply_committed(self, batch: LogBatch, revision: int) -> None:
-        """Mark the contents of a committed batch as stored, and allow start orders for its starts."""
+        """Mark the contents of a committed batch as stored, and allow start commands for its starts."""
         self._refused_parts.record_committed(batch)
         committed_machines = {p.machine.name for p in batch.segment_placements} | {
             p.machine.name for write in batch.delta_writes for p in write.new_starts
--- a/roseweir/sexp.py
+++ b/roseweir/sexp.py
@@ -9,7 +9,7 @@
 
 
 class SettingsError(Exception):
-    """Settings or arguments are not valid; the message is one line that tells the operator the fault."""
+    """Settings or arguments are not valid; the message is one line that describes the fault to the operator."""
 
 
 def read_form(value: Any) -> tuple[str, list[Any]]:
--- a/roseweir/workflows/amendment.py
+++ b/roseweir/workflows/amendment.py
@@ -31,7 +31,7 @@
 
 
 def content_digest(amendment: Amendment) -> str:
-    """Return a digest that tells apart two amendments with the same id and different content."""
+    """Return a digest that distinguishes two amendments with the same id and different content."""
     value = msgspec.to_builtins(amendment)
     value.pop("landed_ms", None)  # may differ in a repeated request
     return blake2b(orjson.dumps(value, option=orjson.OPT_SORT_KEYS), digest_size=12).hexdigest()
