--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -832,7 +832,7 @@
 
         async def deliver() -> Reply:
             if address == "10.2.0.1:1":
-                return await self.state.handle(controller.name, method, path, body)
+                return await self.kv_store.handle(controller.name, method, path, body)
             if address == "10.2.0.2:1":
                 return await self.cloud.handle(controller.name, method, path, body)
             if address.endswith(":9000"):
@@ -1196,22 +1196,22 @@
         elif fault == "all":
             await asyncio.gather(*(self.restart_controller(node) for node in self.nodes))
         elif fault == "outage":
-            if not self.state.is_down:
-                self.state.is_down = True
+            if not self.kv_store.is_down:
+                self.kv_store.is_down = True
                 await asyncio.sleep(rng.choice([2.0, 5.0, 12.0]))
-                self.state.end_outage()
+                self.kv_store.end_outage()
         elif fault == "alone":
             node = self.current_leader() if rng.random() < 0.8 else rng.choice(self.nodes)
-            self.state.refused_controllers.add(node.name)
+            self.kv_store.refused_controllers.add(node.name)
             await asyncio.sleep(rng.uniform(1, 20))
-            self.state.refused_controllers.discard(node.name)
+            self.kv_store.refused_controllers.discard(node.name)
         elif fault == "deaf":
             # The leader alone loses the key-value store for 30 s, while its workers still reach it.
             node = self.current_leader()
-            if not self.state.refused_controllers:
-                self.state.refused_controllers.add(node.name)
+            if not self.kv_store.refused_controllers:
+                self.kv_store.refused_controllers.add(node.name)
                 await asyncio.sleep(30)
-                self.state.refused_controllers.discard(node.name)
+                self.kv_store.refused_controllers.discard(node.name)
         elif fault == "paused":
             # The process is suspended: its sockets stay open, and it continues where it stopped.
             node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.nodes)
@@ -1316,14 +1316,14 @@
         self, controller: SimulatedController, isolated_s: float, outage_s: float
     ) -> None:
         """The key-value store refuses this controller alone, and then fails for all."""
-        if self.state.is_down or self.state.refused_controllers:
+        if self.kv_store.is_down or self.kv_store.refused_controllers:
             return
-        self.state.refused_controllers.add(controller.name)
+        self.kv_store.refused_controllers.add(controller.name)
         await asyncio.sleep(isolated_s)
-        self.state.is_down = True
+        self.kv_store.is_down = True
         await asyncio.sleep(outage_s)
-        self.state.end_outage()
-        self.state.refused_controllers.discard(controller.name)
+        self.kv_store.end_outage()
+        self.kv_store.refused_controllers.discard(controller.name)
 
     async def lose_network(self, controller: SimulatedController, targets: list[str], duration_s: float) -> None:
         for target in targets:
@@ -1343,7 +1343,7 @@
     # -- a day --------------------------------------------------------------------------------
 
     async def run_day(self, length_s: float, job_count: int) -> None:
-        self.state = SimulatedKeyValueStore(self)
+        self.kv_store = SimulatedKeyValueStore(self)
         self.cloud = SimulatedCloud(self)
         self.nodes = [SimulatedController(self, i) for i in range(self.controller_count)]
         with virtual_wall_clock():
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -172,7 +172,7 @@
         return {
             job_id
             for job_id, accepted_at in self.accepted_at.items()
-            if accepted_at < before and COMPLETED_JOB_PREFIX + job_id not in self.state.keys
+            if accepted_at < before and COMPLETED_JOB_PREFIX + job_id not in self.kv_store.keys
         }
 
 
--- a/tests/simulation/job_dependencies.py
+++ b/tests/simulation/job_dependencies.py
@@ -78,9 +78,9 @@
         spec = msgspec.structs.replace(spec, depends_on=split.dependencies)
         guards = [{"path": LIVE_JOB_PREFIX + job_id, "stamp": 0}, {"path": COMPLETED_JOB_PREFIX + job_id, "stamp": 0}]
         operations.append({"put": LIVE_JOB_PREFIX + job_id, "v": to_stored(spec)})
-        while self.state.is_down:
+        while self.kv_store.is_down:
             await asyncio.sleep(0.1)
-        assert self.state.commit_transaction({"guards": guards, "then": operations}).status == 200
+        assert self.kv_store.commit_transaction({"guards": guards, "then": operations}).status == 200
 
     async def poll_until_ended(self, job_id: str, cancel_at: float = 1e9) -> None:
         """Polls a job until it has ended; sends a cancel once `cancel_at` is reached."""
@@ -117,7 +117,7 @@
         super().check_start(worker, task)
         for dependency in self.dependencies.get(task.job_id, ()):
             is_done = all((dependency, number) in self.finished for number in range(self.jobs[dependency]["parcels"]))
-            stored_end = self.state.keys.get(COMPLETED_JOB_PREFIX + dependency)
+            stored_end = self.kv_store.keys.get(COMPLETED_JOB_PREFIX + dependency)
             is_durable = stored_end is not None and stored_end[0]["state"] == "done"
             self.check_rule(
                 is_done and is_durable, f"too_early: {task.job_id}/{task.index} before the durable end of {dependency}"
@@ -147,5 +147,5 @@
         return sorted(
             job
             for job in self.dependencies
-            if LIVE_JOB_PREFIX + job in self.state.keys and self.ancestors(job) & cancelled_jobs
+            if LIVE_JOB_PREFIX + job in self.kv_store.keys and self.ancestors(job) & cancelled_jobs
         )
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -77,8 +77,8 @@
             for n in self.nodes
         )
         store_and_network_healthy = not (
-            self.state.is_down
-            or self.state.refused_controllers
+            self.kv_store.is_down
+            or self.kv_store.refused_controllers
             or self.partitioned_zones
             or self.late_write_probability
             or self.late_command_probability
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -152,7 +152,7 @@
             self.schedule_action(action)  # type: ignore[arg-type]
 
     async def install_tracking_store(self) -> None:
-        self.state = self.tracking_store
+        self.kv_store = self.tracking_store
 
     async def alternate_leaders(self) -> None:
         while True:
@@ -184,7 +184,7 @@
 
 def stored_job_state(cluster: SimulatedCluster, job_id: str) -> str:
     """The job's state in the key-value store: "live", how it ended, or "unknown"."""
-    if LIVE_JOB_PREFIX + job_id in cluster.state.keys:
+    if LIVE_JOB_PREFIX + job_id in cluster.kv_store.keys:
         return "live"
-    stored_end = cluster.state.keys.get(COMPLETED_JOB_PREFIX + job_id)
+    stored_end = cluster.kv_store.keys.get(COMPLETED_JOB_PREFIX + job_id)
     return "unknown" if stored_end is None else str(stored_end[0]["state"])
--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -177,7 +177,7 @@
         cluster, cluster.rng.choice(cluster.nodes), "GET", f"/submissions/{job_id}"
     )
     cluster.check_rule(status != 200, f"invented: {job_id}, which can't run, is {answer}")
-    stored_keys = [key for key in cluster.state.keys if job_id in key]
+    stored_keys = [key for key in cluster.kv_store.keys if job_id in key]
     cluster.check_rule(not stored_keys, f"accepted_wrongly: {stored_keys} of a job that can't run")
 
 
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -79,7 +79,7 @@
     def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
         super().check_start(worker, task)
         for dependency in self.dependencies.get(task.job_id, ()):
-            stored_end = self.state.keys.get(f"over/{dependency}")
+            stored_end = self.kv_store.keys.get(f"over/{dependency}")
             may_start = stored_end is not None and (stored_end[0]["state"] == "done" or self.may_skip_failed)
             self.check_rule(may_start, f"started_early: {task.job_id} before the durable end of {dependency}")
 
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -279,9 +279,9 @@
             elif who == "all":
                 await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
             elif who == "state":
-                cluster.state.is_down = True
+                cluster.kv_store.is_down = True
                 await asyncio.sleep(7)
-                cluster.state.end_outage()
+                cluster.kv_store.end_outage()
             else:
                 cluster.partitioned_zones.add("a")
                 await asyncio.sleep(4)
@@ -327,7 +327,7 @@
             desk = desk_of(cluster)
             for standing in list(desk.statuses.values()) if desk is not None else ():
                 last = cluster.sent_amendments[standing.workflow_id]["steps"][-1]["job"]["name_id"]
-                over = cluster.state.keys.get(f"over/{last}")
+                over = cluster.kv_store.keys.get(f"over/{last}")
                 if standing.state == MET and (over is None or over[0]["state"] != "done"):
                     wrong.append(f"{standing.workflow_id} told as kept before its durable end")
 
@@ -345,7 +345,7 @@
 
     async def end(_: SimulatedCluster) -> None:
         await asyncio.sleep(90)
-        told.append("promise/nights" in cluster.state.keys)
+        told.append("promise/nights" in cluster.kv_store.keys)
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(8)
         desk = desk_of(cluster)
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -253,7 +253,7 @@
 def run_with_store(scenario: Any) -> None:
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
-        cluster.state, cluster.nodes = SimulatedKeyValueStore(cluster), []
+        cluster.kv_store, cluster.nodes = SimulatedKeyValueStore(cluster), []
         node = SimulatedController(cluster, 0)
         with virtual_wall_clock():
             await scenario(
@@ -284,11 +284,11 @@
         history.advance_to(BEGIN + 60)
         history.record_accepted_job(make_demand(BEGIN + 60, 3.0, number=1))
         await second_store.save()
-        stored_keys = dict(cluster.state.keys)
+        stored_keys = dict(cluster.kv_store.keys)
         first_store.history.record_accepted_job(make_demand(BEGIN + 70, 50.0, number=2))
         with pytest.raises(LeadershipLost):
             await first_store.save()
-        assert cluster.state.keys == stored_keys
+        assert cluster.kv_store.keys == stored_keys
 
     run_with_store(scenario)
 
@@ -309,7 +309,7 @@
         await store.save()  # the stored revision differs from the last one that this store received
         await store.save()
         assert not store.history.dirty_blocks()
-        [(value, _, _)] = [record for key, record in cluster.state.keys.items() if key.startswith("demand/")]
+        [(value, _, _)] = [record for key, record in cluster.kv_store.keys.items() if key.startswith("demand/")]
         assert [cell[1] for row in value["series"] for cell in row[4].values()] == [2]
 
     run_with_store(scenario)
@@ -327,7 +327,7 @@
         assert store.invalid_block_count >= store.max_keys // 7 and not store.history.series
         store.history.record_accepted_job(make_demand(BEGIN + 5, 4.0))
         await store.save()
-        assert cluster.state.keys[current_key][0]["start"] == BEGIN
+        assert cluster.kv_store.keys[current_key][0]["start"] == BEGIN
 
     run_with_store(scenario)
 
@@ -353,8 +353,8 @@
             history.mark_watched(first_s + minute * 60, first_s + minute * 60 + 300)
         store = DemandHistoryStore(None, history, 0)  # type: ignore[arg-type]
         for block in history.open_blocks.values():
-            cluster.state.revision += 1
-            cluster.state.apply_change(store.block_key(block.number), history.encode(block, 8192), None)
+            cluster.kv_store.revision += 1
+            cluster.kv_store.apply_change(store.block_key(block.number), history.encode(block, 8192), None)
 
     return store_blocks
 
@@ -399,14 +399,14 @@
     check(cluster)
     counted: dict[str, float] = {}
     newest_counted_revision = 0
-    for key, (value, _, _) in cluster.state.keys.items():
+    for key, (value, _, _) in cluster.kv_store.keys.items():
         if key.startswith("demand/"):
             newest_counted_revision = max(newest_counted_revision, value["mark"])
             for _, job_class, _, _, slots in value["series"]:
                 if job_class in cluster.jobs:
                     counted[job_class] = counted.get(job_class, 0) + sum(cell[1] for cell in slots.values())
     assert all(task_count == cluster.jobs[key]["parcels"] for key, task_count in counted.items())
-    for key, (_, version, _) in cluster.state.keys.items():
+    for key, (_, version, _) in cluster.kv_store.keys.items():
         if key.startswith("live/") and version <= newest_counted_revision:
             assert counted.get(key.removeprefix("live/")), (
                 f"{key} is live and was accepted before the counted revision, but is not counted"
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -190,7 +190,7 @@
     cluster.schedule_action(submit_pipelines(8, 20))
     check(cluster.run(length_s=90, job_count=3))
     assert len(cluster.dependencies) > 20 and cluster.jobs_without_observed_end() == []
-    assert not [key for key in cluster.state.keys if key.startswith("awaits/")], (
+    assert not [key for key in cluster.kv_store.keys if key.startswith("awaits/")], (
         "dependency lists of ended jobs are still stored"
     )
 
@@ -299,15 +299,15 @@
         await asyncio.sleep(2)
         cluster.cancel_requested.update(jobs)
         status, answer = await cluster.ask("POST", f"/submissions/{jobs[0]}/cancel")
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         assert (status, answer["standing"]) == (200, "aborted")
         if restarted:
             for node in [cluster.current_leader()] if restarted == "leader" else cluster.nodes:
                 cluster.spawn(cluster.restart_controller(node))
         await asyncio.sleep(cluster.cancel_deadline_s + 4)
-        cluster.state.end_outage()
+        cluster.kv_store.end_outage()
         await asyncio.sleep(6 if restarted else 3)
-        assert not [key for key in cluster.state.keys if key.startswith("live/") and key[5:] in jobs]
+        assert not [key for key in cluster.kv_store.keys if key.startswith("live/") and key[5:] in jobs]
         for job_id in jobs:
             cluster.check_answer(job_id, *await cluster.ask("GET", f"/submissions/{job_id}"))
         cluster.is_over = True
@@ -337,7 +337,7 @@
             await asyncio.sleep(1)
             reconciler = reconciler_of(cluster)
             if reconciler is not None:
-                live_count = sum(f"live/{job_id}" in cluster.state.keys for job_id in jobs)
+                live_count = sum(f"live/{job_id}" in cluster.kv_store.keys for job_id in jobs)
                 if not live_counts:
                     # The graph marks all jobs as cancelled at once, however long writing their ends takes.
                     assert len(reconciler.graph.cancelled_with) > 900 and not reconciler.graph.dependencies
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -47,8 +47,8 @@
     def __init__(self, txn_ops: int = 24, value_kb: float = 8.0, rps: float = 200.0, page_items: int = 1000) -> None:
         self.cluster = SimulatedCluster(1, is_calm=True)
         self.cluster.txn_ops, self.cluster.value_kb = txn_ops, value_kb
-        self.state = SimulatedKeyValueStore(self.cluster)
-        self.state.max_page_items = page_items
+        self.kv_store = SimulatedKeyValueStore(self.cluster)
+        self.kv_store.max_page_items = page_items
         self.settings = [make_settings(i, txn_ops=txn_ops, value_kb=value_kb) for i in range(2)]
         for node_settings in self.settings:
             node_settings.params.kv_store.max_requests_per_s = rps
@@ -74,11 +74,11 @@
                     if self.holds_unanswered:
                         self.late_transactions.append(copy)
                     else:
-                        await self.state.handle(f"n{index}", method, path, copy)
+                        await self.kv_store.handle(f"n{index}", method, path, copy)
                     raise Unreachable("no answer")
                 try:
                     async with asyncio.timeout(timeout.total_seconds()):
-                        return await self.state.handle(f"n{index}", method, path, copy)
+                        return await self.kv_store.handle(f"n{index}", method, path, copy)
                 except TimeoutError:
                     raise Unreachable("no answer in time") from None
 
@@ -119,10 +119,10 @@
 
     def complete_job(self, number: int, state: Any) -> None:
         """Record the job's terminal state as a leader does."""
-        live_entry = self.state.keys.get(f"live/{make_job_id(number)}")
+        live_entry = self.kv_store.keys.get(f"live/{make_job_id(number)}")
         assert live_entry is not None
         over = to_stored(completed_job(decode_job_spec(live_entry[0]), state))
-        result = self.state.commit_transaction(
+        result = self.kv_store.commit_transaction(
             {
                 "guards": [],
                 "then": [{"put": f"over/{make_job_id(number)}", "v": over}, {"delete": f"live/{make_job_id(number)}"}],
@@ -171,11 +171,11 @@
         no_dependencies: list[Any] = [None, [], ...]
         for depends_on in no_dependencies:
             assert (await harness.submit(10, depends_on))[0] in (200, 201)
-        assert "after" not in harness.state.keys["live/j-000010"][0]
+        assert "after" not in harness.kv_store.keys["live/j-000010"][0]
         # The dependency was accepted by the other node, and its id is listed twice.
         status, answer = await harness.submit(11, [make_job_id(1), make_job_id(1)], node=1)
         assert (status, answer["standing"]) == (201, "queued")
-        assert harness.state.keys["live/j-000011"][0]["after"] == {"jobs": [make_job_id(1)]}
+        assert harness.kv_store.keys["live/j-000011"][0]["after"] == {"jobs": [make_job_id(1)]}
         for depends_on, expected_text in (
             ([make_job_id(12)], make_job_id(12)),
             ([make_job_id(1), make_job_id(3)], make_job_id(3)),
@@ -190,7 +190,7 @@
         for node in (0, 1):
             harness.node_handlers[node]._terminal_states.states.clear()
             assert (await harness.submit(13 + node, [make_job_id(1)], node=node))[1]["standing"] == "queued"
-        assert "live/j-000012" not in harness.state.keys
+        assert "live/j-000012" not in harness.kv_store.keys
 
     run_scenario(scenario)
 
@@ -245,7 +245,7 @@
         rng = random.Random(3)
         over = to_stored(completed_job(JobSpec("", "c", "t0", "array", 2, 1, 1.0, 0.0, 1.0), "done"))
         numbers = rng.sample(range(1_000_000), completed_count)
-        harness.state.keys |= {f"over/{make_job_id(number)}": (over, 1, None) for number in numbers}
+        harness.kv_store.keys |= {f"over/{make_job_id(number)}": (over, 1, None) for number in numbers}
         depends_on = [make_job_id(number) for number in numbers[:requested_count]]
         requests_before = harness.request_count
         status, _ = await harness.submit(2_000_000, depends_on)
@@ -285,7 +285,7 @@
         assert (await harness.submit(1))[0] == 503
         harness.unanswered_prefix = ""
         assert (await harness.submit(2, [make_job_id(1)], node=1))[0] == 422
-        assert harness.state.commit_transaction(harness.late_transactions.pop()).status == 200
+        assert harness.kv_store.commit_transaction(harness.late_transactions.pop()).status == 200
         assert (await harness.submit(2, [make_job_id(1)], node=1))[0] == 201
         # Jobs with dependencies: the unanswered write is committed at once or late; the second is submitted again
         # with another body.
@@ -295,14 +295,14 @@
         assert (await harness.submit(4, [make_job_id(1)]))[0] == 503
         harness.unanswered_prefix = ""
         assert (await harness.submit(4, [make_job_id(2)], node=1))[0] == 201
-        assert harness.state.commit_transaction(harness.late_transactions.pop()).status == 409
-        assert harness.state.keys["live/j-000004"][0]["after"] == {"jobs": [make_job_id(2)]}
+        assert harness.kv_store.commit_transaction(harness.late_transactions.pop()).status == 409
+        assert harness.kv_store.keys["live/j-000004"][0]["after"] == {"jobs": [make_job_id(2)]}
         # A job that is cancelled on acceptance since its dependency was cancelled.
         await harness.cancel(1)
         harness.unanswered_prefix, harness.holds_unanswered = "over/j-000005", True
         assert (await harness.submit(5, [make_job_id(1)]))[0] == 503
         harness.unanswered_prefix = ""
-        assert harness.state.commit_transaction(harness.late_transactions.pop()).status == 200
+        assert harness.kv_store.commit_transaction(harness.late_transactions.pop()).status == 200
         for node in (0, 1):
             assert (await harness.submit(5, node=node)) == (200, {"name_id": make_job_id(5), "standing": "aborted"})
 
@@ -313,9 +313,9 @@
     async def scenario(harness: SubmissionHarness) -> None:
         await harness.submit(0)
         for number in range(1, 1000):
-            harness.state.keys[f"live/{make_job_id(number)}"] = (
+            harness.kv_store.keys[f"live/{make_job_id(number)}"] = (
                 {
-                    **harness.state.keys[f"live/{make_job_id(0)}"][0],
+                    **harness.kv_store.keys[f"live/{make_job_id(0)}"][0],
                     "id": make_job_id(number),
                     "after": {"jobs": [make_job_id(number - 1)]},
                 },
@@ -337,7 +337,10 @@
         harness.complete_job(999, "cancelled")
         assert [await harness.poll_status(999, node) for node in (0, 1)] == ["aborted", "aborted"]
         # No terminal state was written for the other jobs.
-        assert f"live/{make_job_id(998)}" in harness.state.keys and f"over/{make_job_id(998)}" not in harness.state.keys
+        assert (
+            f"live/{make_job_id(998)}" in harness.kv_store.keys
+            and f"over/{make_job_id(998)}" not in harness.kv_store.keys
+        )
 
     run_scenario(scenario)
 
@@ -412,8 +415,8 @@
             for node in (0, 1):
                 answer = await harness.submit(100 * node + number, [make_job_id(n) for n in dependencies], node=node)
                 assert (answer[0], answer[1]["standing"]) == (201, "aborted")
-                assert f"live/{make_job_id(100 * node + number)}" not in harness.state.keys
-                assert harness.state.keys[f"over/{make_job_id(100 * node + number)}"][0]["state"] == "cancelled"
+                assert f"live/{make_job_id(100 * node + number)}" not in harness.kv_store.keys
+                assert harness.kv_store.keys[f"over/{make_job_id(100 * node + number)}"][0]["state"] == "cancelled"
 
     run_scenario(scenario)
 
@@ -436,7 +439,7 @@
         with replaced(completed_jobs.CompletedJobReader, "read_states", read_states_slowly):
             answer = await harness.submit(3, [make_job_id(2)], node=1)
         assert calls == 2 and (answer[0], answer[1]["standing"]) == (201, "aborted")
-        assert f"live/{make_job_id(3)}" in harness.state.keys
+        assert f"live/{make_job_id(3)}" in harness.kv_store.keys
 
     run_scenario(scenario)
 
@@ -458,17 +461,17 @@
         await harness.submit(3, [make_job_id(2)])
         assert await harness.poll_status(3, 1) == "queued"
         await harness.cancel(1)
-        harness.state.is_down = True
+        harness.kv_store.is_down = True
         for node in (0, 1):
             assert (await harness.request("GET", f"/submissions/{make_job_id(3)}", node=node))[0] == 503
             assert (await harness.submit(3, node=node))[0] == 503
             assert (await harness.submit(4, [make_job_id(2)], node=node))[0] == 503
             assert (await harness.submit(5, [make_job_id(9)], node=node))[0] == 503
-        harness.state.end_outage()
+        harness.kv_store.end_outage()
         for node in (0, 1):
             assert await harness.poll_status(3, node) == "aborted"
         # A terminal state can't change, so a node that has read it answers with it in an outage as well.
-        harness.state.is_down = True
+        harness.kv_store.is_down = True
         assert await harness.poll_status(3) == "aborted"
 
     run_scenario(scenario)
@@ -481,10 +484,10 @@
         rng = random.Random(5)
         numbers = rng.sample(range(1_000_000), 4600)
         await harness.submit(numbers[0])
-        value = harness.state.keys[f"live/{make_job_id(numbers[0])}"][0]
+        value = harness.kv_store.keys[f"live/{make_job_id(numbers[0])}"][0]
         over = to_stored(completed_job(decode_job_spec(value), "done"))
         for number in numbers[1:]:
-            harness.state.keys[f"over/{make_job_id(number)}"] = (over, 1, None)
+            harness.kv_store.keys[f"over/{make_job_id(number)}"] = (over, 1, None)
         job_ids = [make_job_id(number) for number in numbers[1:1000]]
         body = submission_body(name_id="j-5", awaits=[make_job_id(number) for number in numbers])
         assert len(orjson.dumps(body)) < 65536
@@ -492,9 +495,9 @@
             assert answer[0] == 429
             await asyncio.sleep(1)
         assert answer[1]["standing"] == "queued"
-        spec = decode_job_spec(harness.state.keys["live/j-5"][0])
+        spec = decode_job_spec(harness.kv_store.keys["live/j-5"][0])
         keys = dependency_part_keys("j-5", spec.dependencies)
-        assert 1 < len(keys) <= 12 and all(key in harness.state.keys for key in keys)
+        assert 1 < len(keys) <= 12 and all(key in harness.kv_store.keys for key in keys)
         assert await read_dependencies(harness.node_handlers[0].kv_store, spec) == sorted(
             make_job_id(number) for number in numbers
         )
@@ -508,7 +511,7 @@
         # The transaction that ends the job deletes as many parts as fit; the leader deletes the others later.
         assert (await harness.request("POST", "/submissions/j-5/cancel"))[1]["standing"] == "aborted"
         deleted, remaining = split_part_keys_for_completion("j-5", spec.dependencies, 8 - 2 - 1)
-        assert [key in harness.state.keys for key in deleted + remaining] == [False] * len(deleted) + [True] * len(
+        assert [key in harness.kv_store.keys for key in deleted + remaining] == [False] * len(deleted) + [True] * len(
             remaining
         )
         with pytest.raises(DependenciesUnreadable):
@@ -523,18 +526,18 @@
         harness.unanswered_prefix, harness.holds_unanswered = "live/j-6", True
         assert (await harness.request("POST", "/submissions", body | {"name_id": "j-6", "awaits": job_ids}))[0] == 503
         harness.unanswered_prefix = ""
-        assert any(key.startswith("awaits/j-6/") for key in harness.state.keys)
+        assert any(key.startswith("awaits/j-6/") for key in harness.kv_store.keys)
         assert set(
             await orphaned_part_keys(
                 harness.node_handlers[0].kv_store, harness.node_handlers[0].live_job_cache.live_jobs
             )
         ) == set(remaining)
-        assert harness.state.commit_transaction(harness.late_transactions.pop()).status == 200
+        assert harness.kv_store.commit_transaction(harness.late_transactions.pop()).status == 200
         assert await harness.poll_status_by_id("j-6", 1) == "queued"
         # If the write of a part gets no answer, the job is not accepted.
         harness.unanswered_prefix = "awaits/j-7/"
         assert (await harness.request("POST", "/submissions", body | {"name_id": "j-7", "awaits": job_ids}))[0] == 503
-        assert "live/j-7" not in harness.state.keys
+        assert "live/j-7" not in harness.kv_store.keys
         harness.unanswered_prefix = ""
         assert (await harness.request("POST", "/submissions", body | {"name_id": "j-7", "awaits": job_ids}))[0] == 201
 
@@ -563,7 +566,7 @@
         split_list_count = 0
         for count in (1, 50, 90, 120, 200):
             assert (await harness.submit(1000 + count, [make_job_id(number) for number in range(count)]))[0] == 201
-            value = harness.state.keys[f"live/{make_job_id(1000 + count)}"][0]
+            value = harness.kv_store.keys[f"live/{make_job_id(1000 + count)}"][0]
             assert len(orjson.dumps(value)) <= 2048
             split_list_count += "parts" in value["after"]
             dependencies = await read_dependencies(harness.node_handlers[0].kv_store, decode_job_spec(value))
@@ -593,7 +596,7 @@
         self.reported_aborted: set[int] = set()
 
     def is_live(self, number: int) -> bool:
-        return f"live/{make_job_id(number)}" in self.harness.state.keys
+        return f"live/{make_job_id(number)}" in self.harness.kv_store.keys
 
     async def step(self) -> None:
         action = self.rng.choices(
@@ -658,13 +661,13 @@
     async def outage(self) -> None:
         """During an outage, nodes answer 503 or correctly."""
         expected_aborted = transitively_cancelled(self.graph, self.cancelled)
-        self.harness.state.is_down = True
+        self.harness.kv_store.is_down = True
         for number in self.rng.sample(sorted(self.graph), min(len(self.graph), 4)):
             path = f"/submissions/{make_job_id(number)}"
             status, answer = await self.harness.request("GET", path, node=self.rng.randrange(2))
             expected = "aborted" if number in expected_aborted else "done" if number in self.done else None
             assert status == 503 or (status, answer["standing"]) == (200, expected)
-        self.harness.state.end_outage()
+        self.harness.kv_store.end_outage()
 
     async def clear_caches(self) -> None:
         """Clear a node's caches, as after a restart or when its watch has fallen too far behind."""
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -32,11 +32,11 @@
 
 async def serve_on_loopback(tmp_path: Path) -> None:
     cluster = SimulatedCluster(1, is_calm=True)
-    cluster.state, cluster.cloud, cluster.nodes = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
+    cluster.kv_store, cluster.cloud, cluster.nodes = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
 
     async def serve_store(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
-        reply = await cluster.state.handle("n", request.method, request.path, body)
+        reply = await cluster.kv_store.handle("n", request.method, request.path, body)
         return Response(reply.status, reply.body)
 
     async def serve_cloud(request: Request) -> Response:
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -293,12 +293,12 @@
 
     async def out(cluster: EvictionCluster) -> None:
         await asyncio.sleep(40)
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         await asyncio.sleep(1.5)
         counts.append(cluster.stop_count)
         await asyncio.sleep(9)  # longer than the leader's lease, and than the workers'
         counts.append(cluster.stop_count)
-        cluster.state.end_outage()
+        cluster.kv_store.end_outage()
         await asyncio.sleep(45)
         counts.append(cluster.stop_count)
 
@@ -517,4 +517,4 @@
     settings.rebalancing.move = "off"
     cluster = SimulatedCluster(22_950, settings, is_calm=True)
     check(cluster.run(length_s=60, job_count=10))
-    assert not any(key.startswith("drain/") for key in cluster.state.keys)
+    assert not any(key.startswith("drain/") for key in cluster.kv_store.keys)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -132,9 +132,9 @@
             elif turn % 3 == 1:
                 await cluster.inject_fault("returns")
             else:
-                cluster.state.refused_controllers.add(leader.name)
+                cluster.kv_store.refused_controllers.add(leader.name)
                 await asyncio.sleep(3.5)
-                cluster.state.refused_controllers.clear()
+                cluster.kv_store.refused_controllers.clear()
                 await cluster.restart_controller(cluster.current_leader())
             await asyncio.sleep(cluster.rng.uniform(0.5, 7.0))
 
@@ -511,10 +511,10 @@
 
     async def corrupt_leader_key(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
-        lease_id = cluster.state.keys["lead/leader"][2]
-        cluster.state.commit_transaction({"guards": [], "then": [put("lead/leader", ["nobody"], lease_id)]})
+        lease_id = cluster.kv_store.keys["lead/leader"][2]
+        cluster.kv_store.commit_transaction({"guards": [], "then": [put("lead/leader", ["nobody"], lease_id)]})
         await asyncio.sleep(5)
-        cluster.state.commit_transaction({"guards": [], "then": [{"delete": "lead/leader"}]})
+        cluster.kv_store.commit_transaction({"guards": [], "then": [{"delete": "lead/leader"}]})
 
     cluster.schedule_action(corrupt_leader_key)
     check(cluster.run(length_s=60, job_count=15))
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -43,9 +43,9 @@
     async def end_all_faults(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(80)
         # Ends all faults now, also those whose drawn duration is longer.
-        cluster.state.refused_controllers.clear()
-        if cluster.state.is_down:
-            cluster.state.end_outage()
+        cluster.kv_store.refused_controllers.clear()
+        if cluster.kv_store.is_down:
+            cluster.kv_store.end_outage()
         for node in cluster.nodes:
             node.network_faults.clear()
             node.pause_gate.resume()
@@ -146,8 +146,12 @@
         assert (await cluster.ask("POST", "/submissions", body))[0] == 201
         cluster.accepted_jobs.add(job_id)
         await asyncio.sleep(4)
-        value, version, lease = cluster.state.keys[f"live/{job_id}"]
-        cluster.state.keys[f"live/{job_id}"] = (value | {"kind": "of a later version", "cpus": "many"}, version, lease)
+        value, version, lease = cluster.kv_store.keys[f"live/{job_id}"]
+        cluster.kv_store.keys[f"live/{job_id}"] = (
+            value | {"kind": "of a later version", "cpus": "many"},
+            version,
+            lease,
+        )
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(6)
         status, answer = await cluster.ask("GET", f"/submissions/{job_id}")
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -308,7 +308,7 @@
     for seed in range(7750, 7756):
         cluster = late_write_cluster(seed)
         check(cluster.run(length_s=110, job_count=25))
-        assert cluster.start_count > 20 and cluster.state.keys["lead/term"][0] >= 4
+        assert cluster.start_count > 20 and cluster.kv_store.keys["lead/term"][0] >= 4
 
 
 def guard_by_leader_key_alone(patch: Patch) -> None:
@@ -362,7 +362,7 @@
         ) -> None:
             nonlocal raced_cancels
             assert isinstance(cluster, LongTaskCluster)
-            original_handle = cluster.state.handle
+            original_handle = cluster.kv_store.handle
             await asyncio.sleep(6)
             node = cluster.current_leader()
             assert node.service is not None and node.service.leader_term is not None
@@ -382,7 +382,7 @@
                     await asyncio.sleep(0.8)
                 return await original_handle(name, method, path, body)
 
-            cluster.state.handle = handle  # type: ignore[method-assign, assignment]
+            cluster.kv_store.handle = handle  # type: ignore[method-assign, assignment]
             while True:
                 await asyncio.sleep(0.05)
                 for job_id, run in list(leader_term.cluster_state.jobs.items()):
@@ -398,7 +398,7 @@
         cluster.schedule_action(cancel_completed_jobs)
         check(cluster.run(length_s=60, job_count=14))
         for job_id, reported_state in reported_ends:
-            stored_state = cluster.state.keys[COMPLETED_JOB_PREFIX + job_id][0]["state"]
+            stored_state = cluster.kv_store.keys[COMPLETED_JOB_PREFIX + job_id][0]["state"]
             if reported_state != stored_state:
                 violations.append(f"{job_id} is stored as {stored_state}, and was reported as {reported_state}")
         assert len(reported_ends) > 5
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -281,7 +281,7 @@
 
     async def fail_store_and_peers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         for node in cluster.nodes:
             node.network_faults["peers"] = "refused"
         await asyncio.sleep(6)
@@ -291,7 +291,7 @@
             and bool(leader_term.worker_handlers.leader_search.redirected_at_by_worker)
             and leader_term.worker_handlers.leader_search.has_worker_returned
         )
-        cluster.state.end_outage()
+        cluster.kv_store.end_outage()
         for node in cluster.nodes:
             node.network_faults.clear()
         await asyncio.sleep(5)
@@ -302,7 +302,7 @@
     assert has_searched_and_returned == [True] and set(incarnations) == {1}, (
         "redirected workers return, and all keep their leases"
     )
-    assert cluster.state.keys["lead/term"][0] == 1
+    assert cluster.kv_store.keys["lead/term"][0] == 1
 
 
 # -- machines that restart at once --------------------------------------------------------------
@@ -354,7 +354,7 @@
 
     async def restart_at_step(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(15)
-        original_handle = cluster.state.handle
+        original_handle = cluster.kv_store.handle
 
         async def handle(node: str, method: str, path: str, body: object) -> Reply:
             is_step = step_path in path and (step_text in (method, "") or step_text in str(body))
@@ -366,7 +366,7 @@
             await asyncio.sleep(0)
             return answer or await original_handle(node, method, path, body)
 
-        cluster.state.handle = handle  # type: ignore[method-assign]
+        cluster.kv_store.handle = handle  # type: ignore[method-assign]
         await cluster.restart_controller(cluster.current_leader())
         while len(restarted) < 6 and virtual_now() < 50:
             await asyncio.sleep(0.05)
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -436,9 +436,9 @@
                 await asyncio.sleep(3)
                 worker.machine.has_failed = True
         elif who == "state":
-            cluster.state.is_down = True
+            cluster.kv_store.is_down = True
             await asyncio.sleep(4)
-            cluster.state.end_outage()
+            cluster.kv_store.end_outage()
         else:
             found = desk()
             assert found is not None
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -43,7 +43,7 @@
 async def _leader_with_durable_starts(cluster: SimulatedCluster) -> SimulatedController:
     """Returns the leader at the step in which its starts are durable and the answer has not reached it."""
     delta_committed = asyncio.Event()
-    state, original_commit = cluster.state, cluster.state.commit_transaction
+    state, original_commit = cluster.kv_store, cluster.kv_store.commit_transaction
 
     def commit_and_signal(body: Any) -> Reply:
         answer = original_commit(body)
@@ -142,7 +142,7 @@
         while not _has_ready_leader(cluster):
             await asyncio.sleep(0.01)
         leaderless_s.append(virtual_now() - ended_at)
-        terms.append(cluster.state.keys["lead/term"][0])
+        terms.append(cluster.kv_store.keys["lead/term"][0])
 
     cluster.schedule_action(restart_controllers)
     check(cluster.run(length_s=60, job_count=20))
@@ -163,13 +163,13 @@
         for _ in range(50):
             await asyncio.sleep(0.3)
             await cluster.restart_controller(node)
-        terms.append(cluster.state.keys["lead/term"][0])
+        terms.append(cluster.kv_store.keys["lead/term"][0])
 
     async def count_changes(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(21)
-        changes_before = cluster.state.change_count
+        changes_before = cluster.kv_store.change_count
         await asyncio.sleep(15)
-        store_changes.append(cluster.state.change_count - changes_before)
+        store_changes.append(cluster.kv_store.change_count - changes_before)
 
     cluster.schedule_action(crash_loop)
     cluster.schedule_action(count_changes)
@@ -192,10 +192,10 @@
 
     async def crash_all(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
-        terms.append(cluster.state.keys["lead/term"][0])
+        terms.append(cluster.kv_store.keys["lead/term"][0])
         await asyncio.gather(*(crash_loop(cluster, node) for node in cluster.nodes))
         ended_at.append(virtual_now())
-        terms.append(cluster.state.keys["lead/term"][0])
+        terms.append(cluster.kv_store.keys["lead/term"][0])
         while not _has_ready_leader(cluster):
             await asyncio.sleep(0.01)
         leaderless_s.append(virtual_now() - ended_at[0])
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -26,7 +26,7 @@
 def expected_account(cluster: SimulatedCluster) -> dict[TeamAndClass, tuple[int, int, int]]:
     """Counts accepted, done and cancelled jobs by team and class: fields as users submitted them, ends as stored."""
     counters: dict[TeamAndClass, Counter[str]] = {}
-    for key, (value, _, _) in cluster.state.keys.items():
+    for key, (value, _, _) in cluster.kv_store.keys.items():
         prefix, _, job_id = key.partition("/")
         if prefix in ("live", "over"):
             row = (cluster.jobs[job_id]["crew"], cluster.jobs[job_id]["docket"])
@@ -61,7 +61,7 @@
             deadline = virtual_now() + 30
             while virtual_now() < deadline:
                 # The leader learns of ends a moment after they are stored, and there may be no leader.
-                if not cluster.state.is_down and leader_account(cluster) == expected_account(cluster):
+                if not cluster.kv_store.is_down and leader_account(cluster) == expected_account(cluster):
                     agreements.append(len(cluster.accepted_jobs))
                     break
                 await asyncio.sleep(0.02)
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -96,14 +96,14 @@
             await cluster.restart_controller(controller)
             await asyncio.sleep(4)
     elif fault == "refused":
-        cluster.state.refused_controllers.add(node.name)
+        cluster.kv_store.refused_controllers.add(node.name)
         await asyncio.sleep(12)
-        cluster.state.refused_controllers.clear()
+        cluster.kv_store.refused_controllers.clear()
     elif fault == "outage":
         # Longer than a lease: heartbeats are still answered while the leader has read cancellations recently enough.
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         await asyncio.sleep(5.5)
-        cluster.state.end_outage()
+        cluster.kv_store.end_outage()
     else:
         faulty_controllers: list[SimulatedController] = cluster.nodes if fault == "peers" else [node]
         for controller in faulty_controllers:
--- a/tests/test_simulated_days.py
+++ b/tests/test_simulated_days.py
@@ -78,7 +78,7 @@
     cluster.schedule_action(lose_links)
     check(cluster.run(length_s=90, job_count=20))
     assert leaders[0] != leaders[1] == leaders[2] == leaders[3]
-    assert cluster.state.keys["lead/term"][0] == 2, "leadership changed more than once"
+    assert cluster.kv_store.keys["lead/term"][0] == 2, "leadership changed more than once"
     if fault == "refused":
         # Without an answer a worker waits for 4 s of its lease, 6 s here, before it tries another controller.
         expired = [
@@ -112,7 +112,7 @@
 
     cluster.schedule_action(lose_workers)
     check(cluster.run(length_s=70, job_count=10))
-    assert cluster.state.keys["lead/term"][0] == 1
+    assert cluster.kv_store.keys["lead/term"][0] == 1
 
 
 def test_controller_unreachable_for_workers_lets_others_be_elected() -> None:
@@ -162,7 +162,7 @@
     cluster.schedule_action(pause_controller)
     check(cluster.run(length_s=100, job_count=20))
     assert all(gap_s < 4.0 for gap_s in gaps_s), "a paused leader must be replaced as soon as a crashed one"
-    assert cluster.state.keys["lead/term"][0] == (2 if is_leader and pause_s > 5 else 1)
+    assert cluster.kv_store.keys["lead/term"][0] == (2 if is_leader and pause_s > 5 else 1)
     if not gaps_s:
         # Without an answer a worker waits for 4 s of its lease, 6 s here, before it tries another controller.
         assert all(worker.incarnation == 1 for worker in cluster.workers.values()), "a worker's lease expired"
@@ -182,7 +182,7 @@
         await asyncio.sleep(30)
         node = cluster.current_leader()
         assert node.service is not None and node.service.leader_term is not None
-        cluster.state.refused_controllers.add(node.name)
+        cluster.kv_store.refused_controllers.add(node.name)
         lost_at = virtual_now()
         while node.service.leader_term is not None:
             await asyncio.sleep(0.05)
@@ -206,16 +206,16 @@
 
     async def lose_store(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
-        cluster.state.refused_controllers.add("n1")
+        cluster.kv_store.refused_controllers.add("n1")
         await asyncio.sleep(8)
         statuses.append(await health_statuses(cluster))
-        cluster.state.refused_controllers.clear()
+        cluster.kv_store.refused_controllers.clear()
         await asyncio.sleep(4)
         statuses.append(await health_statuses(cluster))
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         await asyncio.sleep(8)
         statuses.append(await health_statuses(cluster))
-        cluster.state.end_outage()
+        cluster.kv_store.end_outage()
 
     cluster.schedule_action(lose_store)
     check(cluster.run(length_s=60, job_count=10))
@@ -253,7 +253,7 @@
     # 100 polls a second exceed the rate limit of the key-value store: the rest is answered 429 with `retry-after`.
     assert statuses["unknown job"] == {404, 429}
     assert max(latencies_s) < 0.5
-    assert cluster.state.keys["lead/term"][0] == 1, "the lease was lost"
+    assert cluster.kv_store.keys["lead/term"][0] == 1, "the lease was lost"
     assert all(worker.incarnation == 1 for worker in cluster.workers.values()), "a worker's lease expired"
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -519,12 +519,12 @@
     async def _lower_limits(self) -> None:
         await asyncio.sleep(self.rng.uniform(10.0, LATEST_FALL_S))
         if self.extra_fault == "outage":
-            self.state.is_down = True
+            self.kv_store.is_down = True
             await asyncio.sleep(2.0)
-        self.state.lower_limits(**LOW_LIMITS)
+        self.kv_store.lower_limits(**LOW_LIMITS)
         if self.extra_fault == "outage":
             await asyncio.sleep(2.0)
-            self.state.end_outage()
+            self.kv_store.end_outage()
         if self.extra_fault == "failover":
             await asyncio.sleep(self.rng.uniform(0.5, 5.0))
             node = self.current_leader()
@@ -556,14 +556,14 @@
     for seed in range(8100, 8102):
         cluster = run_falling_limits(seed, announced, extra_fault)
         check(cluster)
-        assert cluster.state.lowered_limits is not None and cluster.accepted_jobs and cluster.unfinished == []
+        assert cluster.kv_store.lowered_limits is not None and cluster.accepted_jobs and cluster.unfinished == []
         if announced:
-            assert cluster.state.lowered_limits.too_large_count == 0, "a write exceeded the announced limits"
+            assert cluster.kv_store.lowered_limits.too_large_count == 0, "a write exceeded the announced limits"
 
 
 def test_catches_ignored_announced_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(settings_module, "_minimum", lambda now, announced: now)
-    limits_by_run = [run_falling_limits(seed, True).state.lowered_limits for seed in range(8100, 8102)]
+    limits_by_run = [run_falling_limits(seed, True).kv_store.lowered_limits for seed in range(8100, 8102)]
     assert any(limits is not None and limits.too_large_count for limits in limits_by_run)
 
 
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -51,7 +51,7 @@
         # Answers in flight when the store begins to refuse arrive late.
         cluster.max_store_delay_s = rng.choice([0.0, 1.0, 2.9, 2.9])
         await asyncio.sleep(3)
-        cluster.state.refused_controllers.add(node.name)
+        cluster.kv_store.refused_controllers.add(node.name)
         started_at = virtual_now()
         running_jobs = sorted({task.job_id for _, task in cluster.active_tasks()})
         leader_term = node.service.leader_term
@@ -64,10 +64,10 @@
                 1 for j in running_jobs[::2] if j in cluster.cancelled_at and j in jobs and not jobs[j].final_state
             )
         cluster.max_store_delay_s = 0.0
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         await asyncio.sleep(cancel_deadline_s * 1.5)
-        cluster.state.end_outage()
-        cluster.state.refused_controllers.clear()
+        cluster.kv_store.end_outage()
+        cluster.kv_store.refused_controllers.clear()
         node.network_faults.clear()
         outage_durations_s.append(virtual_now() - started_at)
 
@@ -167,7 +167,7 @@
             node = cluster.current_leader()
             assert node.service is not None and node.service.leader_term is not None
             leader_term = node.service.leader_term
-            handle, is_live_watch_delayed = cluster.state.handle, [False]
+            handle, is_live_watch_delayed = cluster.kv_store.handle, [False]
 
             async def delay_live_watch(name: str, method: str, path: str, body: object) -> Reply:
                 answer = await handle(name, method, path, body)
@@ -175,7 +175,7 @@
                     await asyncio.sleep(1.5)
                 return answer
 
-            cluster.state.handle = delay_live_watch  # type: ignore[method-assign, assignment]
+            cluster.kv_store.handle = delay_live_watch  # type: ignore[method-assign, assignment]
             node.network_faults["peers"] = "refused"  # otherwise its peers report the cancels
             # Placements made now are recorded, and cannot be sent: no heartbeats arrive.
             node.network_faults["workers"] = "refused"
@@ -183,7 +183,7 @@
             for _ in range(6):
                 cluster.spawn(cluster.run_user())
             await asyncio.sleep(0.7)
-            cluster.state.refused_controllers.add(node.name)
+            cluster.kv_store.refused_controllers.add(node.name)
             placed_jobs = {
                 placement.run.spec.id
                 for machine in leader_term.cluster_state.machines.values()
@@ -192,13 +192,13 @@
             for job_id in sorted(placed_jobs - earlier_jobs):
                 cluster.spawn(cluster.cancel_via_others(job_id, node.name))
             await asyncio.sleep(0.8)
-            cluster.state.is_down = True
+            cluster.kv_store.is_down = True
             await asyncio.sleep(1.6)
             del node.network_faults["workers"]
             await asyncio.sleep(2.6)
             is_live_watch_delayed[0] = True  # the watch is answered later than the renewal
-            cluster.state.end_outage()
-            cluster.state.refused_controllers.clear()
+            cluster.kv_store.end_outage()
+            cluster.kv_store.refused_controllers.clear()
             await asyncio.sleep(1.2)
             renewed.append(leader_term.leader_lease.is_valid())
 
@@ -290,14 +290,14 @@
         assert isinstance(cluster, ZonePartitionCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
-        original_handle = cluster.state.handle
+        original_handle = cluster.kv_store.handle
 
         async def handle(name: str, method: str, path: str, body: object) -> Reply:
             if name == node.name and method != "GET":
                 return Reply(429, b"{}")
             return await original_handle(name, method, path, body)
 
-        cluster.state.handle = handle  # type: ignore[method-assign, assignment]
+        cluster.kv_store.handle = handle  # type: ignore[method-assign, assignment]
         node.network_faults["peers"] = "refused"
         cluster.partitioned_zones.add(node.zone)
         cluster.isolated_controller = node.name
@@ -353,13 +353,13 @@
         peers = [n for n in cluster.nodes if n is not node]
         running_jobs = sorted({task.job_id for _, task in cluster.active_tasks()})
         observed["before"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
-        cluster.state.refused_controllers.add(node.name)
+        cluster.kv_store.refused_controllers.add(node.name)
         await asyncio.sleep(0.8)
         for job_id in running_jobs[::2] if scenario != "no cancels" else ():
             await cluster.cancel_via_others(job_id, node.name)
         observed["cancelled"] = len(cluster.cancelled_at)
         await asyncio.sleep(0.2)
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         if scenario == "restarted":
             for peer in peers:
                 cluster.spawn(cluster.restart_controller(peer))
@@ -375,8 +375,8 @@
         for peer in peers:
             peer.network_faults.clear()
             peer.pause_gate.resume()
-        cluster.state.end_outage()
-        cluster.state.refused_controllers.clear()
+        cluster.kv_store.end_outage()
+        cluster.kv_store.refused_controllers.clear()
 
     cluster.schedule_action(run_outage)
     cluster.task_duration_s = 200.0
@@ -464,7 +464,7 @@
 
     async def slow_down_store(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(24)
-        original_handle = cluster.state.handle
+        original_handle = cluster.kv_store.handle
 
         async def handle(name: str, method: str, path: str, body: object) -> Reply:
             answer = await original_handle(name, method, path, body)
@@ -472,9 +472,9 @@
             return answer
 
         incarnations.append({name: worker.incarnation for name, worker in cluster.workers.items()})
-        cluster.state.handle = handle  # type: ignore[method-assign, assignment]
+        cluster.kv_store.handle = handle  # type: ignore[method-assign, assignment]
         await asyncio.sleep(40)
-        cluster.state.handle = original_handle  # type: ignore[method-assign]
+        cluster.kv_store.handle = original_handle  # type: ignore[method-assign]
         incarnations.append({name: worker.incarnation for name, worker in cluster.workers.items()})
 
     cluster.schedule_action(slow_down_store)
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -228,14 +228,14 @@
 
     async def take_over(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(8)
-        cluster.state.revision += 1
-        cluster.state.apply_change(key, {"jobs": ["j-1"]}, None)
+        cluster.kv_store.revision += 1
+        cluster.kv_store.apply_change(key, {"jobs": ["j-1"]}, None)
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(14)
         leader_term = find_leader_term()
         if leader_term is None:
             outcomes.append(ENDS_EVERY_TERM)
-        elif key not in cluster.state.keys:
+        elif key not in cluster.kv_store.keys:
             outcomes.append(DELETED)
         else:
             outcomes.append(
@@ -390,7 +390,7 @@
             {"put": COMPLETED_JOB_PREFIX + "j-1", "v": ended},
             {"put": LIVE_JOB_PREFIX + DEPENDENT_JOB, "v": self.record},
         ]
-        await self.state.handle("n0", "POST", "/txn", {"guards": guards, "then": ops})
+        await self.kv_store.handle("n0", "POST", "/txn", {"guards": guards, "then": ops})
         self.accepted_jobs.add(DEPENDENT_JOB)
 
     async def poll_status(self) -> None:
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -54,7 +54,7 @@
 def run_scenario(scenario: Scenario) -> None:
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
-        cluster.state, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
+        cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
         cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
             for node in cluster.nodes:
@@ -153,7 +153,7 @@
         service.submission_handlers.set_catalog(None)
         assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id="j-000001")))[0] == 503
         assert (await send_request(cluster, "POST", "/submissions", submission_body()))[0] == 200
-        cluster.state.is_down = True
+        cluster.kv_store.is_down = True
         for method, path in (("GET", ""), ("POST", "/cancel")):
             assert (await send_request(cluster, method, f"/submissions/j-000412{path}", node=1))[0] == 503
         assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id="j-000002"), node=1))[
@@ -188,7 +188,7 @@
                 0
             ] == 201
         reads = 0
-        handle = cluster.state.handle
+        handle = cluster.kv_store.handle
 
         async def count_reads(node: str, method: str, path: str, body: Any) -> Any:
             nonlocal reads
@@ -196,7 +196,7 @@
             reads += node == "n1" and (path.startswith("/store/") or "block_ms=0" in path)
             return await handle(node, method, path, body)
 
-        cluster.state.handle = count_reads  # type: ignore[method-assign]
+        cluster.kv_store.handle = count_reads  # type: ignore[method-assign]
         polls = [send_request(cluster, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
         answers = await asyncio.gather(*polls)
         assert {status for status, _ in answers} == {200}
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -58,8 +58,8 @@
     accepted_jobs: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.original_handle, self.rng = self.cluster.state.handle, Random(self.cluster.seed)
-        self.cluster.state.handle = self.handle  # type: ignore[method-assign]
+        self.original_handle, self.rng = self.cluster.kv_store.handle, Random(self.cluster.seed)
+        self.cluster.kv_store.handle = self.handle  # type: ignore[method-assign]
 
     async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
         self.requests_by_second[int(virtual_now())] += 1
@@ -90,7 +90,7 @@
         return response.status, orjson.loads(response.body)
 
     def check(self, status: int, answer: Any, job_id: str) -> None:
-        keys = self.cluster.state.keys
+        keys = self.cluster.kv_store.keys
         if status == 404 and job_id in self.accepted_jobs:
             self.violations.append(f"{job_id} was accepted, and is not found")
         if status not in (200, 201):
@@ -167,7 +167,7 @@
 ) -> UserWorkload:
     async def main() -> UserWorkload:
         cluster = SimulatedCluster(seed, is_calm=True, params_override={"state": STORE_LIMITS})
-        cluster.state, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
+        cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
         cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
             for node in cluster.nodes:
@@ -179,9 +179,11 @@
                 users.append(cluster.spawn(workload.run_user(number)))
                 await asyncio.sleep(workload.rng.expovariate(4.0))
             await asyncio.wait(users)
-            still_live = {job_id for job_id in workload.ended_jobs if LIVE_JOB_PREFIX + job_id in cluster.state.keys}
+            still_live = {job_id for job_id in workload.ended_jobs if LIVE_JOB_PREFIX + job_id in cluster.kv_store.keys}
             await asyncio.sleep(14)  # every delayed transaction has run by then
-            still_live |= {job_id for job_id in workload.ended_jobs if LIVE_JOB_PREFIX + job_id in cluster.state.keys}
+            still_live |= {
+                job_id for job_id in workload.ended_jobs if LIVE_JOB_PREFIX + job_id in cluster.kv_store.keys
+            }
             workload.violations += [f"{job_id} has ended, and its live record remains" for job_id in sorted(still_live)]
             for node in cluster.nodes:
                 node.crash()
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -218,9 +218,9 @@
 def count_ends_of_cancelled_jobs(cluster: SimulatedCluster) -> tuple[int, int]:
     """How many of the jobs that users cancelled ended as done, and how many as cancelled."""
     ends = [
-        cluster.state.keys[COMPLETED_JOB_PREFIX + job][0]["state"]
+        cluster.kv_store.keys[COMPLETED_JOB_PREFIX + job][0]["state"]
         for job in cluster.cancel_requested
-        if COMPLETED_JOB_PREFIX + job in cluster.state.keys
+        if COMPLETED_JOB_PREFIX + job in cluster.kv_store.keys
     ]
     return ends.count("done"), ends.count("cancelled")
 
@@ -390,7 +390,7 @@
         statuses |= {(operation.action.value, operation.status) for operation in cluster.history.operations}
         stored_job_ids = {
             key.partition("/")[2]
-            for key in cluster.state.keys
+            for key in cluster.kv_store.keys
             if key.startswith((LIVE_JOB_PREFIX, COMPLETED_JOB_PREFIX))
         }
         assert stored_job_ids <= cluster.jobs.keys()
@@ -478,14 +478,14 @@
         self.schedule_action(lambda _: self._limit_store_and_observe())
 
     async def _limit_store_and_observe(self) -> None:
-        self.store_limits = StoreRateLimits(self.state, 200.0, CHANGES_PER_S)
+        self.store_limits = StoreRateLimits(self.kv_store, 200.0, CHANGES_PER_S)
         while True:
             await asyncio.sleep(1.0)
             self.max_jobs_in_memory = max(
                 [self.max_jobs_in_memory, *(len(cluster_state.jobs) for cluster_state in self._cluster_states())]
             )
             self.leftover_keys = sorted(
-                k for k in self.state.keys if k.startswith((LIVE_JOB_PREFIX, COMPLETED_TASKS_PREFIX))
+                k for k in self.kv_store.keys if k.startswith((LIVE_JOB_PREFIX, COMPLETED_TASKS_PREFIX))
             )
 
     def _cluster_states(self) -> list[ClusterState]:
@@ -674,7 +674,7 @@
         self.schedule_action(lambda _: self._count_conflicts())
 
     async def _count_conflicts(self) -> None:
-        commit_transaction = self.state.commit_transaction
+        commit_transaction = self.kv_store.commit_transaction
 
         def commit_counting_conflicts(body: dict[str, Any]) -> Reply:
             answer = commit_transaction(body)
@@ -686,7 +686,7 @@
                 self.conflicts.update(conflicting_guards(body, answer, (LOG_PREFIX, COMPLETED_TASKS_PREFIX)))
             return answer
 
-        self.state.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
+        self.kv_store.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
         await asyncio.sleep(LOST_ANSWERS_END_S)
         self.started_count = self.start_count
 
@@ -960,13 +960,13 @@
         )
         assert {
             f"{drain_store.REQUEST_KEY_PREFIX}{name}" for name in ("one", "two", "three")
-        } <= cluster.state.keys.keys()
+        } <= cluster.kv_store.keys.keys()
 
 
 def drains_without_end(cluster: EvictionCluster) -> set[str]:
     """Accepted drains without a stored end; drains that ended long ago are deleted and not counted."""
     requests = [
-        value for key, (value, _, _) in cluster.state.keys.items() if key.startswith(drain_store.REQUEST_KEY_PREFIX)
+        value for key, (value, _, _) in cluster.kv_store.keys.items() if key.startswith(drain_store.REQUEST_KEY_PREFIX)
     ]
     return {str(value) for value in requests if not value.get("ended_ms")}
 
@@ -998,14 +998,14 @@
     conflicts: Counter[tuple[str, int]] = Counter()
 
     async def watch_transactions(cluster: SimulatedCluster) -> None:
-        commit_transaction = cluster.state.commit_transaction
+        commit_transaction = cluster.kv_store.commit_transaction
 
         def commit_counting_conflicts(body: dict[str, Any]) -> Reply:
             answer = commit_transaction(body)
             conflicts.update(conflicting_guards(body, answer, CONTROLLER_KEY_PREFIXES))
             return answer
 
-        cluster.state.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
+        cluster.kv_store.commit_transaction = commit_counting_conflicts  # type: ignore[method-assign]
 
     cluster.schedule_action(watch_transactions)
     return conflicts
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -226,9 +226,9 @@
         jobs = [step["job"]["name_id"] for step in amendment["steps"]]
         reign = next((n.service.leader_term for n in cluster.nodes if n.service and n.service.leader_term), None)
         runs: list[JobRun | None] = [None if reign is None else reign.cluster_state.jobs.get(job) for job in jobs]
-        over = [f"over/{job}" in cluster.state.keys for job in jobs]
+        over = [f"over/{job}" in cluster.kv_store.keys for job in jobs]
         if moment == "taken":
-            return any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.state.keys)
+            return any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.kv_store.keys)
         if moment == "released":
             return runs[0] is not None and not runs[0].hold_reason
         if moment == "started":
@@ -249,9 +249,9 @@
         if who == "all":
             await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
         elif who == "state":
-            cluster.state.is_down = True
+            cluster.kv_store.is_down = True
             await asyncio.sleep(9)
-            cluster.state.end_outage()
+            cluster.kv_store.end_outage()
         else:
             for _turn in range(3):
                 await cluster.restart_controller(cluster.current_leader())
@@ -282,9 +282,9 @@
         cluster.register_amendment(large)
         cluster.spawn(cluster.submit_amendment(large))
         # The leader ends in the middle of the taking: nobody was told anything, and the registry asks again.
-        while sum(key.startswith("live/j-4") for key in cluster.state.keys) < 10:
+        while sum(key.startswith("live/j-4") for key in cluster.kv_store.keys) < 10:
             await asyncio.sleep(0.01)
-        told.append(any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.state.keys))
+        told.append(any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.kv_store.keys))
         await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(act)
@@ -390,7 +390,7 @@
         cluster.check_answer(jobs[1], status, answer)
         await asyncio.sleep(40)
         ended.extend(
-            cluster.state.keys[f"over/{job}"][0]["state"] for job in jobs if f"over/{job}" in cluster.state.keys
+            cluster.kv_store.keys[f"over/{job}"][0]["state"] for job in jobs if f"over/{job}" in cluster.kv_store.keys
         )
 
     cluster.schedule_action(act)
@@ -438,7 +438,7 @@
     changes: dict[str, int] = {}
 
     async def count(_: SimulatedCluster) -> None:
-        plain = cluster.state.commit_transaction
+        plain = cluster.kv_store.commit_transaction
 
         def txn(body: Any) -> Any:
             answer = plain(body)
@@ -448,7 +448,7 @@
                     changes[kind] = changes.get(kind, 0) + 1
             return answer
 
-        cluster.state.commit_transaction = txn  # type: ignore[method-assign]
+        cluster.kv_store.commit_transaction = txn  # type: ignore[method-assign]
 
     cluster.schedule_action(count)
     states: list[str] = []
