--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -180,7 +180,7 @@
             await asyncio.sleep(AMENDMENT_INTERVAL_S)
             self.spawn(self.submit_amendment(self.registry.make_amendment()))
             drain_request = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
-            node = self.rng.choice(self.nodes)
+            node = self.rng.choice(self.controllers)
             self.spawn(node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": drain_request})))
 
 
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -849,7 +849,7 @@
                 if method == "GET":
                     return json_reply(200, worker.heartbeat_body())
                 return worker.handle_direct_command(body)
-            for peer in self.nodes:
+            for peer in self.controllers:
                 if address == f"10.0.0.{peer.index + 1}:8081":
                     if "peers" in peer.network_faults:
                         await asyncio.sleep(timeout.total_seconds())
@@ -916,7 +916,7 @@
     async def deliver_heartbeat(
         self, worker: SimulatedWorker, controller_index: int, body: dict[str, Any]
     ) -> Response | None:
-        controller = self.nodes[controller_index]
+        controller = self.controllers[controller_index]
         raw = orjson.dumps(body)
         if self.kept_heartbeats is not None:
             self.kept_heartbeats.append(raw)
@@ -953,7 +953,7 @@
     async def deliver_heartbeat_copy(self, raw: bytes) -> None:
         """Delivers a copy of a heartbeat to any controller, up to well over a lease duration late."""
         await asyncio.sleep(self.rng.choice([0.01, 1.0, 5.0, 20.0]) * self.rng.uniform(0.5, 1.5))
-        await self.rng.choice(self.nodes).serve_public("POST", "/hello", raw)
+        await self.rng.choice(self.controllers).serve_public("POST", "/hello", raw)
 
     async def check_unreachable_worker(self, worker: SimulatedWorker, node: SimulatedController, raw: bytes) -> None:
         response = await node.serve_public("POST", "/hello", raw)
@@ -1047,7 +1047,7 @@
                     cancelled_at is None or virtual_now() <= cancelled_at + self.cancel_deadline_s,
                     f"ran_cancelled: {task.job_id}/{task.index} is active",
                 )
-            for node in self.nodes:
+            for node in self.controllers:
                 term = node.running_version.attribute(node.service, "leader_election.leader_lease.term")
                 if node.service is not None and term is not None:
                     leader = self.leader_by_term.setdefault(term, node.service)
@@ -1075,7 +1075,7 @@
     # -- users --------------------------------------------------------------------------------
 
     async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
-        running_controllers = [n for n in self.nodes if n.service is not None]
+        running_controllers = [n for n in self.controllers if n.service is not None]
         if not running_controllers:
             await asyncio.sleep(0.1)
             return 0, {}
@@ -1179,8 +1179,8 @@
 
     def current_leader(self) -> SimulatedController:
         return next(
-            (n for n in self.nodes if n.running_version.attribute(n.service, "leader_term")),
-            self.rng.choice(self.nodes),
+            (n for n in self.controllers if n.running_version.attribute(n.service, "leader_term")),
+            self.rng.choice(self.controllers),
         )
 
     async def inject_fault(self, fault: str) -> None:
@@ -1189,19 +1189,19 @@
         if fault in USER_FAULTS:
             await USER_FAULTS[fault](self, rng.uniform(5.0, 25.0))
         elif fault == "crash":
-            await self.restart_controller(self.current_leader() if rng.random() < 0.6 else rng.choice(self.nodes))
+            await self.restart_controller(self.current_leader() if rng.random() < 0.6 else rng.choice(self.controllers))
         elif fault == "roll":
-            for node in self.nodes:
+            for node in self.controllers:
                 await self.restart_controller(node)
         elif fault == "all":
-            await asyncio.gather(*(self.restart_controller(node) for node in self.nodes))
+            await asyncio.gather(*(self.restart_controller(node) for node in self.controllers))
         elif fault == "outage":
             if not self.kv_store.is_down:
                 self.kv_store.is_down = True
                 await asyncio.sleep(rng.choice([2.0, 5.0, 12.0]))
                 self.kv_store.end_outage()
         elif fault == "alone":
-            node = self.current_leader() if rng.random() < 0.8 else rng.choice(self.nodes)
+            node = self.current_leader() if rng.random() < 0.8 else rng.choice(self.controllers)
             self.kv_store.refused_controllers.add(node.name)
             await asyncio.sleep(rng.uniform(1, 20))
             self.kv_store.refused_controllers.discard(node.name)
@@ -1214,14 +1214,14 @@
                 self.kv_store.refused_controllers.discard(node.name)
         elif fault == "paused":
             # The process is suspended: its sockets stay open, and it continues where it stopped.
-            node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.nodes)
+            node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.controllers)
             gate = node.pause_gate
             gate.pause()
             await asyncio.sleep(rng.choice([1.0, 4.0, 12.0, 40.0]) * rng.uniform(0.7, 1.5))
             gate.resume()
         elif fault == "partly":
             # One or two controllers lose part of the network, each target with one drawn network fault.
-            for node in rng.sample(self.nodes, rng.choice([1, 1, 2])):
+            for node in rng.sample(self.controllers, rng.choice([1, 1, 2])):
                 targets = rng.sample(["state", "workers", "peers", "cloud"], rng.choice([1, 1, 2, 3]))
                 self.spawn(self.lose_network(node, targets, rng.uniform(3, 25)))
         elif fault == "boots":
@@ -1247,7 +1247,7 @@
             self.heartbeat_copiers -= 1
         elif fault == "lone":
             # One or two controllers lose the key-value store and the other controllers, but not their workers.
-            for node in rng.sample(self.nodes, rng.choice([1, 1, 1, 2])):
+            for node in rng.sample(self.controllers, rng.choice([1, 1, 1, 2])):
                 self.spawn(self.lose_network(node, ["state", "peers"], rng.uniform(5, 40)))
         elif fault == "late writes":
             self.late_write_probability = rng.uniform(0.1, 0.6)
@@ -1267,8 +1267,8 @@
             )
         elif fault == "returns":
             # All controllers crash; one restarts within a second, the others after it, and the first crashes again.
-            first, *others = rng.sample(self.nodes, len(self.nodes))
-            for node in self.nodes:
+            first, *others = rng.sample(self.controllers, len(self.controllers))
+            for node in self.controllers:
                 node.crash()
             await asyncio.sleep(rng.uniform(0.05, 0.9))
             if first.service is None:
@@ -1279,7 +1279,7 @@
                     node.start()
             await self.restart_controller(first)
         elif fault == "slow":
-            node = rng.choice(self.nodes)
+            node = rng.choice(self.controllers)
             node.delay_s = rng.uniform(0.05, 0.8)
             await asyncio.sleep(rng.uniform(1, 10))
             node.delay_s = 0.0
@@ -1345,9 +1345,9 @@
     async def run_day(self, length_s: float, job_count: int) -> None:
         self.kv_store = SimulatedKeyValueStore(self)
         self.cloud = SimulatedCloud(self)
-        self.nodes = [SimulatedController(self, i) for i in range(self.controller_count)]
+        self.controllers = [SimulatedController(self, i) for i in range(self.controller_count)]
         with virtual_wall_clock():
-            for node in self.nodes:
+            for node in self.controllers:
                 node.start()
             for zone in ZONES * self.scale:
                 self.cloud.rent_machine("cpu", zone, False)
@@ -1365,7 +1365,7 @@
             end = length_s
             while virtual_now() < end and not (self.rule_violations or self.errors or self.is_over):
                 await asyncio.sleep(0.5)
-            for node in self.nodes:
+            for node in self.controllers:
                 node.crash()
             for task in list(self.tasks):
                 task.cancel()
--- a/tests/simulation/eviction.py
+++ b/tests/simulation/eviction.py
@@ -202,7 +202,7 @@
             return await service.serve_peer(request)
 
         for _ in range(max_attempts):
-            running_controllers = [n for n in self.nodes if n.service is not None]
+            running_controllers = [n for n in self.controllers if n.service is not None]
             if running_controllers:
                 try:
                     async with asyncio.timeout(5.0):
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -138,15 +138,17 @@
         """Sends a user's cancel to other controllers than this one until its end is confirmed."""
         self.cancel_requested.add(job_id)
         while job_id not in self.observed_ends:
-            self.rng.shuffle(self.nodes)
-            self.nodes.sort(key=lambda node: node.name == avoided_controller)
-            status, answer = await self.request_controller(self.nodes[0].name, "POST", f"/submissions/{job_id}/cancel")
+            self.rng.shuffle(self.controllers)
+            self.controllers.sort(key=lambda node: node.name == avoided_controller)
+            status, answer = await self.request_controller(
+                self.controllers[0].name, "POST", f"/submissions/{job_id}/cancel"
+            )
             self.check_answer(job_id, status, answer)
             await asyncio.sleep(0.05)
-        self.nodes.sort(key=lambda node: node.index)
+        self.controllers.sort(key=lambda node: node.index)
 
     async def request_controller(self, name: str, method: str, path: str) -> tuple[int, dict[str, Any]]:
-        node = next(n for n in self.nodes if n.name == name)
+        node = next(n for n in self.controllers if n.name == name)
         try:
             async with asyncio.timeout(5.0):
                 response = await node.serve(lambda service: service.serve_public(Request(method, path, b"")))
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -74,7 +74,7 @@
         """Whether no fault is active: nothing is partitioned, paused, delayed or down."""
         controllers_healthy = all(
             n.service is not None and not n.network_faults and not n.delay_s and n.pause_gate.resumed_future() is None
-            for n in self.nodes
+            for n in self.controllers
         )
         store_and_network_healthy = not (
             self.kv_store.is_down
@@ -260,13 +260,13 @@
 
 
 def current_term(cluster: SimulatedCluster) -> int:
-    leases = [n.service.leader_election.leader_lease for n in cluster.nodes if n.service is not None]
+    leases = [n.service.leader_election.leader_lease for n in cluster.controllers if n.service is not None]
     return max((lease.term for lease in leases if lease is not None), default=0)
 
 
 async def deliver_to_all_controllers(cluster: SimulatedCluster, heartbeats: list[bytes]) -> None:
     for raw in heartbeats:
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             request = Request("POST", "/hello", raw)
             cluster.spawn(node.serve(lambda service, request=request: service.serve_public(request)))  # type: ignore[misc]
     await asyncio.sleep(0)
@@ -311,11 +311,11 @@
 
 async def stop_all_controllers(cluster: SimulatedCluster, duration_s: float | None = None) -> None:
     """All controllers are down for longer than a lease."""
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         if node.service is not None:
             node.crash()
     await asyncio.sleep(cluster.lease_duration_s + cluster.rng.uniform(0.2, 4) if duration_s is None else duration_s)
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         start_if_stopped(node)
 
 
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -54,7 +54,7 @@
 
     async def roll_controllers(self) -> None:
         await asyncio.sleep(ROLL_BEGINS_AT_S)
-        remaining = self.rng.sample(self.nodes, len(self.nodes))
+        remaining = self.rng.sample(self.controllers, len(self.controllers))
         while remaining:
             batch = [remaining.pop() for _ in range(min(len(remaining), self.rng.choice([1, 1, 2])))]
             for node in batch:
@@ -71,7 +71,7 @@
     def check_outcome(self) -> None:
         """Checks the rules, that all controllers run the next version and that every accepted job has ended."""
         raise_first_failure(self)
-        assert self.rolled_at > 0 and all(node.running_version == self.next_version for node in self.nodes)
+        assert self.rolled_at > 0 and all(node.running_version == self.next_version for node in self.controllers)
         unfinished = self.accepted_jobs - self.observed_ends.keys()
         assert not unfinished, f"seed {self.seed}: these jobs did not end: {sorted(unfinished)}"
 
@@ -111,7 +111,7 @@
         }
         answer = await super().handle(node, method, path, body)
         if answer.status == 200:
-            version = self.cluster.nodes[int(node[1:])].running_version
+            version = self.cluster.controllers[int(node[1:])].running_version
             for op in put_operations(path, body):
                 key = op["put"]
                 if key not in self.keys or self.keys[key][1] == previous_revisions[key]:
@@ -164,7 +164,7 @@
             await asyncio.sleep(7)
             self.spawn(self.submit_amendment(self.registry.make_amendment()))
             drain_request = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
-            node = self.rng.choice(self.nodes)
+            node = self.rng.choice(self.controllers)
             await node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": drain_request}))
 
 
--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -58,7 +58,7 @@
 ) -> None:
     cluster.cancel_requested.add(job_id)
     while True:
-        target = node or cluster.rng.choice(cluster.nodes)
+        target = node or cluster.rng.choice(cluster.controllers)
         status, answer = await request_controller(cluster, target, "POST", f"/submissions/{job_id}/cancel")
         if status in (200, 404):
             check_end(cluster, job_id, answer)
@@ -101,7 +101,7 @@
 
 async def _poll_all_controllers(cluster: "SimulatedCluster", job_id: str) -> None:
     for _ in range(3):
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             cluster.spawn(_poll_controller(cluster, node, job_id))
         await asyncio.sleep(cluster.rng.uniform(0.0, 0.01))
 
@@ -135,7 +135,7 @@
     jobs = [job for job in unfinished_jobs(cluster) if job not in cluster.without_request]
     if jobs:
         job_id = cluster.rng.choice(jobs)
-        node = cluster.rng.choice(cluster.nodes)
+        node = cluster.rng.choice(cluster.controllers)
         status, answer = await request_controller(cluster, node, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
         cluster.check_rule(status in (0, 200, 429, 503, 504), f"forgotten: the repeat of {job_id} got {status}")
         check_end(cluster, job_id, answer)
@@ -145,7 +145,7 @@
     done_jobs = sorted(job_id for job_id, end in cluster.observed_ends.items() if end == "done")
     if done_jobs:
         job_id = cluster.rng.choice(done_jobs)
-        node = cluster.rng.choice(cluster.nodes)
+        node = cluster.rng.choice(cluster.controllers)
         status, answer = await request_controller(cluster, node, "POST", f"/submissions/{job_id}/cancel")
         cluster.check_rule(
             status != 200 or answer["standing"] == "done", f"went_back: {job_id} was done, and is {answer}"
@@ -167,14 +167,14 @@
 async def _check_refused(cluster: "SimulatedCluster", job: Job, expected_status: int) -> None:
     """Checks that every controller rejects the job, and that none knows it or has stored anything afterwards."""
     job_id = job["name_id"] = f"j-7{cluster.rng.randrange(10**8):08d}"
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         status, _ = await request_controller(cluster, node, "POST", "/submissions", job)
         cluster.check_rule(
             status in (0, expected_status, 429, 503, 504),
             f"accepted_wrongly: {job} got {status}, not {expected_status}",
         )
     status, answer = await request_controller(
-        cluster, cluster.rng.choice(cluster.nodes), "GET", f"/submissions/{job_id}"
+        cluster, cluster.rng.choice(cluster.controllers), "GET", f"/submissions/{job_id}"
     )
     cluster.check_rule(status != 200, f"invented: {job_id}, which can't run, is {answer}")
     stored_keys = [key for key in cluster.kv_store.keys if job_id in key]
@@ -218,7 +218,7 @@
 async def _cancel_near_end(cluster: "SimulatedCluster", job_id: str) -> None:
     rng = cluster.rng
     await asyncio.sleep(rng.uniform(0.0, 0.6))
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         cluster.spawn(_poll_controller(cluster, node, job_id))
     await cancel_until_answered(cluster, job_id)
 
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -35,7 +35,7 @@
 
     async def request_workflow(self, request: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Sends a workflow request of the registry or an operator to any running controller."""
-        running_controllers = [n for n in self.nodes if n.service is not None]
+        running_controllers = [n for n in self.controllers if n.service is not None]
         if not running_controllers:
             return 0, {}
         node = self.rng.choice(running_controllers)
@@ -116,7 +116,7 @@
 
     def workflow_states(self) -> dict[str, str]:
         """The state of each workflow, as the leader holds it; empty without a ready leader."""
-        for node in self.nodes:
+        for node in self.controllers:
             leader_term = None if node.service is None else node.service.leader_term
             if leader_term is not None and leader_term.is_ready:
                 return {name: workflow.state for name, workflow in leader_term.workflows.workflows.items()}
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -197,7 +197,8 @@
 
 def desk_of(cluster: SimulatedCluster) -> DeadlineController | None:
     return next(
-        (n.service.leader_term.delivery_deadlines for n in cluster.nodes if n.service and n.service.leader_term), None
+        (n.service.leader_term.delivery_deadlines for n in cluster.controllers if n.service and n.service.leader_term),
+        None,
     )
 
 
@@ -277,7 +278,7 @@
             if who == "leader":
                 await cluster.restart_controller(cluster.current_leader())
             elif who == "all":
-                await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
+                await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.controllers))
             elif who == "state":
                 cluster.kv_store.is_down = True
                 await asyncio.sleep(7)
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -253,7 +253,7 @@
 def run_with_store(scenario: Any) -> None:
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
-        cluster.kv_store, cluster.nodes = SimulatedKeyValueStore(cluster), []
+        cluster.kv_store, cluster.controllers = SimulatedKeyValueStore(cluster), []
         node = SimulatedController(cluster, 0)
         with virtual_wall_clock():
             await scenario(
@@ -387,7 +387,7 @@
     async def record_machines_ahead(cluster: SimulatedCluster) -> None:
         while True:
             await asyncio.sleep(1)
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 leader_term = None if node.service is None else node.service.leader_term
                 if leader_term is not None and leader_term.predictive_scaler is not None:
                     assert not leader_term.predictive_scaler.failure, leader_term.predictive_scaler.failure
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -253,7 +253,9 @@
 
 
 def reconciler_of(cluster: SimulatedCluster) -> DependencyReconciler | None:
-    leader_term = next((n.service.leader_term for n in cluster.nodes if n.service and n.service.leader_term), None)
+    leader_term = next(
+        (n.service.leader_term for n in cluster.controllers if n.service and n.service.leader_term), None
+    )
     return None if leader_term is None else leader_term.dependency_reconciler
 
 
@@ -302,7 +304,7 @@
         cluster.kv_store.is_down = True
         assert (status, answer["standing"]) == (200, "aborted")
         if restarted:
-            for node in [cluster.current_leader()] if restarted == "leader" else cluster.nodes:
+            for node in [cluster.current_leader()] if restarted == "leader" else cluster.controllers:
                 cluster.spawn(cluster.restart_controller(node))
         await asyncio.sleep(cluster.cancel_deadline_s + 4)
         cluster.kv_store.end_outage()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -32,7 +32,7 @@
 
 async def serve_on_loopback(tmp_path: Path) -> None:
     cluster = SimulatedCluster(1, is_calm=True)
-    cluster.kv_store, cluster.cloud, cluster.nodes = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
+    cluster.kv_store, cluster.cloud, cluster.controllers = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
 
     async def serve_store(request: Request) -> Response:
         body = orjson.loads(request.body) if request.body else None
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -46,7 +46,7 @@
         cluster.kv_store.refused_controllers.clear()
         if cluster.kv_store.is_down:
             cluster.kv_store.end_outage()
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             node.network_faults.clear()
             node.pause_gate.resume()
             node.delay_s = 0.0
@@ -78,7 +78,7 @@
 
     async def isolate_followers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
-        for node in [n for n in cluster.nodes if n is not cluster.current_leader()][:2]:
+        for node in [n for n in cluster.controllers if n is not cluster.current_leader()][:2]:
             node.network_faults |= {"state": "refused", "peers": "refused"}
 
     cluster.schedule_action(isolate_followers)
@@ -103,14 +103,14 @@
 
     async def flood(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(40)
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             assert node.service is not None
             node.service.submission_handlers._terminal_states.states.clear()
 
         async def poll_unknown_jobs() -> None:
             while True:
                 job_id = f"j-8{cluster.rng.randrange(10**9)}"
-                node = cluster.rng.choice(cluster.nodes)
+                node = cluster.rng.choice(cluster.controllers)
                 request = Request("GET", f"/submissions/{job_id}", b"")
                 response = await node.serve(lambda service, request=request: service.serve_public(request))  # type: ignore[misc]
                 if response is not None and response.status == 429:
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -44,7 +44,7 @@
 
     def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
         self.stop_count += 1
-        for node in self.nodes:
+        for node in self.controllers:
             leader_term = None if node.service is None else node.service.leader_term
             if leader_term is None or leader_term.cluster_state.term != worker.fencing_token:
                 continue
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -282,7 +282,7 @@
     async def fail_store_and_peers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
         cluster.kv_store.is_down = True
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             node.network_faults["peers"] = "refused"
         await asyncio.sleep(6)
         leader_term = cluster.current_leader().service.leader_term  # type: ignore[union-attr]
@@ -292,7 +292,7 @@
             and leader_term.worker_handlers.leader_search.has_worker_returned
         )
         cluster.kv_store.end_outage()
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             node.network_faults.clear()
         await asyncio.sleep(5)
         incarnations.extend(worker.incarnation for worker in cluster.workers.values())
@@ -362,7 +362,7 @@
                 return await original_handle(node, method, path, body)
             restarted.append(node)
             answer = await original_handle(node, method, path, body) if is_applied else None
-            cluster.spawn(cluster.restart_controller(cluster.nodes[int(node[1:])]))
+            cluster.spawn(cluster.restart_controller(cluster.controllers[int(node[1:])]))
             await asyncio.sleep(0)
             return answer or await original_handle(node, method, path, body)
 
@@ -373,7 +373,7 @@
         last_restart_at = virtual_now()
         while not any(
             controller.service and controller.service.leader_term and controller.service.leader_term.is_ready
-            for controller in cluster.nodes
+            for controller in cluster.controllers
         ):
             await asyncio.sleep(0.02)
         gaps_s.append(virtual_now() - last_restart_at)
@@ -390,12 +390,12 @@
     async def restart_in_turn(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(15)
         for number in range(24):
-            cluster.spawn(cluster.restart_controller(cluster.nodes[number % 2]))
+            cluster.spawn(cluster.restart_controller(cluster.controllers[number % 2]))
             await asyncio.sleep(0.25)
         last_restart_at = virtual_now()
         while not any(
             controller.service and controller.service.leader_term and controller.service.leader_term.is_ready
-            for controller in cluster.nodes
+            for controller in cluster.controllers
         ):
             await asyncio.sleep(0.02)
         gaps_s.append(virtual_now() - last_restart_at)
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -405,7 +405,7 @@
 
     def desk() -> RebalancingController | None:
         return next(
-            (n.service.leader_term.rebalancer for n in cluster.nodes if n.service and n.service.leader_term), None
+            (n.service.leader_term.rebalancer for n in cluster.controllers if n.service and n.service.leader_term), None
         )
 
     def reached() -> bool:
@@ -426,7 +426,7 @@
         if who == "leader":
             await cluster.restart_controller(cluster.current_leader())
         elif who == "all":
-            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
+            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.controllers))
         elif who == "machine":
             found = desk()
             assert found is not None
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -78,7 +78,7 @@
 
 def _has_ready_leader(cluster: SimulatedCluster) -> bool:
     return any(
-        node.service and node.service.leader_term and node.service.leader_term.is_ready for node in cluster.nodes
+        node.service and node.service.leader_term and node.service.leader_term.is_ready for node in cluster.controllers
     )
 
 
@@ -99,7 +99,7 @@
         for _ in range(restart_count):
             # Short phases last milliseconds: poll every millisecond, for 20 s at most.
             for _ in range(20000):
-                node = next((node for node in cluster.nodes if PHASES[phase](node)), None)
+                node = next((node for node in cluster.controllers if PHASES[phase](node)), None)
                 if phase == "starts durable":
                     node = await _leader_with_durable_starts(cluster)
                 if node is not None:
@@ -138,7 +138,7 @@
         if restarted == "leader":
             await cluster.restart_controller(leader)
         else:
-            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
+            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.controllers))
         while not _has_ready_leader(cluster):
             await asyncio.sleep(0.01)
         leaderless_s.append(virtual_now() - ended_at)
@@ -193,7 +193,7 @@
     async def crash_all(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
         terms.append(cluster.kv_store.keys["lead/term"][0])
-        await asyncio.gather(*(crash_loop(cluster, node) for node in cluster.nodes))
+        await asyncio.gather(*(crash_loop(cluster, node) for node in cluster.controllers))
         ended_at.append(virtual_now())
         terms.append(cluster.kv_store.keys["lead/term"][0])
         while not _has_ready_leader(cluster):
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -73,7 +73,7 @@
     """Waits for a leader other than the given process, and returns its process."""
     for _ in range(600):
         leading_processes = [
-            n.service for n in cluster.nodes if n.running_version.attribute(n.service, "leader_term") is not None
+            n.service for n in cluster.controllers if n.running_version.attribute(n.service, "leader_term") is not None
         ]
         if leading_processes and leading_processes[0] is not excluded:
             return leading_processes[0]
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -216,7 +216,7 @@
             leader = cluster.current_leader()
             # The partition contains the leader: workers of its zone still reach it while it may answer heartbeats.
             cluster.partitioned_zones.add(leader.zone)
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 if node.zone == leader.zone:
                     cluster.spawn(
                         cluster.lose_network(node, ["state", "peers", "cloud"], cluster.lease_duration_s * 2.5)
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -35,7 +35,7 @@
 
 
 def leader_account(cluster: SimulatedCluster) -> dict[TeamAndClass, tuple[int, int, int]] | None:
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         leader_term = None if node.service is None else node.service.leader_term
         if leader_term is not None and leader_term.is_ready:
             levels = leader_term.service_levels.account.service_levels(leader_term.cluster_state.jobs)
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -90,9 +90,9 @@
     if fault == "leader":
         await cluster.restart_controller(node)
     elif fault == "all":
-        await asyncio.gather(*(cluster.restart_controller(controller) for controller in cluster.nodes))
+        await asyncio.gather(*(cluster.restart_controller(controller) for controller in cluster.controllers))
     elif fault == "roll":
-        for controller in cluster.nodes:
+        for controller in cluster.controllers:
             await cluster.restart_controller(controller)
             await asyncio.sleep(4)
     elif fault == "refused":
@@ -105,7 +105,7 @@
         await asyncio.sleep(5.5)
         cluster.kv_store.end_outage()
     else:
-        faulty_controllers: list[SimulatedController] = cluster.nodes if fault == "peers" else [node]
+        faulty_controllers: list[SimulatedController] = cluster.controllers if fault == "peers" else [node]
         for controller in faulty_controllers:
             controller.network_faults[fault] = "refused"
         await asyncio.sleep(12)
--- a/tests/test_simulated_days.py
+++ b/tests/test_simulated_days.py
@@ -96,7 +96,7 @@
     async def lose_workers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
         if affected == "all controllers":
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 node.network_faults["workers"] = "silent"
         elif affected == "zone":
             cluster.partitioned_zones.add(cluster.current_leader().zone)
@@ -105,7 +105,7 @@
                 worker.is_hung = True
         await asyncio.sleep(20)
         cluster.partitioned_zones.clear()
-        for node in cluster.nodes:
+        for node in cluster.controllers:
             node.network_faults.clear()
         for worker in cluster.workers.values():
             worker.is_hung = False
@@ -145,13 +145,13 @@
     async def pause_controller(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
         leader = cluster.current_leader()
-        node = leader if is_leader else next(n for n in cluster.nodes if n is not leader)
+        node = leader if is_leader else next(n for n in cluster.controllers if n is not leader)
         node.pause_gate.pause()
         paused_at = virtual_now()
         if is_leader and pause_s > 5:
             while not any(
                 n.service and n.service.leader_term and n.service.leader_term.is_ready
-                for n in cluster.nodes
+                for n in cluster.controllers
                 if n is not node
             ):
                 await asyncio.sleep(0.05)
@@ -201,7 +201,7 @@
     statuses: list[list[int]] = []
 
     async def health_statuses(cluster: SimulatedCluster) -> list[int]:
-        services = [node.service for node in cluster.nodes if node.service is not None]
+        services = [node.service for node in cluster.controllers if node.service is not None]
         return [(await service.serve_public(Request("GET", "/healthz", b""))).status for service in services]
 
     async def lose_store(cluster: SimulatedCluster) -> None:
@@ -276,7 +276,7 @@
 def reached_failover_steps(cluster: SimulatedCluster) -> set[str]:
     """The failover steps that any controller has reached."""
     steps = {"lost"}
-    for node in cluster.nodes:
+    for node in cluster.controllers:
         service = node.service
         if service is None or service.leader_election.leader_lease is None:
             continue
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -229,7 +229,7 @@
         cluster.spawn(cluster.lose_network(node, ["state", "peers"], 35.0))
         while not any(
             n is not node and n.service and n.service.leader_term and n.service.leader_term.is_ready
-            for n in cluster.nodes
+            for n in cluster.controllers
         ):
             await asyncio.sleep(0.02)
         for job_id in sorted({task.job_id for _, task in cluster.active_tasks()}):
@@ -275,7 +275,7 @@
     async def deliver_heartbeat(
         self, worker: SimulatedWorker, controller_index: int, body: dict[str, Any]
     ) -> Response | None:
-        controller = self.nodes[controller_index]
+        controller = self.controllers[controller_index]
         if controller.name == self.isolated_controller and worker.machine.zone != controller.zone:
             await asyncio.sleep(4.0)
             return None
@@ -350,7 +350,7 @@
         assert isinstance(cluster, LongTaskCluster)
         await asyncio.sleep(24)
         node = cluster.current_leader()
-        peers = [n for n in cluster.nodes if n is not node]
+        peers = [n for n in cluster.controllers if n is not node]
         running_jobs = sorted({task.job_id for _, task in cluster.active_tasks()})
         observed["before"] = {name: worker.incarnation for name, worker in cluster.workers.items()}
         cluster.kv_store.refused_controllers.add(node.name)
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -219,7 +219,7 @@
         return next(
             (
                 leader_term
-                for n in cluster.nodes
+                for n in cluster.controllers
                 if (leader_term := production().attribute(n.service, "leader_term"))
                 and production().attribute(leader_term, "is_ready")
             ),
@@ -263,17 +263,17 @@
 
     async def query_each_other(cluster: SimulatedCluster) -> None:
         # The second controller starts later, so that the first leads.
-        cluster.nodes[1].crash()
+        cluster.controllers[1].crash()
         await asyncio.sleep(4)
-        cluster.nodes[1].start()
+        cluster.controllers[1].start()
         await asyncio.sleep(16)
-        assert cluster.current_leader() is cluster.nodes[0]
-        for node in cluster.nodes:
+        assert cluster.current_leader() is cluster.controllers[0]
+        for node in cluster.controllers:
             service: Any = node.service
             attribute = node.running_version.attribute
             assert await attribute(service, "membership.fetch_latest_leader")() == ("n0", 1)
             acknowledged = await attribute(service, "membership.fetch_acknowledged_cancellations")(timedelta(seconds=5))
-            others = [peer for peer in cluster.nodes if peer is not node and peer.service is not None]
+            others = [peer for peer in cluster.controllers if peer is not node and peer.service is not None]
             acknowledged_since = others[0].running_version.attribute(
                 others[0].service, "submission_handlers.acknowledged_cancellations_since"
             )
@@ -291,18 +291,18 @@
         jobs = sorted(cluster.accepted_jobs - cluster.observed_ends.keys())
         counts = [
             await node.running_version.attribute(node.service, "_fetch_progress")(jobs)
-            for node in cluster.nodes
+            for node in cluster.controllers
             if node.service is not None
         ]
         assert jobs and counts[0].keys() == counts[1].keys() == set(jobs)
         heartbeat = orjson.dumps(next(iter(cluster.workers.values())).heartbeat_body())
-        redirect = await cluster.nodes[1].serve_public("POST", "/hello", heartbeat)
+        redirect = await cluster.controllers[1].serve_public("POST", "/hello", heartbeat)
         assert redirect is not None and redirect.status == 421
         assert orjson.loads(redirect.body)["answers_to"] == "n0"
         for path in ("/reach", "/status", "/limits", "/forecast"):
-            response = await cluster.nodes[1].serve_peer("GET", path, b"")
+            response = await cluster.controllers[1].serve_peer("GET", path, b"")
             assert response is not None and response.status == 200, path
-        forwarded = await cluster.nodes[1].serve_peer("POST", "/drains", orjson.dumps({"verb": "status"}))
+        forwarded = await cluster.controllers[1].serve_peer("POST", "/drains", orjson.dumps({"verb": "status"}))
         assert forwarded is not None and forwarded.status == 200
         verified.append("all")
 
@@ -411,9 +411,9 @@
         await self.restart_controller(self.current_leader())
         await asyncio.sleep(max(0.0, self.upgrade_begins_at - virtual_now()))
         self.upgraded_at = virtual_now()
-        for node in self.nodes:
+        for node in self.controllers:
             node.version = PRESENT
-        await asyncio.gather(*(self.restart_controller(node) for node in self.nodes))
+        await asyncio.gather(*(self.restart_controller(node) for node in self.controllers))
 
     def check_start(self, worker: Any, task: Any) -> None:
         super().check_start(worker, task)
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -55,13 +55,13 @@
     async def main() -> None:
         cluster = SimulatedCluster(1, is_calm=True)
         cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
-        cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
+        cluster.controllers = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 node.start()
             await asyncio.sleep(2)
             await scenario(cluster)
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 node.crash()
             await asyncio.sleep(0)
         assert not cluster.errors
@@ -72,7 +72,7 @@
 async def send_request(
     cluster: SimulatedCluster, method: str, path: str, body: Any = None, node: int = 0
 ) -> tuple[int, Any]:
-    service = cluster.nodes[node].service
+    service = cluster.controllers[node].service
     assert service is not None
     raw = body if isinstance(body, bytes) else orjson.dumps(body) if body is not None else b""
     response = await service.serve_public(Request(method, path, raw))
@@ -148,7 +148,7 @@
 def test_outage_and_unknown_machine_types_get_503() -> None:
     async def scenario(cluster: SimulatedCluster) -> None:
         await send_request(cluster, "POST", "/submissions", submission_body())
-        service = cluster.nodes[0].service
+        service = cluster.controllers[0].service
         assert service is not None
         service.submission_handlers.set_catalog(None)
         assert (await send_request(cluster, "POST", "/submissions", submission_body(name_id="j-000001")))[0] == 503
@@ -227,7 +227,7 @@
 
 def test_conflict_in_a_group_commit_fails_only_its_own_write() -> None:
     async def scenario(cluster: SimulatedCluster) -> None:
-        client = KeyValueStoreClient("10.2.0.1:1", make_settings(0).params.kv_store, cluster.nodes[0].connect)
+        client = KeyValueStoreClient("10.2.0.1:1", make_settings(0).params.kv_store, cluster.controllers[0].connect)
         committer = GroupCommitter(client, 100)
         cluster.spawn(committer.run())
         await client.compare_and_swap([], [{"put": "x/5", "v": 1}])
@@ -245,7 +245,7 @@
     is_committed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(cluster: SimulatedCluster) -> None:
-        service = cluster.nodes[0].service
+        service = cluster.controllers[0].service
         assert service is not None
         compare_and_swap = service.kv_store.compare_and_swap
 
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -83,7 +83,7 @@
     async def send_request(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         import orjson
 
-        node = self.rng.choice(self.cluster.nodes)
+        node = self.rng.choice(self.cluster.controllers)
         request = Request(method, path, b"" if body is None else orjson.dumps(body))
         response = await node.serve(lambda service: service.serve_public(request))
         assert response is not None
@@ -168,9 +168,9 @@
     async def main() -> UserWorkload:
         cluster = SimulatedCluster(seed, is_calm=True, params_override={"state": STORE_LIMITS})
         cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
-        cluster.nodes = [SimulatedController(cluster, i) for i in range(3)]
+        cluster.controllers = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 node.start()
             await asyncio.sleep(5)
             workload = UserWorkload(cluster, fault_probability, draw_outcome)
@@ -185,7 +185,7 @@
                 job_id for job_id in workload.ended_jobs if LIVE_JOB_PREFIX + job_id in cluster.kv_store.keys
             }
             workload.violations += [f"{job_id} has ended, and its live record remains" for job_id in sorted(still_live)]
-            for node in cluster.nodes:
+            for node in cluster.controllers:
                 node.crash()
             for task in list(cluster.tasks):
                 task.cancel()
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -153,7 +153,9 @@
 
 async def submit_after_delay(cluster: SimulatedCluster, job: dict[str, Any]) -> None:
     await asyncio.sleep(cluster.rng.uniform(0.0, 0.12))
-    await user_faults.request_controller(cluster, cluster.nodes[0], "POST", "/submissions", user_faults.to_wire(job))
+    await user_faults.request_controller(
+        cluster, cluster.controllers[0], "POST", "/submissions", user_faults.to_wire(job)
+    )
 
 
 def cluster_with_cancels_during_submission(seed: int) -> SimulatedCluster:
@@ -170,8 +172,8 @@
             cluster.cancel_requested.add(job_id)
             cluster.spawn(submit_after_delay(cluster, job))
             await asyncio.sleep(cluster.rng.uniform(0.0, 0.12))
-            await user_faults.cancel_until_answered(cluster, job_id, cluster.nodes[1])
-            cluster.spawn(user_faults.cancel_until_answered(cluster, job_id, cluster.nodes[2]))
+            await user_faults.cancel_until_answered(cluster, job_id, cluster.controllers[1])
+            cluster.spawn(user_faults.cancel_until_answered(cluster, job_id, cluster.controllers[2]))
             await asyncio.sleep(0.1)
 
     cluster.schedule_action(act)
@@ -489,7 +491,7 @@
             )
 
     def _cluster_states(self) -> list[ClusterState]:
-        leader_terms = [node.service.leader_term for node in self.nodes if node.service is not None]
+        leader_terms = [node.service.leader_term for node in self.controllers if node.service is not None]
         return [leader_term.cluster_state for leader_term in leader_terms if leader_term is not None]
 
     def make_job(self) -> dict[str, Any]:
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -224,7 +224,7 @@
 
     def reached(amendment: dict[str, Any]) -> bool:
         jobs = [step["job"]["name_id"] for step in amendment["steps"]]
-        reign = next((n.service.leader_term for n in cluster.nodes if n.service and n.service.leader_term), None)
+        reign = next((n.service.leader_term for n in cluster.controllers if n.service and n.service.leader_term), None)
         runs: list[JobRun | None] = [None if reign is None else reign.cluster_state.jobs.get(job) for job in jobs]
         over = [f"over/{job}" in cluster.kv_store.keys for job in jobs]
         if moment == "taken":
@@ -247,7 +247,7 @@
             await asyncio.sleep(0.01)
         failed.append(moment)
         if who == "all":
-            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
+            await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.controllers))
         elif who == "state":
             cluster.kv_store.is_down = True
             await asyncio.sleep(9)
