--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -198,10 +198,10 @@
         self.is_down = False
         self.leases_by_id = {lease: (ttl, virtual_now() + ttl) for lease, (ttl, _) in self.leases_by_id.items()}
 
-    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+    async def handle(self, controller_name: str, method: str, path: str, body: Any) -> Reply:
         if path.startswith("/watch"):
-            return await self.watch(node, path)
-        if self.is_down or node in self.refused_controllers:
+            return await self.watch(controller_name, path)
+        if self.is_down or controller_name in self.refused_controllers:
             return json_reply(503)
         self.expire_leases()
         if path == "/txn":
@@ -269,12 +269,12 @@
                     self.apply_change(op["delete"], None, None)
         return json_reply(200, {"ledger": self.revision})
 
-    async def watch(self, node: str, path: str) -> Reply:
+    async def watch(self, controller_name: str, path: str) -> Reply:
         query = dict(part.split("=") for part in path.partition("?")[2].split("&"))
         prefix, after = query["prefix"].replace("%2F", "/"), int(query["after"])
         answer_at = virtual_now() + int(query["block_ms"]) / 1000
         while True:
-            is_refused = self.is_down or node in self.refused_controllers
+            is_refused = self.is_down or controller_name in self.refused_controllers
             if not is_refused:
                 self.expire_leases()
                 events = [
@@ -346,7 +346,7 @@
     def machine_state(self, machine: SimulatedMachine) -> str:
         return "failed" if machine.has_failed else "running" if machine.worker else "booting"
 
-    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+    async def handle(self, controller_name: str, method: str, path: str, body: Any) -> Reply:
         if path == "/catalog":
             return json_reply(
                 200,
@@ -902,7 +902,7 @@
                 raise Unreachable("delayed; may be delivered later")
         return await deliver()
 
-    def is_answer_lost(self, node: SimulatedController, body: Any) -> bool:
+    def is_answer_lost(self, controller: SimulatedController, body: Any) -> bool:
         """Whether a transaction is applied at once and its answer is lost."""
         return self.lost_answer_probability > 0 and self.rng.random() < self.lost_answer_probability
 
@@ -955,8 +955,10 @@
         await asyncio.sleep(self.rng.choice([0.01, 1.0, 5.0, 20.0]) * self.rng.uniform(0.5, 1.5))
         await self.rng.choice(self.controllers).serve_public("POST", "/hello", raw)
 
-    async def check_unreachable_worker(self, worker: SimulatedWorker, node: SimulatedController, raw: bytes) -> None:
-        response = await node.serve_public("POST", "/hello", raw)
+    async def check_unreachable_worker(
+        self, worker: SimulatedWorker, controller: SimulatedController, raw: bytes
+    ) -> None:
+        response = await controller.serve_public("POST", "/hello", raw)
         if response is not None and response.status == 200 and worker.one_way_partition == "deaf":
             started_tasks = [
                 command["parcel"] for command in orjson.loads(response.body)["orders"] if command["verb"] == "run"
@@ -975,9 +977,9 @@
                 f"sent_in_vain: {started_tasks} to {worker.machine.name}, which receives nothing",
             )
 
-    async def deliver_heartbeat_late(self, node: SimulatedController, raw: bytes) -> None:
+    async def deliver_heartbeat_late(self, controller: SimulatedController, raw: bytes) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 20.0))
-        await node.serve_public("POST", "/hello", raw)
+        await controller.serve_public("POST", "/hello", raw)
 
     # -- rules --------------------------------------------------------------------------------
 
@@ -1047,11 +1049,11 @@
                     cancelled_at is None or virtual_now() <= cancelled_at + self.cancel_deadline_s,
                     f"ran_cancelled: {task.job_id}/{task.index} is active",
                 )
-            for node in self.controllers:
-                term = node.running_version.attribute(node.service, "leader_election.leader_lease.term")
-                if node.service is not None and term is not None:
-                    leader = self.leader_by_term.setdefault(term, node.service)
-                    self.check_rule(leader is node.service, f"used_twice: term {term}")
+            for controller in self.controllers:
+                term = controller.running_version.attribute(controller.service, "leader_election.leader_lease.term")
+                if controller.service is not None and term is not None:
+                    leader = self.leader_by_term.setdefault(term, controller.service)
+                    self.check_rule(leader is controller.service, f"used_twice: term {term}")
 
     def check_answer(self, job_id: str, status: int, answer: dict[str, Any]) -> None:
         if status == 404:
@@ -1079,13 +1081,13 @@
         if not running_controllers:
             await asyncio.sleep(0.1)
             return 0, {}
-        node = self.rng.choice(running_controllers)
+        controller = self.rng.choice(running_controllers)
         await asyncio.sleep(self.rng.uniform(0.001, 0.02))
         loses_answer = not self.is_calm and self.rng.random() < 0.03
         raw = orjson.dumps(body) if body else b""
         try:
             async with asyncio.timeout(5.0):
-                response = await node.serve_public(method, path, raw)
+                response = await controller.serve_public(method, path, raw)
         except TimeoutError:
             return 0, {}
         if loses_answer or response is None:
@@ -1191,39 +1193,39 @@
         elif fault == "crash":
             await self.restart_controller(self.current_leader() if rng.random() < 0.6 else rng.choice(self.controllers))
         elif fault == "roll":
-            for node in self.controllers:
-                await self.restart_controller(node)
+            for controller in self.controllers:
+                await self.restart_controller(controller)
         elif fault == "all":
-            await asyncio.gather(*(self.restart_controller(node) for node in self.controllers))
+            await asyncio.gather(*(self.restart_controller(controller) for controller in self.controllers))
         elif fault == "outage":
             if not self.kv_store.is_down:
                 self.kv_store.is_down = True
                 await asyncio.sleep(rng.choice([2.0, 5.0, 12.0]))
                 self.kv_store.end_outage()
         elif fault == "alone":
-            node = self.current_leader() if rng.random() < 0.8 else rng.choice(self.controllers)
-            self.kv_store.refused_controllers.add(node.name)
+            controller = self.current_leader() if rng.random() < 0.8 else rng.choice(self.controllers)
+            self.kv_store.refused_controllers.add(controller.name)
             await asyncio.sleep(rng.uniform(1, 20))
-            self.kv_store.refused_controllers.discard(node.name)
+            self.kv_store.refused_controllers.discard(controller.name)
         elif fault == "deaf":
             # The leader alone loses the key-value store for 30 s, while its workers still reach it.
-            node = self.current_leader()
+            controller = self.current_leader()
             if not self.kv_store.refused_controllers:
-                self.kv_store.refused_controllers.add(node.name)
+                self.kv_store.refused_controllers.add(controller.name)
                 await asyncio.sleep(30)
-                self.kv_store.refused_controllers.discard(node.name)
+                self.kv_store.refused_controllers.discard(controller.name)
         elif fault == "paused":
             # The process is suspended: its sockets stay open, and it continues where it stopped.
-            node = self.current_leader() if rng.random() < 0.7 else rng.choice(self.controllers)
-            gate = node.pause_gate
+            controller = self.current_leader() if rng.random() < 0.7 else rng.choice(self.controllers)
+            gate = controller.pause_gate
             gate.pause()
             await asyncio.sleep(rng.choice([1.0, 4.0, 12.0, 40.0]) * rng.uniform(0.7, 1.5))
             gate.resume()
         elif fault == "partly":
             # One or two controllers lose part of the network, each target with one drawn network fault.
-            for node in rng.sample(self.controllers, rng.choice([1, 1, 2])):
+            for controller in rng.sample(self.controllers, rng.choice([1, 1, 2])):
                 targets = rng.sample(["state", "workers", "peers", "cloud"], rng.choice([1, 1, 2, 3]))
-                self.spawn(self.lose_network(node, targets, rng.uniform(3, 25)))
+                self.spawn(self.lose_network(controller, targets, rng.uniform(3, 25)))
         elif fault == "boots":
             # For a while machines boot late, fail to boot more often, or boot at once.
             self.cloud.boot_factor, self.cloud.boot_failure_probability = rng.choice(
@@ -1247,8 +1249,8 @@
             self.heartbeat_copiers -= 1
         elif fault == "lone":
             # One or two controllers lose the key-value store and the other controllers, but not their workers.
-            for node in rng.sample(self.controllers, rng.choice([1, 1, 1, 2])):
-                self.spawn(self.lose_network(node, ["state", "peers"], rng.uniform(5, 40)))
+            for controller in rng.sample(self.controllers, rng.choice([1, 1, 1, 2])):
+                self.spawn(self.lose_network(controller, ["state", "peers"], rng.uniform(5, 40)))
         elif fault == "late writes":
             self.late_write_probability = rng.uniform(0.1, 0.6)
             await asyncio.sleep(rng.uniform(5, 25))
@@ -1268,21 +1270,21 @@
         elif fault == "returns":
             # All controllers crash; one restarts within a second, the others after it, and the first crashes again.
             first, *others = rng.sample(self.controllers, len(self.controllers))
-            for node in self.controllers:
-                node.crash()
+            for controller in self.controllers:
+                controller.crash()
             await asyncio.sleep(rng.uniform(0.05, 0.9))
             if first.service is None:
                 first.start()
             await asyncio.sleep(rng.uniform(0.1, 6.0))
-            for node in others:
-                if node.service is None:
-                    node.start()
+            for controller in others:
+                if controller.service is None:
+                    controller.start()
             await self.restart_controller(first)
         elif fault == "slow":
-            node = rng.choice(self.controllers)
-            node.delay_s = rng.uniform(0.05, 0.8)
+            controller = rng.choice(self.controllers)
+            controller.delay_s = rng.uniform(0.05, 0.8)
             await asyncio.sleep(rng.uniform(1, 10))
-            node.delay_s = 0.0
+            controller.delay_s = 0.0
         elif worker is None:
             return
         elif fault in ("deaf machine", "mute machine"):
@@ -1332,13 +1334,13 @@
         for target in targets:
             controller.network_faults.pop(target, None)
 
-    async def restart_controller(self, node: SimulatedController) -> None:
-        if node.service is None:
+    async def restart_controller(self, controller: SimulatedController) -> None:
+        if controller.service is None:
             return
-        node.crash()
+        controller.crash()
         await asyncio.sleep(self.rng.uniform(*self.restart_delay_range_s))
-        if node.service is None:
-            node.start()
+        if controller.service is None:
+            controller.start()
 
     # -- a day --------------------------------------------------------------------------------
 
@@ -1347,8 +1349,8 @@
         self.cloud = SimulatedCloud(self)
         self.controllers = [SimulatedController(self, i) for i in range(self.controller_count)]
         with virtual_wall_clock():
-            for node in self.controllers:
-                node.start()
+            for controller in self.controllers:
+                controller.start()
             for zone in ZONES * self.scale:
                 self.cloud.rent_machine("cpu", zone, False)
             self.spawn(self.check_continuously())
@@ -1365,8 +1367,8 @@
             end = length_s
             while virtual_now() < end and not (self.rule_violations or self.errors or self.is_over):
                 await asyncio.sleep(0.5)
-            for node in self.controllers:
-                node.crash()
+            for controller in self.controllers:
+                controller.crash()
             for task in list(self.tasks):
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -139,19 +139,19 @@
         self.cancel_requested.add(job_id)
         while job_id not in self.observed_ends:
             self.rng.shuffle(self.controllers)
-            self.controllers.sort(key=lambda node: node.name == avoided_controller)
+            self.controllers.sort(key=lambda controller: controller.name == avoided_controller)
             status, answer = await self.request_controller(
                 self.controllers[0].name, "POST", f"/submissions/{job_id}/cancel"
             )
             self.check_answer(job_id, status, answer)
             await asyncio.sleep(0.05)
-        self.controllers.sort(key=lambda node: node.index)
+        self.controllers.sort(key=lambda controller: controller.index)
 
     async def request_controller(self, name: str, method: str, path: str) -> tuple[int, dict[str, Any]]:
-        node = next(n for n in self.controllers if n.name == name)
+        controller = next(n for n in self.controllers if n.name == name)
         try:
             async with asyncio.timeout(5.0):
-                response = await node.serve(lambda service: service.serve_public(Request(method, path, b"")))
+                response = await controller.serve(lambda service: service.serve_public(Request(method, path, b"")))
         except TimeoutError:
             return 0, {}
         return (0, {}) if response is None else (response.status, orjson.loads(response.body))
--- a/tests/simulation/load_balancer.py
+++ b/tests/simulation/load_balancer.py
@@ -49,7 +49,7 @@
 class LoadBalancer:
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
-        self.backends = [Backend(node) for node in cluster.controllers]
+        self.backends = [Backend(controller) for controller in cluster.controllers]
 
     async def run(self) -> None:
         await asyncio.gather(*(self._probe(each) for each in self.backends))
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -266,9 +266,9 @@
 
 async def deliver_to_all_controllers(cluster: SimulatedCluster, heartbeats: list[bytes]) -> None:
     for raw in heartbeats:
-        for node in cluster.controllers:
+        for controller in cluster.controllers:
             request = Request("POST", "/hello", raw)
-            cluster.spawn(node.serve(lambda service, request=request: service.serve_public(request)))  # type: ignore[misc]
+            cluster.spawn(controller.serve(lambda service, request=request: service.serve_public(request)))  # type: ignore[misc]
     await asyncio.sleep(0)
 
 
@@ -311,17 +311,17 @@
 
 async def stop_all_controllers(cluster: SimulatedCluster, duration_s: float | None = None) -> None:
     """All controllers are down for longer than a lease."""
-    for node in cluster.controllers:
-        if node.service is not None:
-            node.crash()
+    for controller in cluster.controllers:
+        if controller.service is not None:
+            controller.crash()
     await asyncio.sleep(cluster.lease_duration_s + cluster.rng.uniform(0.2, 4) if duration_s is None else duration_s)
-    for node in cluster.controllers:
-        start_if_stopped(node)
+    for controller in cluster.controllers:
+        start_if_stopped(controller)
 
 
-def start_if_stopped(node: SimulatedController) -> None:
-    if node.service is None:
-        node.start()
+def start_if_stopped(controller: SimulatedController) -> None:
+    if controller.service is None:
+        controller.start()
 
 
 MACHINE_FAULTS: dict[str, Callable[[SimulatedCluster], Awaitable[Any]]] = {
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -57,10 +57,10 @@
         remaining = self.rng.sample(self.controllers, len(self.controllers))
         while remaining:
             batch = [remaining.pop() for _ in range(min(len(remaining), self.rng.choice([1, 1, 2])))]
-            for node in batch:
+            for controller in batch:
                 # A controller that is down now restarts with the next version too.
-                node.version = self.next_version
-            await asyncio.gather(*(self.restart_controller(node) for node in batch))
+                controller.version = self.next_version
+            await asyncio.gather(*(self.restart_controller(controller) for controller in batch))
             self.rolled_at = virtual_now()
             await asyncio.sleep(self.rng.uniform(*ROLL_INTERVAL_RANGE_S))
 
@@ -71,7 +71,9 @@
     def check_outcome(self) -> None:
         """Checks the rules, that all controllers run the next version and that every accepted job has ended."""
         raise_first_failure(self)
-        assert self.rolled_at > 0 and all(node.running_version == self.next_version for node in self.controllers)
+        assert self.rolled_at > 0 and all(
+            controller.running_version == self.next_version for controller in self.controllers
+        )
         unfinished = self.accepted_jobs - self.observed_ends.keys()
         assert not unfinished, f"seed {self.seed}: these jobs did not end: {sorted(unfinished)}"
 
@@ -105,13 +107,13 @@
             str, dict[bytes, tuple[str, Version]]
         ] = {}  # per family and encoded value: its key and its writer
 
-    async def handle(self, node: str, method: str, path: str, body: Any) -> Any:
+    async def handle(self, controller_name: str, method: str, path: str, body: Any) -> Any:
         previous_revisions = {
             op["put"]: self.keys[op["put"]][1] if op["put"] in self.keys else 0 for op in put_operations(path, body)
         }
-        answer = await super().handle(node, method, path, body)
+        answer = await super().handle(controller_name, method, path, body)
         if answer.status == 200:
-            version = self.cluster.controllers[int(node[1:])].running_version
+            version = self.cluster.controllers[int(controller_name[1:])].running_version
             for op in put_operations(path, body):
                 key = op["put"]
                 if key not in self.keys or self.keys[key][1] == previous_revisions[key]:
@@ -164,8 +166,8 @@
             await asyncio.sleep(7)
             self.spawn(self.submit_amendment(self.registry.make_amendment()))
             drain_request = {"name": f"d{number}", "grace_s": 2.0, "deadline_s": 30.0, "types": ["cpu"]}
-            node = self.rng.choice(self.controllers)
-            await node.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": drain_request}))
+            controller = self.rng.choice(self.controllers)
+            await controller.serve_peer("POST", "/drains", orjson.dumps({"verb": "start", "ask": drain_request}))
 
 
 def put_operations(path: str, body: Any) -> list[dict[str, Any]]:
--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -41,29 +41,29 @@
 
 
 async def request_controller(
-    cluster: "SimulatedCluster", node: "SimulatedController", method: str, path: str, body: object = None
+    cluster: "SimulatedCluster", controller: "SimulatedController", method: str, path: str, body: object = None
 ) -> tuple[int, Job]:
     """Sends one request to this controller; (0, {}) without an answer."""
     raw = b"" if body is None else orjson.dumps(body)
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
-            response = await node.serve(lambda service: service.serve_public(Request(method, path, raw)))
+            response = await controller.serve(lambda service: service.serve_public(Request(method, path, raw)))
     except TimeoutError:
         return 0, {}
     return (0, {}) if response is None else (response.status, orjson.loads(response.body))
 
 
 async def cancel_until_answered(
-    cluster: "SimulatedCluster", job_id: str, node: "SimulatedController | None" = None
+    cluster: "SimulatedCluster", job_id: str, controller: "SimulatedController | None" = None
 ) -> None:
     cluster.cancel_requested.add(job_id)
     while True:
-        target = node or cluster.rng.choice(cluster.controllers)
+        target = controller or cluster.rng.choice(cluster.controllers)
         status, answer = await request_controller(cluster, target, "POST", f"/submissions/{job_id}/cancel")
         if status in (200, 404):
             check_end(cluster, job_id, answer)
             return
-        node = None
+        controller = None
         await asyncio.sleep(CANCEL_RETRY_INTERVAL_S)
 
 
@@ -101,22 +101,22 @@
 
 async def _poll_all_controllers(cluster: "SimulatedCluster", job_id: str) -> None:
     for _ in range(3):
-        for node in cluster.controllers:
-            cluster.spawn(_poll_controller(cluster, node, job_id))
+        for controller in cluster.controllers:
+            cluster.spawn(_poll_controller(cluster, controller, job_id))
         await asyncio.sleep(cluster.rng.uniform(0.0, 0.01))
 
 
-async def _poll_controller(cluster: "SimulatedCluster", node: "SimulatedController", job_id: str) -> None:
+async def _poll_controller(cluster: "SimulatedCluster", controller: "SimulatedController", job_id: str) -> None:
     rng = cluster.rng
     await asyncio.sleep(rng.uniform(0.0, 0.005))
     draw = rng.random()
     if draw < 0.04 and job_id in cluster.accepted_jobs:
-        await cancel_until_answered(cluster, job_id, node)
+        await cancel_until_answered(cluster, job_id, controller)
         return
     if draw < 0.3 and job_id not in cluster.without_request:
-        _, answer = await request_controller(cluster, node, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
+        _, answer = await request_controller(cluster, controller, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
     else:
-        _, answer = await request_controller(cluster, node, "GET", f"/submissions/{job_id}")
+        _, answer = await request_controller(cluster, controller, "GET", f"/submissions/{job_id}")
     check_end(cluster, job_id, answer)
 
 
@@ -135,8 +135,10 @@
     jobs = [job for job in unfinished_jobs(cluster) if job not in cluster.without_request]
     if jobs:
         job_id = cluster.rng.choice(jobs)
-        node = cluster.rng.choice(cluster.controllers)
-        status, answer = await request_controller(cluster, node, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
+        controller = cluster.rng.choice(cluster.controllers)
+        status, answer = await request_controller(
+            cluster, controller, "POST", "/submissions", to_wire(cluster.jobs[job_id])
+        )
         cluster.check_rule(status in (0, 200, 429, 503, 504), f"forgotten: the repeat of {job_id} got {status}")
         check_end(cluster, job_id, answer)
 
@@ -145,8 +147,8 @@
     done_jobs = sorted(job_id for job_id, end in cluster.observed_ends.items() if end == "done")
     if done_jobs:
         job_id = cluster.rng.choice(done_jobs)
-        node = cluster.rng.choice(cluster.controllers)
-        status, answer = await request_controller(cluster, node, "POST", f"/submissions/{job_id}/cancel")
+        controller = cluster.rng.choice(cluster.controllers)
+        status, answer = await request_controller(cluster, controller, "POST", f"/submissions/{job_id}/cancel")
         cluster.check_rule(
             status != 200 or answer["standing"] == "done", f"went_back: {job_id} was done, and is {answer}"
         )
@@ -167,8 +169,8 @@
 async def _check_refused(cluster: "SimulatedCluster", job: Job, expected_status: int) -> None:
     """Checks that every controller rejects the job, and that none knows it or has stored anything afterwards."""
     job_id = job["name_id"] = f"j-7{cluster.rng.randrange(10**8):08d}"
-    for node in cluster.controllers:
-        status, _ = await request_controller(cluster, node, "POST", "/submissions", job)
+    for controller in cluster.controllers:
+        status, _ = await request_controller(cluster, controller, "POST", "/submissions", job)
         cluster.check_rule(
             status in (0, expected_status, 429, 503, 504),
             f"accepted_wrongly: {job} got {status}, not {expected_status}",
@@ -218,8 +220,8 @@
 async def _cancel_near_end(cluster: "SimulatedCluster", job_id: str) -> None:
     rng = cluster.rng
     await asyncio.sleep(rng.uniform(0.0, 0.6))
-    for node in cluster.controllers:
-        cluster.spawn(_poll_controller(cluster, node, job_id))
+    for controller in cluster.controllers:
+        cluster.spawn(_poll_controller(cluster, controller, job_id))
     await cancel_until_answered(cluster, job_id)
 
 
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -38,11 +38,11 @@
         running_controllers = [n for n in self.controllers if n.service is not None]
         if not running_controllers:
             return 0, {}
-        node = self.rng.choice(running_controllers)
+        controller = self.rng.choice(running_controllers)
         try:
             async with asyncio.timeout(6.0):
                 request_body = orjson.dumps(request)
-                response = await node.serve_peer("POST", "/chains", request_body)
+                response = await controller.serve_peer("POST", "/chains", request_body)
         except TimeoutError:
             return 0, {}
         if response is None or (not self.is_calm and self.rng.random() < 0.03):
@@ -116,8 +116,8 @@
 
     def workflow_states(self) -> dict[str, str]:
         """The state of each workflow, as the leader holds it; empty without a ready leader."""
-        for node in self.controllers:
-            leader_term = None if node.service is None else node.service.leader_term
+        for controller in self.controllers:
+            leader_term = None if controller.service is None else controller.service.leader_term
             if leader_term is not None and leader_term.is_ready:
                 return {name: workflow.state for name, workflow in leader_term.workflows.workflows.items()}
         return {}
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -356,15 +356,15 @@
         await asyncio.sleep(15)
         original_handle = cluster.kv_store.handle
 
-        async def handle(node: str, method: str, path: str, body: object) -> Reply:
+        async def handle(controller_name: str, method: str, path: str, body: object) -> Reply:
             is_step = step_path in path and (step_text in (method, "") or step_text in str(body))
             if not is_step or len(restarted) >= 6:
-                return await original_handle(node, method, path, body)
-            restarted.append(node)
-            answer = await original_handle(node, method, path, body) if is_applied else None
-            cluster.spawn(cluster.restart_controller(cluster.controllers[int(node[1:])]))
+                return await original_handle(controller_name, method, path, body)
+            restarted.append(controller_name)
+            answer = await original_handle(controller_name, method, path, body) if is_applied else None
+            cluster.spawn(cluster.restart_controller(cluster.controllers[int(controller_name[1:])]))
             await asyncio.sleep(0)
-            return answer or await original_handle(node, method, path, body)
+            return answer or await original_handle(controller_name, method, path, body)
 
         cluster.kv_store.handle = handle  # type: ignore[method-assign]
         await cluster.restart_controller(cluster.current_leader())
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -190,11 +190,11 @@
         reads = 0
         handle = cluster.kv_store.handle
 
-        async def count_reads(node: str, method: str, path: str, body: Any) -> Any:
+        async def count_reads(controller_name: str, method: str, path: str, body: Any) -> Any:
             nonlocal reads
             # The leader's watch blocks until a change; reads for polls do not block.
-            reads += node == "n1" and (path.startswith("/store/") or "block_ms=0" in path)
-            return await handle(node, method, path, body)
+            reads += controller_name == "n1" and (path.startswith("/store/") or "block_ms=0" in path)
+            return await handle(controller_name, method, path, body)
 
         cluster.kv_store.handle = count_reads  # type: ignore[method-assign]
         polls = [send_request(cluster, "GET", f"/submissions/j-{i % 40:06d}", node=1) for i in range(400)]
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -61,24 +61,24 @@
         self.original_handle, self.rng = self.cluster.kv_store.handle, Random(self.cluster.seed)
         self.cluster.kv_store.handle = self.handle  # type: ignore[method-assign]
 
-    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+    async def handle(self, controller_name: str, method: str, path: str, body: Any) -> Reply:
         self.requests_by_second[int(virtual_now())] += 1
         if self.rng.random() < 0.01:
             await asyncio.sleep(self.rng.uniform(0.1, 0.4))
         if path != "/txn" or self.rng.random() >= self.fault_probability:
-            return await self.original_handle(node, method, path, body)
+            return await self.original_handle(controller_name, method, path, body)
         outcome = self.draw_outcome(self.rng)
         self.outcomes[outcome] += 1
         if outcome == IMMEDIATE:
-            await self.original_handle(node, method, path, body)
+            await self.original_handle(controller_name, method, path, body)
         elif outcome == LATE:
-            self.cluster.spawn(self.commit_later(node, body))
+            self.cluster.spawn(self.commit_later(controller_name, body))
         await asyncio.sleep(REQUEST_TIMEOUT_S)
         raise Unreachable("no answer")
 
-    async def commit_later(self, node: str, body: Any) -> None:
+    async def commit_later(self, controller_name: str, body: Any) -> None:
         await asyncio.sleep(self.rng.uniform(2, 12))
-        await self.original_handle(node, "POST", "/txn", body)
+        await self.original_handle(controller_name, "POST", "/txn", body)
 
     async def send_request(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         import orjson
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -447,15 +447,15 @@
 class StoreRateLimits:
     """Limits requests and changes of the key-value store per second, with bursts of one second's worth."""
 
-    def __init__(self, state: SimulatedKeyValueStore, rps: float, write_rps: float) -> None:
+    def __init__(self, kv_store: SimulatedKeyValueStore, rps: float, write_rps: float) -> None:
         self.rates = {"requests": rps, "changes": write_rps}
         self.tokens = dict(self.rates)
         self.refilled_at = virtual_now()
         self.rejected_count = 0
-        self._handle = state.handle
-        state.handle = self.handle  # type: ignore[method-assign]
+        self._handle = kv_store.handle
+        kv_store.handle = self.handle  # type: ignore[method-assign]
 
-    async def handle(self, node: str, method: str, path: str, body: Any) -> Reply:
+    async def handle(self, controller_name: str, method: str, path: str, body: Any) -> Reply:
         elapsed_s, self.refilled_at = virtual_now() - self.refilled_at, virtual_now()
         self.tokens = {limit: min(rate, self.tokens[limit] + elapsed_s * rate) for limit, rate in self.rates.items()}
         changes = len(body["then"]) if path == "/txn" else 0
@@ -464,7 +464,7 @@
             return json_reply(429)
         self.tokens["requests"] -= 1
         self.tokens["changes"] -= changes
-        return await self._handle(node, method, path, body)
+        return await self._handle(controller_name, method, path, body)
 
 
 class SmallJobsCluster(LongTaskCluster):
@@ -629,21 +629,21 @@
     """Loses the answers of this share of these transactions; in 10% of cases the leader restarts before its retry."""
     lost: list[str] = []
 
-    def is_answer_lost(node: SimulatedController, body: dict[str, Any]) -> bool:
+    def is_answer_lost(controller: SimulatedController, body: dict[str, Any]) -> bool:
         if (
             virtual_now() > LOST_ANSWERS_END_S
             or not WRITE_TYPES[write_type](body["then"])
             or cluster.rng.random() >= share
         ):
             return False
-        lost.append(node.name)
-        if write_type != "election" and cluster.rng.random() < 0.1 and node is cluster.current_leader():
-            cluster.spawn(restart_soon(node))
+        lost.append(controller.name)
+        if write_type != "election" and cluster.rng.random() < 0.1 and controller is cluster.current_leader():
+            cluster.spawn(restart_soon(controller))
         return True
 
-    async def restart_soon(node: SimulatedController) -> None:
+    async def restart_soon(controller: SimulatedController) -> None:
         await asyncio.sleep(cluster.rng.uniform(0.0, 2.2))
-        await cluster.restart_controller(node)
+        await cluster.restart_controller(controller)
 
     cluster.is_answer_lost = is_answer_lost  # type: ignore[method-assign]
     return lost
