--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -666,7 +666,9 @@
             else 0.0
         )
         self.running_version = self.version
-        self.service = self.running_version.make_service(controller_settings, self.cluster.tuning, self.connect)
+        self.service = self.running_version.make_service(
+            controller_settings, self.cluster.operator_config, self.connect
+        )
         recorded = self.cluster.history.record_operations(self.service.serve_public, self.name)
         self.service.serve_public = recorded  # type: ignore[method-assign]
         self.main_task = self.spawn(self.running_version.attribute(self.service, "run_background_tasks")())
@@ -757,7 +759,7 @@
         self.scheduled_actions: list[Callable[[SimulatedCluster], Coroutine[Any, Any, None]]] = []
         self.seed = seed
         self.rng = random.Random(seed)
-        self.tuning = operator_config or OperatorConfig()
+        self.operator_config = operator_config or OperatorConfig()
         self.is_calm = is_calm
         self.faults = faults or BASIC_FAULTS
         self.jobs: dict[str, dict[str, Any]] = {}
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -106,7 +106,7 @@
 def pressed(seed: int, share: float = 0.1) -> EvictionCluster:
     """Long tasks and impatient drains: budgets are what holds them."""
     cluster = world_of(seed, older=15, scale=3)
-    drain = cluster.tuning.drain
+    drain = cluster.operator_config.drain
     assert drain is not None
     drain.hole, drain.soon, drain.grace, drain.budgets[0] = 0.6, seconds(1), seconds(2), DisruptionBudget(share=share)
     cluster.max_disrupted_share, cluster.max_task_duration_s = share, 80.0
@@ -261,7 +261,7 @@
     cluster = world_of(22_100, scale=3)
     # Tasks of all lengths that are waited for: machines stay for long, with more and more room.
     cluster.shapes, cluster.max_task_duration_s = ["sweep"], 80.0
-    drain = cluster.tuning.drain
+    drain = cluster.operator_config.drain
     assert drain is not None
     drain.grace, drain.soon, drain.hole = seconds(600), seconds(600), 0.6
     started: list[list[str]] = []
@@ -438,7 +438,7 @@
 
     async def act(cluster: EvictionCluster) -> None:
         await asyncio.sleep(20)
-        drain = cluster.tuning.drain
+        drain = cluster.operator_config.drain
         assert drain is not None
         drain.grace = seconds(600)
         names = {name for name, w in cluster.workers.items() if w.tasks}
@@ -463,7 +463,7 @@
     from roseweir.drain.settings import QuietHours
 
     cluster = pressed(22_800)
-    drain = cluster.tuning.drain
+    drain = cluster.operator_config.drain
     assert drain is not None
     drain.auto_replacement, drain.quiet_hours = (
         None,
@@ -487,7 +487,7 @@
 def test_a_drain_that_could_never_end_is_refused_with_its_reason() -> None:
     cluster = world_of(22_900)
     cluster.shapes = ["daemon"]
-    drain = cluster.tuning.drain
+    drain = cluster.operator_config.drain
     assert drain is not None
     drain.budgets[0] = DisruptionBudget(tasks=0)
     said: list[str] = []
