--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -583,10 +583,10 @@
             task = self.tasks.get(key)
             is_same_attempt = task is not None and task.attempt == command["try"]
             if command["verb"] == "run" and not is_same_attempt:
-                self.cluster.on_run(self, key)
+                self.cluster.on_run_command(self, key)
                 self.start_task(key, command["try"])
             elif command["verb"] == "clear" and is_same_attempt and task is not None and task.state == "exited":
-                self.cluster.on_clear(task)
+                self.cluster.on_clear_command(task)
                 del self.tasks[key]
             elif command["verb"] == "halt" and is_same_attempt and task is not None and task.state != "exited":
                 self.stop_task(task, command["wind_down_s"])
@@ -614,7 +614,7 @@
 
     def stop_task(self, task: SimulatedTask, grace_s: float) -> None:
         job = self.cluster.jobs[task.job_id]
-        self.cluster.on_halt(self, task, grace_s)
+        self.cluster.on_stop_command(self, task, grace_s)
         if task.state == "running" and job["mark_every_s"] > 0 and grace_s >= job["mark_s"]:
             task.state, task.stopped_at, task.ends_at = "saving", virtual_now(), virtual_now() + job["mark_s"]
         elif task.state == "saving" and grace_s > 0:
@@ -991,13 +991,13 @@
                 if task.is_active:
                     yield worker, task
 
-    def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
+    def on_stop_command(self, worker: SimulatedWorker, task: SimulatedTask, grace_s: float) -> None:
         """Called when a stop command for a task arrives; for subclasses that record it."""
 
-    def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
+    def on_run_command(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
         """Called when a run command arrives for a task that the worker does not have."""
 
-    def on_clear(self, task: SimulatedTask) -> None:
+    def on_clear_command(self, task: SimulatedTask) -> None:
         """Called when a worker removes a task that has ended."""
 
     def gang_members(self, task: SimulatedTask) -> list[tuple[SimulatedWorker, SimulatedTask]]:
--- a/tests/simulation/eviction.py
+++ b/tests/simulation/eviction.py
@@ -71,7 +71,7 @@
 
     # -- checks at the workers ----------------------------------------------------------------
 
-    def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
+    def on_stop_command(self, worker: SimulatedWorker, task: SimulatedTask, grace_s: float) -> None:
         key = (task.job_id, task.index)
         job = self.jobs[task.job_id]
         if task.state != "running" or task.job_id in self.cancel_requested or worker.preempted_at is not None:
@@ -84,7 +84,9 @@
             return
         self.stop_count += 1
         if virtual_now() < self.deadline_at and job["mark_every_s"] > 0:
-            self.check_rule(grace >= job["mark_s"], f"saved work: {key} got a stop command with a grace of {grace} s")
+            self.check_rule(
+                grace_s >= job["mark_s"], f"saved work: {key} got a stop command with a grace of {grace_s} s"
+            )
         is_gang = job["shape"] == "gang"
         task_keys = [(task.job_id, i) for i in range(job["parcels"])] if is_gang else [key]
         if all(task_key in self.stopped_at for task_key in task_keys):
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -65,7 +65,7 @@
         if job_id in self.observed_ends:
             self.end_observed_at.setdefault(job_id, virtual_now())
 
-    def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
+    def on_run_command(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
         cancelled_at = self.cancelled_at.get(key[0])
         in_time = cancelled_at is None or virtual_now() <= cancelled_at + MAX_COMMAND_AGE_S
         self.check_rule(in_time, f"start_after_cancel: {key} gets a run command on {worker.machine.name}")
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -373,7 +373,7 @@
     def stubborn(self: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
         if grace > 0 and task.state == "running":
             ignored.add(f"{task.job_id}/{task.index}")
-            self.cluster.on_halt(self, task, grace)
+            self.cluster.on_stop_command(self, task, grace)
         else:
             plain(self, task, grace)
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -183,12 +183,12 @@
     def run_time(self, job: dict[str, Any]) -> float:
         return self.rng.choice([1.0, 9.0, 22.0]) * self.rng.uniform(0.7, 1.3)
 
-    def on_clear(self, task: SimulatedTask) -> None:
+    def on_clear_command(self, task: SimulatedTask) -> None:
         if task.cause == "done":
             self.cleared.add((task.job_id, task.index))
             self.terms_of_ends.setdefault(task.job_id, set()).add(max(self.leader_by_term, default=0))
 
-    def on_run(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
+    def on_run_command(self, worker: SimulatedWorker, key: tuple[str, int]) -> None:
         self.check_rule(key not in self.cleared, f"done_again: {key} was cleared as done, and is started again")
 
 
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -42,7 +42,7 @@
         super().__init__(seed, **({"restart_delay_range_s": (0.2, 1.0)} | options))
         self.stop_count = 0
 
-    def on_halt(self, worker: SimulatedWorker, task: SimulatedTask, grace: float) -> None:
+    def on_stop_command(self, worker: SimulatedWorker, task: SimulatedTask, grace_s: float) -> None:
         self.stop_count += 1
         for node in self.controllers:
             leader_term = None if node.service is None else node.service.leader_term
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -458,7 +458,7 @@
         overrides = {"accelerators": 0.0, "shape": "sweep", "rank": "normal", "builds": None, "mistaken": False}
         return job | overrides | {"parcels": 12, "cores": 2.0, "guess_s": 12.0, "together": False, "yard": None}
 
-    def on_halt(self, worker: object, task: SimulatedTask, grace: float) -> None:
+    def on_stop_command(self, worker: object, task: SimulatedTask, grace_s: float) -> None:
         if task.job_id not in self.cancel_requested:
             self.stopped.append(f"{task.job_id}/{task.index}")
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -514,8 +514,8 @@
 
     halted: list[str]
 
-    def on_halt(self, worker: Any, task: Any, grace: float) -> None:
-        super().on_halt(worker, task, grace)
+    def on_stop_command(self, worker: Any, task: Any, grace_s: float) -> None:
+        super().on_stop_command(worker, task, grace_s)
         if task.job_id.startswith("j-5") and task.job_id not in self.cancel_requested:
             self.halted = [*getattr(self, "halted", []), task.job_id]
             self.spawn(self.end())
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -152,14 +152,14 @@
         cluster.max_tasks = 3
         started: list[str] = []
         renewed: list[bool] = []
-        original_on_run = cluster.on_run
+        original_on_run_command = cluster.on_run_command
 
-        def on_run(worker: SimulatedWorker, key: tuple[str, int]) -> None:
-            original_on_run(worker, key)
+        def on_run_command(worker: SimulatedWorker, key: tuple[str, int]) -> None:
+            original_on_run_command(worker, key)
             if key[0] in cluster.cancelled_at:
                 started.append(f"{key[0]}/{key[1]}")
 
-        cluster.on_run = on_run  # type: ignore[method-assign]
+        cluster.on_run_command = on_run_command  # type: ignore[method-assign]
 
         async def outage_and_renewal(cluster: SimulatedCluster) -> None:
             assert isinstance(cluster, LongTaskCluster)
