--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -22,11 +22,15 @@
 class RollingUpgradeCluster(SimulatedCluster):
     """A day that begins with one version; every controller restarts once with the next one."""
 
-    def __init__(self, seed: int, first: Version | None = None, then: Version = PRESENT, **options: Any) -> None:
+    def __init__(
+        self, seed: int, first_version: Version | None = None, next_version: Version = PRESENT, **options: Any
+    ) -> None:
         controller_count = options.pop("controller_count", 3)
-        first = first or production()
-        super().__init__(seed, controller_count=controller_count, versions=[first] * controller_count, **options)
-        self.first_version, self.next_version = first, then
+        first_version = first_version or production()
+        super().__init__(
+            seed, controller_count=controller_count, versions=[first_version] * controller_count, **options
+        )
+        self.first_version, self.next_version = first_version, next_version
         self.faults_end_at = FAULTS_END_AT_S
         self.user_answers: list[tuple[float, int]] = []  # time and status of each user request's answer; 0: none
         self.rolled_at = 0.0  # when the last batch restarted with the next version
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("seed", [7200, 7201])
 def test_rollback_to_production_loses_nothing(seed: int) -> None:
-    RollingUpgradeCluster(seed, first=PRESENT, then=production()).run_day_to_end().check_outcome()
+    RollingUpgradeCluster(seed, first_version=PRESENT, next_version=production()).run_day_to_end().check_outcome()
 
 
 @pytest.mark.parametrize("seed", [7300, 7301])
