--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -778,12 +778,12 @@
         self.leader_by_term: dict[int, ControllerProcess] = {}  # the process that led each term
         self.partitioned_zones: set[str] = set()
         self.partition_healed_at: dict[str, float] = {}  # when the last partition of a zone ended
-        self.heartbeat_copiers = 0  # active faults that duplicate heartbeats
+        self.heartbeat_duplication_count = 0  # active faults that duplicate heartbeats
         self.late_write_probability = 0.0  # share of transactions that get no answer and are applied 2 to 12 s later
         self.lost_answer_probability = 0.0  # share of transactions that are applied at once and get no answer
         self.max_store_delay_s = 0.0  # largest delay of the key-value store's answers
         self.late_command_probability = 0.0  # share of commands and queries that reach workers 2 to 16 s late
-        self.kept_heartbeats: list[bytes] | None = None  # copies, while a fault records them for a replay
+        self.recorded_heartbeats: list[bytes] | None = None  # copies, while a fault records them for a replay
         worker_settings = make_settings(0, params_override=params_override).params.workers
         self.lease_duration_s, self.cancel_deadline_s = (
             worker_settings.lease_duration.total_seconds(),
@@ -920,9 +920,9 @@
     ) -> Response | None:
         controller = self.controllers[controller_index]
         raw = orjson.dumps(body)
-        if self.kept_heartbeats is not None:
-            self.kept_heartbeats.append(raw)
-        if self.heartbeat_copiers:
+        if self.recorded_heartbeats is not None:
+            self.recorded_heartbeats.append(raw)
+        if self.heartbeat_duplication_count:
             for _ in range(self.rng.choice([0, 1, 1, 2])):
                 self.spawn(self.deliver_heartbeat_copy(raw))
         if worker.one_way_partition == "mute":
@@ -1246,9 +1246,9 @@
             self.partitioned_zones.discard(zone)
             self.partition_healed_at[zone] = virtual_now()
         elif fault == "copies":
-            self.heartbeat_copiers += 1
+            self.heartbeat_duplication_count += 1
             await asyncio.sleep(rng.uniform(5, 30))
-            self.heartbeat_copiers -= 1
+            self.heartbeat_duplication_count -= 1
         elif fault == "lone":
             # One or two controllers lose the key-value store and the other controllers, but not their workers.
             for controller in rng.sample(self.controllers, rng.choice([1, 1, 1, 2])):
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -245,14 +245,14 @@
 async def replay_heartbeats_to_next_leader(cluster: SimulatedCluster) -> None:
     """Copies of heartbeats are recorded, and delivered to all controllers at once when the next term begins."""
     heartbeats: list[bytes] = []
-    cluster.kept_heartbeats = heartbeats
+    cluster.recorded_heartbeats = heartbeats
     await asyncio.sleep(cluster.rng.uniform(1, 8))
     previous_term = current_term(cluster)
     restart = cluster.spawn(cluster.restart_controller(cluster.current_leader()))
     deadline = virtual_now() + 15.0
     while current_term(cluster) <= previous_term and virtual_now() < deadline:
         await asyncio.sleep(0.005)
-    cluster.kept_heartbeats = None
+    cluster.recorded_heartbeats = None
     for _ in range(3):
         await deliver_to_all_controllers(cluster, cluster.rng.sample(heartbeats, min(len(heartbeats), 12)))
         await asyncio.sleep(cluster.rng.choice([0.02, 0.1, 0.4]))
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -250,7 +250,7 @@
 def cluster_with_old_heartbeats(seed: int) -> SimulatedCluster:
     """Every heartbeat is delivered again, up to five lease durations late, while leases expire and leaders change."""
     cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 1.0))
-    cluster.heartbeat_copiers = 1
+    cluster.heartbeat_duplication_count = 1
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(10)
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -161,8 +161,8 @@
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(8)
-        kept_heartbeats: list[bytes] = []
-        cluster.kept_heartbeats = kept_heartbeats
+        recorded_heartbeats: list[bytes] = []
+        cluster.recorded_heartbeats = recorded_heartbeats
         for turn in range(6):
             await asyncio.sleep(cluster.rng.uniform(2, 6))
             worker = cluster.rng.choice(workers_by_name(cluster))
@@ -178,7 +178,9 @@
             for delay_s in (0.0, 0.05, 0.3, 1.5):
                 await asyncio.sleep(delay_s)
                 await deliver_to_all_controllers(
-                    cluster, kept_heartbeats[-8:] + cluster.rng.sample(kept_heartbeats, min(len(kept_heartbeats), 12))
+                    cluster,
+                    recorded_heartbeats[-8:]
+                    + cluster.rng.sample(recorded_heartbeats, min(len(recorded_heartbeats), 12)),
                 )
             for hung_worker in [*hung, worker]:
                 hung_worker.is_hung = False
@@ -186,7 +188,7 @@
             # Replay once more after the new leader has acted.
             await asyncio.sleep(cluster.rng.uniform(1, 8))
             await deliver_to_all_controllers(
-                cluster, cluster.rng.sample(kept_heartbeats, min(len(kept_heartbeats), 20))
+                cluster, cluster.rng.sample(recorded_heartbeats, min(len(recorded_heartbeats), 20))
             )
 
     cluster.schedule_action(act)
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -451,7 +451,7 @@
     def __init__(self, seed: int) -> None:
         super().__init__(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
         self.stopped: list[str] = []
-        self.heartbeat_copiers = 1
+        self.heartbeat_duplication_count = 1
 
     def make_job(self) -> dict[str, object]:
         job = super().make_job()
