--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1078,7 +1078,7 @@
 
     # -- users --------------------------------------------------------------------------------
 
-    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
+    async def send_user_request(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
         running_controllers = [n for n in self.controllers if n.service is not None]
         if not running_controllers:
             await asyncio.sleep(0.1)
@@ -1138,7 +1138,7 @@
         wire = {k: v for k, v in job.items() if k != "mistaken"}
         end = virtual_now() + 60
         while virtual_now() < end:
-            status, answer = await self.ask("POST", "/submissions", wire)
+            status, answer = await self.send_user_request("POST", "/submissions", wire)
             self.check_answer(job_id, status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(job_id)
@@ -1155,22 +1155,22 @@
             await asyncio.sleep(self.rng.uniform(0.5, 3.0))
             if virtual_now() >= cancel_at:
                 self.cancel_requested.add(job_id)
-                status, answer = await self.ask("POST", f"/submissions/{job_id}/cancel")
+                status, answer = await self.send_user_request("POST", f"/submissions/{job_id}/cancel")
             elif self.rng.random() < 0.1:
-                status, answer = await self.ask("POST", "/submissions", wire)
+                status, answer = await self.send_user_request("POST", "/submissions", wire)
                 self.check_rule(status not in (400, 422), f"forgotten: {job_id} refused {status}")
             else:
-                status, answer = await self.ask("GET", f"/submissions/{job_id}")
+                status, answer = await self.send_user_request("GET", f"/submissions/{job_id}")
             self.check_answer(job_id, status, answer)
         for _ in range(3):
             await asyncio.sleep(self.rng.uniform(1, 10))
-            self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
+            self.check_answer(job_id, *await self.send_user_request("GET", f"/submissions/{job_id}"))
 
     async def query_unknown_jobs(self) -> None:
         while True:
             await asyncio.sleep(self.rng.uniform(1, 5))
             job_id = f"j-9{self.rng.randrange(10**9)}"
-            self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
+            self.check_answer(job_id, *await self.send_user_request("GET", f"/submissions/{job_id}"))
 
     # -- faults -------------------------------------------------------------------------------
 
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -162,7 +162,9 @@
         job_id = job["name_id"]
         self.jobs[job_id] = job
         while job_id not in self.accepted_jobs:
-            status, answer = await self.ask("POST", "/submissions", {k: v for k, v in job.items() if k != "mistaken"})
+            status, answer = await self.send_user_request(
+                "POST", "/submissions", {k: v for k, v in job.items() if k != "mistaken"}
+            )
             self.check_answer(job_id, status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(job_id)
--- a/tests/simulation/job_dependencies.py
+++ b/tests/simulation/job_dependencies.py
@@ -61,7 +61,7 @@
     async def submit(self, job: dict[str, Any], depends_on: list[str]) -> None:
         wire = {key: value for key, value in job.items() if key != "mistaken"} | {"awaits": depends_on or None}
         while True:
-            status, answer = await self.ask("POST", "/submissions", wire)
+            status, answer = await self.send_user_request("POST", "/submissions", wire)
             self.check_answer(job["name_id"], status, answer)
             if status in (200, 201):
                 return
@@ -89,9 +89,9 @@
             self.last_polled_at[job_id] = virtual_now()
             if virtual_now() >= cancel_at:
                 self.cancel_requested.add(job_id)
-                status, answer = await self.ask("POST", f"/submissions/{job_id}/cancel")
+                status, answer = await self.send_user_request("POST", f"/submissions/{job_id}/cancel")
             else:
-                status, answer = await self.ask("GET", f"/submissions/{job_id}")
+                status, answer = await self.send_user_request("GET", f"/submissions/{job_id}")
             self.check_answer(job_id, status, answer)
 
     async def submit_pipeline(
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -43,14 +43,14 @@
         job = super().make_job()
         return job | {"together": False, "loaners": True} if job["shape"] == "gang" else job
 
-    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
-        """Like `SimulatedCluster.ask`, but drops an answer that concurrent requests explain.
+    async def send_user_request(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
+        """Like `SimulatedCluster.send_user_request`, but drops an answer that concurrent requests explain.
 
         Of two concurrent requests about a job either may take effect first, so an unfinished state counts as no answer
         if the request was sent before the job's end was observed.
         """
         asked_at = virtual_now()
-        status, answer = await super().ask(method, path, body)
+        status, answer = await super().send_user_request(method, path, body)
         end_observed_at = self.end_observed_at.get(answer.get("name_id", ""))
         if (
             end_observed_at is not None
@@ -169,7 +169,7 @@
     """A user cancels, and repeats the request until the end is confirmed."""
     cluster.cancel_requested.add(job_id)
     while job_id not in cluster.observed_ends:
-        status, answer = await cluster.ask("POST", f"/submissions/{job_id}/cancel")
+        status, answer = await cluster.send_user_request("POST", f"/submissions/{job_id}/cancel")
         cluster.check_answer(job_id, status, answer)
         await asyncio.sleep(0.3)
 
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -41,8 +41,8 @@
         """Allows spot machines, so that every job fits on the cluster's few GPU machines and must end."""
         return super().make_job() | {"loaners": True}
 
-    async def ask(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
-        status, answer = await super().ask(method, path, body)
+    async def send_user_request(self, method: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
+        status, answer = await super().send_user_request(method, path, body)
         self.user_answers.append((virtual_now(), status))
         return status, answer
 
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -108,7 +108,7 @@
             step_jobs = sorted(step_job for step_job in self.accepted_jobs if step_job in self.dependencies)
             if step_jobs:
                 job_id = self.rng.choice(step_jobs)
-                status, answer = await self.ask("GET", f"/submissions/{job_id}")
+                status, answer = await self.send_user_request("GET", f"/submissions/{job_id}")
                 if answer.get("standing") == "aborted":
                     # The workflow was superseded or stopped, as its sender requested.
                     self.cancel_requested.add(job_id)
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -218,7 +218,7 @@
             # Of the team's own, and earlier in the queue.
             filler = self.registry.make_job(f"j-3{n:05d}", "lot-reproject", 40, guess_s=6.0)
             self.jobs[filler["name_id"]] = filler
-            status, answer = await self.ask("POST", "/submissions", filler)
+            status, answer = await self.send_user_request("POST", "/submissions", filler)
             self.check_answer(filler["name_id"], status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(filler["name_id"])
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -300,7 +300,7 @@
             await cluster.submit_and_register(job, jobs[n - 1 : n])
         await asyncio.sleep(2)
         cluster.cancel_requested.update(jobs)
-        status, answer = await cluster.ask("POST", f"/submissions/{jobs[0]}/cancel")
+        status, answer = await cluster.send_user_request("POST", f"/submissions/{jobs[0]}/cancel")
         cluster.kv_store.is_down = True
         assert (status, answer["standing"]) == (200, "aborted")
         if restarted:
@@ -311,7 +311,7 @@
         await asyncio.sleep(6 if restarted else 3)
         assert not [key for key in cluster.kv_store.keys if key.startswith("live/") and key[5:] in jobs]
         for job_id in jobs:
-            cluster.check_answer(job_id, *await cluster.ask("GET", f"/submissions/{job_id}"))
+            cluster.check_answer(job_id, *await cluster.send_user_request("GET", f"/submissions/{job_id}"))
         cluster.is_over = True
 
     cluster.schedule_action(scenario)
@@ -333,7 +333,7 @@
             await cluster.submit_and_register(job, cluster.rng.sample(jobs[max(0, n - 5) : n], min(n, 2)))
         await asyncio.sleep(3)
         cluster.cancel_requested.update(jobs)
-        await cluster.ask("POST", f"/submissions/{jobs[0]}/cancel")
+        await cluster.send_user_request("POST", f"/submissions/{jobs[0]}/cancel")
         cancelled_at = virtual_now()
         while virtual_now() < cancelled_at + 150:
             await asyncio.sleep(1)
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -143,7 +143,7 @@
         }
         cluster.jobs[job_id] = cluster.make_job() | overrides | {"mistaken": False, "yard": None}
         body = {k: v for k, v in cluster.jobs[job_id].items() if k != "mistaken"}
-        assert (await cluster.ask("POST", "/submissions", body))[0] == 201
+        assert (await cluster.send_user_request("POST", "/submissions", body))[0] == 201
         cluster.accepted_jobs.add(job_id)
         await asyncio.sleep(4)
         value, version, lease = cluster.kv_store.keys[f"live/{job_id}"]
@@ -154,14 +154,14 @@
         )
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(6)
-        status, answer = await cluster.ask("GET", f"/submissions/{job_id}")
+        status, answer = await cluster.send_user_request("GET", f"/submissions/{job_id}")
         observed.extend([status, answer["standing"]])
         service = cluster.current_leader().service
         assert service is not None
         observed.append(service.status_reporter.describe_status()["jobs_held"])
         observed.append(service.leader_election.failed_terms)
         cluster.cancel_requested.add(job_id)
-        status, answer = await cluster.ask("POST", f"/submissions/{job_id}/cancel")
+        status, answer = await cluster.send_user_request("POST", f"/submissions/{job_id}/cancel")
         observed.extend([status, answer["standing"]])
         cluster.observed_ends[job_id] = "aborted"
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -333,7 +333,7 @@
     async def send(self, job: dict[str, Any]) -> None:
         self.jobs[job["name_id"]] = job
         for _ in range(60):
-            status, answer = await self.ask("POST", "/submissions", job)
+            status, answer = await self.send_user_request("POST", "/submissions", job)
             self.check_answer(job["name_id"], status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(job["name_id"])
@@ -343,7 +343,7 @@
     async def cancel(self, job_id: str) -> None:
         self.cancel_requested.add(job_id)
         while job_id not in self.observed_ends:
-            status, answer = await self.ask("POST", f"/submissions/{job_id}/cancel")
+            status, answer = await self.send_user_request("POST", f"/submissions/{job_id}/cancel")
             self.check_answer(job_id, status, answer)
             await asyncio.sleep(0.5)
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -99,7 +99,7 @@
             submission |= {"name_id": f"j-7{number:05d}", "shape": "sweep", "parcels": 1, "mistaken": False}
             cluster.jobs[submission["name_id"]] = submission
             body = {k: v for k, v in submission.items() if k != "mistaken"}
-            status, _ = await cluster.ask("POST", "/submissions", body)
+            status, _ = await cluster.send_user_request("POST", "/submissions", body)
             answers[status] += 1
         await asyncio.sleep(12)
         service = cluster.current_leader().service
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -258,7 +258,7 @@
         self.jobs[self.large_job_id] = self.make_job() | large_job_fields
         body = {k: v for k, v in self.jobs[self.large_job_id].items() if k != "mistaken"}
         while self.large_job_id not in self.accepted_jobs:
-            status, answer = await self.ask("POST", "/submissions", body)
+            status, answer = await self.send_user_request("POST", "/submissions", body)
             self.check_answer(self.large_job_id, status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(self.large_job_id)
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -398,9 +398,9 @@
         while True:
             if self.cancel_at is not None and virtual_now() >= self.cancel_at:
                 self.cancel_requested.add(DEPENDENT_JOB)
-                status, answer = await self.ask("POST", f"/submissions/{DEPENDENT_JOB}/cancel")
+                status, answer = await self.send_user_request("POST", f"/submissions/{DEPENDENT_JOB}/cancel")
             else:
-                status, answer = await self.ask("GET", f"/submissions/{DEPENDENT_JOB}")
+                status, answer = await self.send_user_request("GET", f"/submissions/{DEPENDENT_JOB}")
             self.check_answer(DEPENDENT_JOB, status, answer)
             self.answers.append((virtual_now(), status, answer))
             await asyncio.sleep(1)
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -503,7 +503,7 @@
         self.jobs[job_id] = job
         submitted_at, status = virtual_now(), 0
         while status not in (200, 201):
-            status, answer = await self.ask("POST", "/submissions", user_faults.to_wire(job))
+            status, answer = await self.send_user_request("POST", "/submissions", user_faults.to_wire(job))
             self.check_answer(job_id, status, answer)
             if status not in (200, 201):
                 await asyncio.sleep(1.0)
@@ -515,7 +515,7 @@
             await user_faults.cancel_until_answered(self, job_id)
         while job_id not in self.observed_ends:
             await asyncio.sleep(self.rng.uniform(1.0, 3.0))
-            self.check_answer(job_id, *await self.ask("GET", f"/submissions/{job_id}"))
+            self.check_answer(job_id, *await self.send_user_request("GET", f"/submissions/{job_id}"))
 
 
 def unmet_bounds(cluster: SmallJobsCluster) -> list[str]:
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -158,7 +158,7 @@
         other["lots"] = [*first["lots"], "another"]
         told.append(await cluster.submit_amendment(other))
         last = first["steps"][-1]["job"]["name_id"]
-        status, answer = await cluster.ask("GET", f"/submissions/{last}")
+        status, answer = await cluster.send_user_request("GET", f"/submissions/{last}")
         told.append((status, answer["standing"]))
         taken = cluster.registry.make_amendment()
         taken["steps"][1]["job"] = {**taken["steps"][1]["job"], "name_id": last}
@@ -171,7 +171,7 @@
         # Nothing of what was refused is there.
         for bad in (taken, unknown):
             name = bad["steps"][0]["job"]["name_id"]
-            told.append((await cluster.ask("GET", f"/submissions/{name}"))[0])
+            told.append((await cluster.send_user_request("GET", f"/submissions/{name}"))[0])
         cluster.accepted_jobs -= {step["job"]["name_id"] for bad in (taken, unknown) for step in bad["steps"]}
         cluster.accepted_jobs.add(last)
 
@@ -386,7 +386,7 @@
         await cluster.submit_amendment(amendment)
         jobs = [step["job"]["name_id"] for step in amendment["steps"]]
         cluster.cancel_requested.add(jobs[1])
-        status, answer = await cluster.ask("POST", f"/submissions/{jobs[1]}/cancel")
+        status, answer = await cluster.send_user_request("POST", f"/submissions/{jobs[1]}/cancel")
         cluster.check_answer(jobs[1], status, answer)
         await asyncio.sleep(40)
         ended.extend(
