--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -488,7 +488,7 @@
         job = self.cluster.jobs[task.job_id]
         if task.state == "pulling" and virtual_now() >= task.ends_at:
             self.cached_images.add(job["kit"])
-            if (task.job_id, task.index) in self.cluster.finished:
+            if (task.job_id, task.index) in self.cluster.completed_tasks:
                 return self.exit_task(task, "done")
             self.cluster.check_start(self, task)
             task.state = "gathering" if job["shape"] == "gang" else "running"
@@ -519,7 +519,7 @@
         job = self.cluster.jobs[task.job_id]
         indices = range(job["parcels"]) if job["shape"] == "gang" else [task.index]
         for index in indices:
-            self.cluster.finished.add((task.job_id, index))
+            self.cluster.completed_tasks.add((task.job_id, index))
         self.exit_task(task, "done")
 
     def exit_task(self, task: SimulatedTask, cause: str, is_checkpointed: bool | None = None) -> None:
@@ -764,7 +764,7 @@
         self.faults = faults or BASIC_FAULTS
         self.jobs: dict[str, dict[str, Any]] = {}
         self.workers: dict[str, SimulatedWorker] = {}
-        self.finished: set[tuple[str, int]] = set()
+        self.completed_tasks: set[tuple[str, int]] = set()  # (job, task)
         self.accepted_jobs: set[str] = set()
         self.cancelled_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
@@ -1004,7 +1004,7 @@
         return [(w, t) for w, t in self.active_tasks() if t.job_id == task.job_id and t.attempt == task.attempt]
 
     def is_gang_done(self, task: SimulatedTask) -> bool:
-        return (task.job_id, 0) in self.finished
+        return (task.job_id, 0) in self.completed_tasks
 
     def run_time(self, job: dict[str, Any]) -> float:
         return float(job["guess_s"] * self.rng.uniform(0.5, 1.5))
@@ -1068,8 +1068,8 @@
         self.check_rule(previous_end in (None, job_state), f"went_back: {job_id} from {previous_end} to {job_state}")
         if job_state == "done":
             task_count = self.jobs[job_id]["parcels"]
-            finished_count = sum((job_id, i) in self.finished for i in range(task_count))
-            self.check_rule(finished_count == task_count, f"not_done: {job_id}")
+            completed_count = sum((job_id, i) in self.completed_tasks for i in range(task_count))
+            self.check_rule(completed_count == task_count, f"not_done: {job_id}")
         if job_state == "aborted":
             self.check_rule(job_id in self.cancel_requested, f"went_back: {job_id} cancelled by nobody")
             self.cancelled_at.setdefault(job_id, virtual_now())
--- a/tests/simulation/eviction.py
+++ b/tests/simulation/eviction.py
@@ -77,7 +77,7 @@
         if task.state != "running" or task.job_id in self.cancel_requested or worker.preempted_at is not None:
             return
         if (
-            key in self.finished
+            key in self.completed_tasks
             or task.job_id in self.observed_ends
             or any(w is not worker for w, _ in self.other_attempts(key))
         ):
@@ -162,7 +162,7 @@
                     del self.stopped_at[key]
                     self.moved_count += 1
                 self.lost_at.pop(key, None)
-            ended = self.finished | {
+            ended = self.completed_tasks | {
                 k for k in self.running_before if k[0] in self.observed_ends or k[0] in self.cancel_requested
             }
             # The leader may not have received the heartbeats yet that report these ends.
--- a/tests/simulation/job_dependencies.py
+++ b/tests/simulation/job_dependencies.py
@@ -116,7 +116,9 @@
     def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
         super().check_start(worker, task)
         for dependency in self.dependencies.get(task.job_id, ()):
-            is_done = all((dependency, number) in self.finished for number in range(self.jobs[dependency]["parcels"]))
+            is_done = all(
+                (dependency, number) in self.completed_tasks for number in range(self.jobs[dependency]["parcels"])
+            )
             stored_end = self.kv_store.keys.get(COMPLETED_JOB_PREFIX + dependency)
             is_durable = stored_end is not None and stored_end[0]["state"] == "done"
             self.check_rule(
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -111,7 +111,7 @@
                 self.check_rule(waited_s <= self.max_wait_s, f"waits_beside_room: {job_id} for {waited_s:.0f} s")
 
     def completed_task_count(self, job_id: str) -> int:
-        return sum((job_id, index) in self.finished for index in range(self.jobs[job_id]["parcels"]))
+        return sum((job_id, index) in self.completed_tasks for index in range(self.jobs[job_id]["parcels"]))
 
     def is_waiting_beside_capacity(self, job_id: str) -> bool:
         """Whether the job has no task on a machine although one (for a gang, all) would fit within its team's limit.
@@ -123,7 +123,9 @@
             return False
         unexited_tasks = [(w, t) for w in self.workers.values() for t in w.tasks.values() if t.state != "exited"]
         placed_indices = {t.index for _, t in unexited_tasks if t.job_id == job_id}
-        missing_count = sum((job_id, i) not in self.finished and i not in placed_indices for i in range(job["parcels"]))
+        missing_count = sum(
+            (job_id, i) not in self.completed_tasks and i not in placed_indices for i in range(job["parcels"])
+        )
         if missing_count == 0 or placed_indices:
             return False
         needed_slots = job["parcels"] if job["shape"] == "gang" else 1
--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -73,7 +73,7 @@
         cluster.cancelled_at.setdefault(job_id, asyncio.get_running_loop().time())
     elif answer.get("standing") == "done":
         tasks = range(cluster.jobs[job_id]["parcels"])
-        cluster.check_rule(all((job_id, n) in cluster.finished for n in tasks), f"not_done: {job_id}")
+        cluster.check_rule(all((job_id, n) in cluster.completed_tasks for n in tasks), f"not_done: {job_id}")
 
 
 def unfinished_jobs(cluster: "SimulatedCluster") -> list[str]:
@@ -212,7 +212,7 @@
         ):
             continue
         tasks = range(job["parcels"] if job["shape"] == "sweep" else 0)
-        if all(n == task.index or (task.job_id, n) in cluster.finished for n in tasks):
+        if all(n == task.index or (task.job_id, n) in cluster.completed_tasks for n in tasks):
             job_ids.add(task.job_id)
     return job_ids
 
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(0.02)
             for job in self.revision_by_job:
                 task_count = self.jobs[job]["parcels"]
-                if job not in delivered_jobs and all((job, n) in self.finished for n in range(task_count)):
+                if job not in delivered_jobs and all((job, n) in self.completed_tasks for n in range(task_count)):
                     delivered_jobs.add(job)
                     self.record_delivery(job)
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -196,9 +196,9 @@
     await asyncio.sleep(8)
     for _ in range(10):
         # The leader restarts right after a heartbeat that reports an end, or while the end is being written.
-        finished_count = len(cluster.finished)
+        completed_count = len(cluster.completed_tasks)
         deadline = virtual_now() + 5.0
-        while len(cluster.finished) == finished_count and virtual_now() < deadline:
+        while len(cluster.completed_tasks) == completed_count and virtual_now() < deadline:
             await asyncio.sleep(0.01)
         await asyncio.sleep(cluster.rng.choice([0.0, 0.02, 0.1, 0.5, 1.1]))
         await cluster.restart_controller(cluster.current_leader())
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -266,7 +266,7 @@
     jobs = [step["job"]["name_id"] for step in next(iter(cluster.sent_amendments.values()))["steps"]]
     for job in jobs:
         starts = [index for name, index, _ in cluster.started_attempts if name == job]
-        done = {index for name, index in cluster.finished if name == job}
+        done = {index for name, index in cluster.completed_tasks if name == job}
         assert len(done) == cluster.jobs[job]["parcels"]
         if who in ("leader", "all", "at once"):
             assert len(starts) == len(set(starts)), "nothing done is done again"
