--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -37,7 +37,7 @@
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.test_scheduler import NOW, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 from tests.test_workflows import watched
 
 TORONTO = Calendar(time_zone="America/Toronto", holidays={(None, 12, 25), (2026, 12, 28)})
@@ -246,7 +246,7 @@
             cluster = watched(Landings(seed, promised(time(0, 1, 40), margin=110)))
             cluster.fillers = 60
             cluster.schedule_action(cluster.night)
-            check(cluster.run(length_s=102, job_count=1))
+            raise_first_failure(cluster.run(length_s=102, job_count=1))
             found = cluster.kept(100.0)
             kept, lots = kept + found[0], lots + found[1]
     return kept / lots
@@ -303,7 +303,7 @@
     cluster.schedule_action(look_on)
     cluster.schedule_action(fail)
     cluster.schedule_action(end)
-    check(cluster.run(length_s=125, job_count=1))
+    raise_first_failure(cluster.run(length_s=125, job_count=1))
     midnight = round(datetime(2026, 1, 1, tzinfo=UTC).timestamp() * 1000)
     assert set(dues) == set(cluster.accepted_at) and all(each == {midnight + 120_000} for each in dues.values())
     kept = {cluster.revision_by_job[last][0] for last, at in cluster.ends.items() if at <= 117}
@@ -334,7 +334,7 @@
 
     cluster.schedule_action(cluster.night)
     cluster.schedule_action(compare)
-    check(cluster.run(length_s=110, job_count=5))
+    raise_first_failure(cluster.run(length_s=110, job_count=5))
     assert wrong == []
 
 
@@ -356,7 +356,7 @@
 
     cluster.schedule_action(cluster.night)
     cluster.schedule_action(end)
-    check(cluster.run(length_s=120, job_count=1))
+    raise_first_failure(cluster.run(length_s=120, job_count=1))
     assert told[0] and told[1]["nights"][0]["night"] == "2026-01-01"
     night = told[1]["nights"][0]
     assert night["kept"] + night["late"] + night["superseded"] == night["promised"] > 0
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -36,7 +36,7 @@
 )
 from tests.simulation.cluster import make_settings as make_controller_settings
 from tests.simulation.demand_weeks import make_demand
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 SLOT = 300
 BEGIN = 1_780_000_000 // BLOCK_DURATION_S * BLOCK_DURATION_S
@@ -396,7 +396,7 @@
 
     cluster.schedule_action(record_machines_ahead)
     cluster.run()
-    check(cluster)
+    raise_first_failure(cluster)
     counted: dict[str, float] = {}
     newest_counted_revision = 0
     for key, (value, _, _) in cluster.kv_store.keys.items():
@@ -437,5 +437,5 @@
 
     cluster.schedule_action(record_status)
     cluster.run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert statuses == [(1, ["stopped: ZeroDivisionError: injected"], "ZeroDivisionError: injected")]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -39,7 +39,7 @@
 from tests.simulation.job_specs import make_job_spec
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_scheduler import NOW, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
@@ -188,7 +188,7 @@
 def test_pipelines_run_in_dependency_order_and_end() -> None:
     cluster = DependencyCluster(8800, is_calm=True)
     cluster.schedule_action(submit_pipelines(8, 20))
-    check(cluster.run(length_s=90, job_count=3))
+    raise_first_failure(cluster.run(length_s=90, job_count=3))
     assert len(cluster.dependencies) > 20 and cluster.jobs_without_observed_end() == []
     assert not [key for key in cluster.kv_store.keys if key.startswith("awaits/")], (
         "dependency lists of ended jobs are still stored"
@@ -198,7 +198,7 @@
 def test_dependents_of_a_cancelled_job_are_cancelled_and_never_start() -> None:
     cluster = DependencyCluster(8810, is_calm=True)
     cluster.schedule_action(submit_pipelines(8, 20, cancel_probability=1.0, guess_s=13.0))
-    check(cluster.run(length_s=150, job_count=3))
+    raise_first_failure(cluster.run(length_s=150, job_count=3))
     cancelled = {
         job
         for job in cluster.dependencies
@@ -215,7 +215,7 @@
 def test_pipelines_under_random_faults_violate_no_rule(seed: int) -> None:
     cluster = DependencyCluster(seed, faults=EXTENDED_FAULTS, restart_delay_range_s=(0.1, 3.0))
     cluster.schedule_action(submit_pipelines(10, 50, cancel_probability=0.3))
-    check(cluster.run(length_s=110, job_count=8))
+    raise_first_failure(cluster.run(length_s=110, job_count=8))
     assert len(cluster.dependencies) > 15
 
 
@@ -231,7 +231,7 @@
             await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(crash_leaders)
-    check(cluster.run(length_s=110, job_count=3))
+    raise_first_failure(cluster.run(length_s=110, job_count=3))
     assert len(cluster.dependencies) > 15 and cluster.jobs_without_observed_end() == []
 
 
@@ -248,7 +248,7 @@
         cluster.late_write_probability = 0.0
 
     cluster.schedule_action(scenario)
-    check(cluster.run(length_s=130, job_count=3))
+    raise_first_failure(cluster.run(length_s=130, job_count=3))
     assert len(cluster.dependencies) > 15 and cluster.jobs_without_observed_end() == []
 
 
@@ -282,7 +282,7 @@
             await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(scenario)
-    check(cluster.run(length_s=80, job_count=2))
+    raise_first_failure(cluster.run(length_s=80, job_count=2))
     ends = [cluster.observed_ends.get(job) for job in jobs]
     assert ends == ["done", "aborted", "aborted", "done", "done", "aborted", "aborted"]
 
@@ -315,7 +315,7 @@
         cluster.is_over = True
 
     cluster.schedule_action(scenario)
-    check(cluster.run(length_s=80, job_count=0))
+    raise_first_failure(cluster.run(length_s=80, job_count=0))
     assert cluster.is_over and [cluster.observed_ends.get(job) for job in jobs] == ["aborted"] * 6
     assert {name for name, _, _ in cluster.started_attempts} & set(jobs) <= {jobs[0]}
 
@@ -349,7 +349,7 @@
         cluster.is_over = True
 
     cluster.schedule_action(scenario)
-    check(cluster.run(length_s=220, job_count=3))
+    raise_first_failure(cluster.run(length_s=220, job_count=3))
     assert live_counts[-1][1] == 0, live_counts[-1]
     assert {name for name, _, _ in cluster.started_attempts} & set(jobs) <= {jobs[0]}
 
@@ -375,7 +375,7 @@
             cluster.spawn(cluster.poll_until_ended(dependents[-1]))
 
     cluster.schedule_action(scenario)
-    check(cluster.run(length_s=90, job_count=2))
+    raise_first_failure(cluster.run(length_s=90, job_count=2))
     assert [cluster.observed_ends.get(job) for job in dependents] == ["done"] * 3
 
 
@@ -682,7 +682,7 @@
     cancelled_count = 0
     for seed in LEADER_RESTART_SEEDS:
         cluster = make_cluster_with_leader_restarts(seed)
-        check(cluster.run(length_s=100, job_count=2))
+        raise_first_failure(cluster.run(length_s=100, job_count=2))
         assert cluster.uncancelled_descendants(before=60) == []
         cancelled_count += sum(
             bool(cluster.ancestors(job) & cluster.cancelled_at.keys()) for job in cluster.dependencies
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -26,7 +26,7 @@
     virtual_now,
 )
 from tests.simulation.eviction import EvictionCluster
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 SHARE = 0.2
 
@@ -57,7 +57,7 @@
 
 def test_quiet_day_replaces_the_fleet_within_budgets() -> None:
     cluster = world_of(1, older=25)
-    check(cluster.run(length_s=140, job_count=40))
+    raise_first_failure(cluster.run(length_s=140, job_count=40))
     first = [h for h in cluster.cloud.machines.values() if h.rented_at < 15]
     assert sum(h.is_gone for h in first) >= 0.8 * len(first), "most of the first machines are replaced"
     assert cluster.moved_count > 0, "nothing was stopped that ran again"
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_rough_days_with_replacements_break_no_rule_and_pass_no_budget(seed: int) -> None:
     cluster = world_of(20_000 + seed, older=20, calm=False, faults=EXTENDED_FAULTS)
-    check(cluster.run(length_s=110, job_count=40))
+    raise_first_failure(cluster.run(length_s=110, job_count=40))
     assert cluster.start_count > 20
 
 
@@ -97,7 +97,7 @@
 def test_overlapping_drains_under_all_troubles_end_or_say_why_not(seed: int) -> None:
     cluster = world_of(21_000 + seed, calm=False, faults=EXTENDED_FAULTS)
     cluster.schedule_action(lambda _: overlapping(cluster))
-    check(cluster.run(length_s=150, job_count=40))
+    raise_first_failure(cluster.run(length_s=150, job_count=40))
 
 
 # -- the checks themselves --------------------------------------------------------------------
@@ -157,7 +157,7 @@
 def test_budgets_hold_where_they_are_what_holds(act: Any, seed: int) -> None:
     cluster = pressed(seed)
     cluster.schedule_action(lambda _: act(cluster))
-    check(cluster.run(length_s=110, job_count=50))
+    raise_first_failure(cluster.run(length_s=110, job_count=50))
     assert cluster.stop_count > 20
 
 
@@ -241,7 +241,7 @@
         gone.update({name: cluster.cloud.machines[name].is_gone for name in chosen})
 
     cluster.schedule_action(lambda _: fall(cluster))
-    check(cluster.run(length_s=190, job_count=50))
+    raise_first_failure(cluster.run(length_s=190, job_count=50))
     assert ends and ends[0]["state"] == "done" and all(gone.values()), (ends, gone)
 
 
@@ -283,7 +283,7 @@
             await asyncio.sleep(15)
 
     cluster.schedule_action(lambda _: fall(cluster))
-    check(cluster.run(length_s=90, job_count=100))
+    raise_first_failure(cluster.run(length_s=90, job_count=100))
     assert started and (started[0] == []) == kept, started
 
 
@@ -303,7 +303,7 @@
         counts.append(cluster.stop_count)
 
     cluster.schedule_action(lambda _: out(cluster))
-    check(cluster.run(length_s=110, job_count=50))
+    raise_first_failure(cluster.run(length_s=110, job_count=50))
     assert counts[0] > 0 and counts[0] == counts[1] < counts[2]
 
 
@@ -331,7 +331,7 @@
         counts.append(cluster.stop_count)
 
     cluster.schedule_action(lambda _: cut(cluster))
-    check(cluster.run(length_s=110, job_count=50))
+    raise_first_failure(cluster.run(length_s=110, job_count=50))
     assert counts[0] == counts[1] < counts[2], counts
 
 
@@ -362,7 +362,7 @@
         ends.append((await cluster.list_drains())["named"])
 
     cluster.schedule_action(lambda _: fall(cluster))
-    check(cluster.run(length_s=160, job_count=40))
+    raise_first_failure(cluster.run(length_s=160, job_count=40))
     assert ends and ends[0]["state"] == "done", ends
 
 
@@ -391,7 +391,7 @@
         ends.append((await cluster.list_drains())["named"]["state"])
 
     cluster.schedule_action(lambda _: act(cluster))
-    check(cluster.run(length_s=130, job_count=20))
+    raise_first_failure(cluster.run(length_s=130, job_count=20))
     assert ignored and ends == ["done"], ends
 
 
@@ -427,7 +427,7 @@
 
     cluster.schedule_action(lambda _: act(cluster))
     # Work keeps waiting, so that nobody can say that the missing machines are not needed.
-    check(cluster.run(length_s=90, job_count=120))
+    raise_first_failure(cluster.run(length_s=90, job_count=120))
     assert ends and "gave up" in ends[0]["state"] and "its replacement" in ends[0]["state"], ends
 
 
@@ -453,7 +453,7 @@
         started.append(started_on(cluster, {n for n in names if n in cluster.workers}))
 
     cluster.schedule_action(lambda _: act(cluster))
-    check(cluster.run(length_s=70, job_count=60))
+    raise_first_failure(cluster.run(length_s=70, job_count=60))
     assert started and started[0], "nothing started there any more"
 
 
@@ -480,7 +480,7 @@
         assert (await cluster.list_drains())["fleet"]["waits_for"] == "quiet hours to end"
 
     cluster.schedule_action(lambda _: act(cluster))
-    check(cluster.run(length_s=90, job_count=40))
+    raise_first_failure(cluster.run(length_s=90, job_count=40))
     assert counts == [0]
 
 
@@ -506,7 +506,7 @@
         said.append(f"{status} {answer['error']}")
 
     cluster.schedule_action(lambda _: act(cluster))
-    check(cluster.run(length_s=50, job_count=20))
+    raise_first_failure(cluster.run(length_s=50, job_count=20))
     assert [line[:3] for line in said] == ["400"] * 5
     assert "the budget of team" in said[0] and "i-999999" in said[1] and "nowhere" in said[2]
     assert "no drain is called nobody" in said[4]
@@ -516,5 +516,5 @@
     settings = OperatorConfig()
     settings.rebalancing.move = "off"
     cluster = SimulatedCluster(22_950, settings, is_calm=True)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert not any(key.startswith("drain/") for key in cluster.kv_store.keys)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -46,7 +46,7 @@
 from tests.test_rebalancing import Pieces
 from tests.test_rebalancing import tuning as rebalancing_config
 from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 from tests.test_workflows import watched as watch_workflows
 
 Patch = pytest.MonkeyPatch
@@ -59,7 +59,7 @@
     overlapping_faults: set[frozenset[str]] = set()
     for seed in range(first, first + 4):
         cluster: FaultCombinationCluster = FaultSchedule.generate(seed).run()
-        check(cluster)
+        raise_first_failure(cluster)
         overlapping_faults |= cluster.overlapping_faults
     assert len(overlapping_faults) >= 4, "the faults did not overlap"
 
@@ -145,7 +145,7 @@
 def test_repeated_failovers_use_no_term_twice_and_break_no_rule() -> None:
     for seed in range(7780, 7786):
         cluster = cluster_with_failovers(seed)
-        check(cluster.run(length_s=100, job_count=25))
+        raise_first_failure(cluster.run(length_s=100, job_count=25))
         assert len(cluster.leader_by_term) >= 5 and len(set(cluster.leader_by_term.values())) >= 4, "too few failovers"
 
 
@@ -215,7 +215,7 @@
     jobs_across_terms = 0
     for seed in range(7790, 7796):
         cluster = cluster_with_restarts_after_task_ends(seed)
-        check(cluster.run(length_s=130, job_count=18))
+        raise_first_failure(cluster.run(length_s=130, job_count=18))
         assert isinstance(cluster, SmallJobsCluster)
         jobs_across_terms += sum(len(terms) > 1 for terms in cluster.terms_of_ends.values())
         assert not cluster.unfinished_jobs(before=90), f"seed {seed}: {cluster.unfinished_jobs(before=90)} are not done"
@@ -270,7 +270,7 @@
 def test_old_heartbeats_of_earlier_incarnations_change_nothing() -> None:
     for seed in range(7800, 7806):
         cluster = cluster_with_old_heartbeats(seed)
-        check(cluster.run(length_s=90, job_count=25))
+        raise_first_failure(cluster.run(length_s=90, job_count=25))
         assert any(worker.incarnation > 1 for worker in cluster.workers.values())
 
 
@@ -317,7 +317,7 @@
 def test_users_get_no_stale_answer_during_store_faults() -> None:
     for seed in range(7810, 7816):
         cluster, polling_users = cluster_with_polling_users(seed)
-        check(cluster.run(length_s=100, job_count=30))
+        raise_first_failure(cluster.run(length_s=100, job_count=30))
         assert polling_users[0].longest_unanswered_s <= MAX_UNANSWERED_S and not polling_users[0].unanswered_since, (
             polling_users[0].longest_unanswered_s,
             polling_users[0].unanswered_since,
@@ -385,7 +385,7 @@
     for seed in range(7820, 7826):
         cluster = cluster_with_unreachable_machines(seed)
         cluster.task_duration_s = 14.0
-        check(cluster.run(length_s=125, job_count=14))
+        raise_first_failure(cluster.run(length_s=125, job_count=14))
         # The last fault ends by 70 s; leases that the previous leader may have granted are respected for 13 s more.
         assert not cluster.unfinished_jobs(before=70), f"seed {seed}: {cluster.unfinished_jobs(before=70)} still wait"
 
@@ -431,7 +431,7 @@
 
 def test_late_commands_break_no_rule() -> None:
     for seed in range(7830, 7836):
-        check(cluster_with_late_commands(seed).run(length_s=90, job_count=25))
+        raise_first_failure(cluster_with_late_commands(seed).run(length_s=90, job_count=25))
 
 
 def start_tasks_by_direct_commands(patch: Patch) -> None:
@@ -517,7 +517,7 @@
         cluster.kv_store.commit_transaction({"guards": [], "then": [{"delete": "lead/leader"}]})
 
     cluster.schedule_action(corrupt_leader_key)
-    check(cluster.run(length_s=60, job_count=15))
+    raise_first_failure(cluster.run(length_s=60, job_count=15))
     assert len(cluster.leader_by_term) >= 2, "no leader was elected after the key was deleted"
 
 
@@ -569,4 +569,4 @@
 def test_workflows_deadlines_budgets_and_moves_hold_under_faults(
     make_cluster: Callable[[int], SimulatedCluster], seed: int
 ) -> None:
-    check(make_cluster(seed).run(length_s=110, job_count=10))
+    raise_first_failure(make_cluster(seed).run(length_s=110, job_count=10))
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -8,7 +8,7 @@
 from roseweir.membership.store_isolation import StoreIsolationDetector
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.load_balancer import LoadBalancer, PollingUsers
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 MAX_UNANSWERED_S = 10.0
 
@@ -56,7 +56,7 @@
         cluster.is_calm = True
 
     cluster.schedule_action(end_all_faults)
-    check(cluster.run(length_s=130, job_count=40))
+    raise_first_failure(cluster.run(length_s=130, job_count=40))
     assert pollers[0].longest_unanswered_s <= MAX_UNANSWERED_S and not pollers[0].unanswered_since, (
         pollers[0].longest_unanswered_s,
         pollers[0].unanswered_since,
@@ -88,7 +88,7 @@
         assert not cluster.errors and all("forgotten" in str(violation) for violation in cluster.rule_violations)
         assert pollers[0].longest_unanswered_s > MAX_UNANSWERED_S
     else:
-        check(cluster)
+        raise_first_failure(cluster)
         assert pollers[0].longest_unanswered_s <= MAX_UNANSWERED_S and not pollers[0].unanswered_since, (
             pollers[0].longest_unanswered_s,
             pollers[0].unanswered_since,
@@ -121,7 +121,7 @@
             cluster.spawn(poll_unknown_jobs())
 
     cluster.schedule_action(flood)
-    check(cluster.run(length_s=100, job_count=30))
+    raise_first_failure(cluster.run(length_s=100, job_count=30))
     assert len(refusals) > 500
     assert pollers[0].longest_unanswered_s <= 20 and len(cluster.observed_ends) > 15, pollers[0].longest_unanswered_s
 
@@ -166,7 +166,7 @@
         cluster.observed_ends[job_id] = "aborted"
 
     cluster.schedule_action(corrupt_job_record)
-    check(cluster.run(length_s=90, job_count=25))
+    raise_first_failure(cluster.run(length_s=90, job_count=25))
     assert observed[:2] in ([200, "queued"], [200, "running"]) and observed[3:] == [0, 200, "aborted"], observed
     assert isinstance(observed[2], list) and "its record to be readable" in observed[2][0]
     assert len(cluster.observed_ends) > 15
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -27,7 +27,7 @@
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
@@ -307,7 +307,7 @@
 def test_late_writes_during_leader_changes_break_no_rule() -> None:
     for seed in range(7750, 7756):
         cluster = late_write_cluster(seed)
-        check(cluster.run(length_s=110, job_count=25))
+        raise_first_failure(cluster.run(length_s=110, job_count=25))
         assert cluster.start_count > 20 and cluster.kv_store.keys["lead/term"][0] >= 4
 
 
@@ -396,7 +396,7 @@
                         cluster.spawn(cluster.cancel_via_others(job_id, node.name))
 
         cluster.schedule_action(cancel_completed_jobs)
-        check(cluster.run(length_s=60, job_count=14))
+        raise_first_failure(cluster.run(length_s=60, job_count=14))
         for job_id, reported_state in reported_ends:
             stored_state = cluster.kv_store.keys[COMPLETED_JOB_PREFIX + job_id][0]["state"]
             if reported_state != stored_state:
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -29,7 +29,7 @@
 )
 from tests.test_fault_combinations import reuse_previous_term
 from tests.test_partial_partitions import accept_heartbeats_of_any_term
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 Variant = Callable[[Patch], None]
@@ -129,7 +129,7 @@
     stop_count = 0
     for seed in range(8100, 8103):
         cluster = cluster_with_late_commands(seed)
-        check(cluster.run(length_s=100, job_count=30))
+        raise_first_failure(cluster.run(length_s=100, job_count=30))
         assert isinstance(cluster, PreemptingGangsCluster)
         stop_count += cluster.stop_count
     assert stop_count > 30
@@ -212,7 +212,7 @@
 def test_heartbeats_replayed_to_next_leader_change_nothing() -> None:
     for seed in range(8130, 8133):
         cluster = cluster_with_replayed_heartbeats(seed)
-        check(cluster.run(length_s=100, job_count=22))
+        raise_first_failure(cluster.run(length_s=100, job_count=22))
         assert max(cluster.leader_by_term) >= 5
         assert not cluster.unfinished_jobs(before=40), cluster.unfinished_jobs(before=40)
 
@@ -292,7 +292,7 @@
 def test_next_leader_recovers_tasks_on_new_machines() -> None:
     for seed in range(8160, 8163):
         cluster = cluster_with_fast_boots(seed)
-        check(cluster.run(length_s=110, job_count=22))
+        raise_first_failure(cluster.run(length_s=110, job_count=22))
         assert max(cluster.leader_by_term) >= 5 and cluster.start_count > 40
 
 
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -26,7 +26,7 @@
 )
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, TERM, FakeWorker, make_cluster_state, place_and_start
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 ALL_FAULTS = [*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS, *PARTIAL_PARTITION_FAULTS]
 
@@ -44,7 +44,7 @@
         max_clock_skew_s=0.5,
         controller_count=CONTROLLER_COUNT_BY_SEED.get(seed, 3),
     )
-    check(cluster.run())
+    raise_first_failure(cluster.run())
     assert cluster.start_count > 20
 
 
@@ -138,7 +138,7 @@
     seed: int, controller_count: int, partition_s: float
 ) -> None:
     cluster = OneWayPartitionCluster(seed, partition_s, controller_count)
-    check(cluster.run(length_s=100, job_count=30))
+    raise_first_failure(cluster.run(length_s=100, job_count=30))
     checked_jobs = {job for job in cluster.accepted_jobs if cluster.submitted_at[job] < 70}
     assert cluster.task_counts and len(checked_jobs) >= 15
     assert checked_jobs - set(cluster.observed_ends) == set()
@@ -158,7 +158,7 @@
         node.network_faults.clear()
 
     cluster.schedule_action(lose_answers)
-    check(cluster.run(length_s=60, job_count=20))
+    raise_first_failure(cluster.run(length_s=60, job_count=20))
     assert leaders[0] != leaders[1]
 
 
@@ -265,7 +265,7 @@
         )
 
     cluster.schedule_action(isolate_leader)
-    check(cluster.run(length_s=80, job_count=20))
+    raise_first_failure(cluster.run(length_s=80, job_count=20))
     # The leader lease, one heartbeat interval in which idle workers are redirected, and their search for a leader.
     assert isinstance(observed["stopped_after_s"], float) and observed["stopped_after_s"] < 8.0 + controller_count, (
         observed
@@ -298,7 +298,7 @@
         incarnations.extend(worker.incarnation for worker in cluster.workers.values())
 
     cluster.schedule_action(fail_store_and_peers)
-    check(cluster.run(length_s=70, job_count=20))
+    raise_first_failure(cluster.run(length_s=70, job_count=20))
     assert has_searched_and_returned == [True] and set(incarnations) == {1}, (
         "redirected workers return, and all keep their leases"
     )
@@ -324,7 +324,7 @@
         await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(restart_busy_machines)
-    check(cluster.run(length_s=110, job_count=25))
+    raise_first_failure(cluster.run(length_s=110, job_count=25))
     assert len(restarted_machines) > 6
     unfinished = [
         job for job in cluster.accepted_jobs - set(cluster.observed_ends) if cluster.jobs[job]["shape"] == "sweep"
@@ -379,7 +379,7 @@
         gaps_s.append(virtual_now() - last_restart_at)
 
     cluster.schedule_action(restart_at_step)
-    check(cluster.run(length_s=75, job_count=10))
+    raise_first_failure(cluster.run(length_s=75, job_count=10))
     assert restarted and gaps_s and gaps_s[0] < 4.0, (restarted, gaps_s)
 
 
@@ -401,7 +401,7 @@
         gaps_s.append(virtual_now() - last_restart_at)
 
     cluster.schedule_action(restart_in_turn)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert gaps_s[0] < 4.0
 
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -38,7 +38,7 @@
 from tests.simulation.eviction import EvictionCluster
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 BIG = MachineType("gpu", 96, 8, 384, 200, 1.0, 24.0, 9.0, 50, ("a", "b"))
 LARGE: TaskSize = (80.0, 8.0, 304.0)
@@ -391,7 +391,7 @@
     settings.rebalancing.move = "on" if move else "off"
     cluster = Pieces(7500, settings)
     cluster.schedule_action(cluster.story)
-    check(cluster.run(length_s=110, job_count=4))
+    raise_first_failure(cluster.run(length_s=110, job_count=4))
     assert len(cluster.large) == 2
     assert len(cluster.begun) == (2 if move else 0), cluster.begun
     assert all(wait < 40 for wait in cluster.begun.values())
@@ -446,7 +446,7 @@
 
     cluster.schedule_action(cluster.story)
     cluster.schedule_action(fail)
-    check(cluster.run(length_s=130, job_count=4))
+    raise_first_failure(cluster.run(length_s=130, job_count=4))
     assert failed
     found = desk()
     if who not in ("machine", "cancel"):
@@ -461,7 +461,7 @@
 
     cluster = Pieces(seed, tuning(0.3), 0.3, is_calm=False, faults=EXTENDED_FAULTS)
     cluster.schedule_action(cluster.story)
-    check(cluster.run(length_s=110, job_count=10))
+    raise_first_failure(cluster.run(length_s=110, job_count=10))
 
 
 Break = Callable[[pytest.MonkeyPatch], None]
@@ -503,7 +503,7 @@
         cluster = Ending(seed, settings, restart_delay_range_s=(0.1, 0.5))
         cluster.leave = (2, 2, 2, 2)
         cluster.schedule_action(cluster.story)
-        check(cluster.run(length_s=150, job_count=2))
+        raise_first_failure(cluster.run(length_s=150, job_count=2))
         assert len(cluster.begun) == 2
         twice += [name for name in cluster.halted if cluster.halted.count(name) > 1]
     assert bool(twice) == forgets, twice
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -15,7 +15,7 @@
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.scheduler.model import PlacementPhase
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, SimulatedController, virtual_now
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 RESTART_DELAY_RANGE_S = (0.05, 1.0)
 
@@ -27,7 +27,7 @@
     cluster = SimulatedCluster(
         seed, faults=faults, restart_delay_range_s=RESTART_DELAY_RANGE_S, max_clock_skew_s=1.0
     ).run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 20
 
 
@@ -115,7 +115,7 @@
         leaderless_s.append(virtual_now() - ended_at)
 
     cluster.schedule_action(restart_in_phase)
-    check(cluster.run(length_s=80, job_count=30))
+    raise_first_failure(cluster.run(length_s=80, job_count=30))
     assert restarted_nodes
     # The new process does not wait for the lease of its earlier process, which lasts 2.5 s.
     assert leaderless_s and leaderless_s[0] < 1.5
@@ -145,7 +145,7 @@
         terms.append(cluster.kv_store.keys["lead/term"][0])
 
     cluster.schedule_action(restart_controllers)
-    check(cluster.run(length_s=60, job_count=20))
+    raise_first_failure(cluster.run(length_s=60, job_count=20))
     assert leaderless_s[0] < restart_delay_s + 0.5 and terms == [2]
     assert all(worker.incarnation == 1 for worker in cluster.workers.values()), "a worker's lease expired"
 
@@ -173,7 +173,7 @@
 
     cluster.schedule_action(crash_loop)
     cluster.schedule_action(count_changes)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert terms == [2]
     assert store_changes[0] < 15 * 20
 
@@ -201,7 +201,7 @@
         leaderless_s.append(virtual_now() - ended_at[0])
 
     cluster.schedule_action(crash_all)
-    check(cluster.run(length_s=90, job_count=25))
+    raise_first_failure(cluster.run(length_s=90, job_count=25))
     assert 0 < terms[1] - terms[0] < 15 * 4
     assert leaderless_s[0] < 1.5
 
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -29,7 +29,7 @@
 from tests.test_fault_combinations import ignore_previous_leader_leases
 from tests.test_machine_faults import CheckedLongTaskCluster, Patch, Variant
 from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 
 def test_scale_out_rents_cpu_machine_in_zone_with_only_gpu_machines() -> None:
@@ -171,7 +171,7 @@
 def test_team_limit_counts_unconfirmed_tasks_until_they_are_gone() -> None:
     for seed in range(8200, 8204):
         cluster = team_limit_cluster(seed)
-        check(cluster.run(length_s=150, job_count=16))
+        raise_first_failure(cluster.run(length_s=150, job_count=16))
         assert cluster.peak_gpus_in_use >= 6.0 and len(cluster.cancelled_at) >= 4
 
 
@@ -256,7 +256,7 @@
 
 def test_single_zone_jobs_resume_after_zone_and_controller_outages() -> None:
     for seed in range(8220, 8223):
-        check(single_zone_cluster(seed).run(length_s=190, job_count=20))
+        raise_first_failure(single_zone_cluster(seed).run(length_s=190, job_count=20))
 
 
 BROKEN_ZONE_VARIANTS: list[tuple[Variant, str]] = [
@@ -308,7 +308,7 @@
     cancelled_count = 0
     for seed in range(8230, 8233):
         cluster = queued_jobs_cancelled_cluster(seed)
-        check(cluster.run(length_s=110, job_count=16))
+        raise_first_failure(cluster.run(length_s=110, job_count=16))
         cancelled_count += len(cluster.cancelled_at)
     assert cancelled_count >= 6
 
@@ -325,7 +325,7 @@
 
 def test_generated_days_check_for_waiting_jobs_after_the_last_fault() -> None:
     day = day_without_controllers(8240)
-    check(day)
+    raise_first_failure(day)
     assert day.quiet_s > MAX_WAIT_S and day.longest_wait < MAX_WAIT_S
 
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -20,7 +20,7 @@
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 
 def expected_account(cluster: SimulatedCluster) -> dict[TeamAndClass, tuple[int, int, int]]:
@@ -82,7 +82,7 @@
         cluster.is_over = True
 
     cluster.schedule_action(compare)
-    check(cluster.run(length_s=120))
+    raise_first_failure(cluster.run(length_s=120))
     assert len(agreements) == 3, "the accounts never agreed"
 
 
@@ -108,7 +108,7 @@
         levels_by_class.append(sum_by_class(account.service_levels(service.leader_term.cluster_state.jobs)))
 
     cluster.schedule_action(flood)
-    check(cluster.run(length_s=60, job_count=5))
+    raise_first_failure(cluster.run(length_s=60, job_count=5))
     assert answers[429] > 20 and levels_by_class[0]["swarm"].turned_away == answers[429]
     assert levels_by_class[0]["swarm"].accepted == answers[201] and levels_by_class[0]["swarm"].served_fraction < 1.0
 
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -12,7 +12,7 @@
 from roseweir.scheduler.recovery import LogRecovery, RecoveredStarts
 from roseweir.submissions.jobs import SERVICE
 from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, SimulatedController, virtual_now
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 PARAMS: dict[str, Any] = {
     "teams": [{"name": "t0"}, {"name": "t1"}],
@@ -81,7 +81,7 @@
         restart_delay_range_s=restart_delay_range_s,
         max_clock_skew_s=0.25,
     ).run(job_count=35)
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 60
 
 
@@ -135,7 +135,7 @@
             cluster.check_rule(attempts_after.get(key) == attempt, f"replica {key} was lost")
 
     cluster.schedule_action(inject_fault)
-    check(cluster.run(length_s=75, job_count=25))
+    raise_first_failure(cluster.run(length_s=75, job_count=25))
     assert len(attempts_before) >= 6
     assert all(worker.incarnation == 1 for worker in cluster.workers.values()), "a worker's lease expired"
     assert cluster.uptime_fraction > 0.99
@@ -152,7 +152,7 @@
             worker.machine.has_failed = True
 
     cluster.schedule_action(fail_third_of_machines)
-    check(cluster.run(length_s=80, job_count=40))
+    raise_first_failure(cluster.run(length_s=80, job_count=40))
     # A third of the replicas is down once, for a lease of 6 s (or until a release proves them gone) and a boot of 4 s.
     assert cluster.uptime_fraction > 0.9
 
--- a/tests/test_simulated_days.py
+++ b/tests/test_simulated_days.py
@@ -20,7 +20,7 @@
 )
 
 
-def check(cluster: SimulatedCluster) -> None:
+def raise_first_failure(cluster: SimulatedCluster) -> None:
     if cluster.errors:
         raise cluster.errors[0]
     if cluster.rule_violations:
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("seed", [*range(16), *FAILED_RECOVERY_SEEDS])
 def test_random_days_break_no_rule(seed: int) -> None:
     cluster = SimulatedCluster(seed).run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 20
 
 
@@ -42,13 +42,13 @@
 def test_random_days_with_extended_faults_break_no_rule(seed: int) -> None:
     """Controllers are paused or lose part of the network; machines boot late or never."""
     cluster = SimulatedCluster(seed, faults=EXTENDED_FAULTS).run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 20
 
 
 @pytest.mark.parametrize(("seed", "controller_count"), [(9100, 2), (9101, 5), (9102, 5), (9103, 7), (9104, 7)])
 def test_random_days_with_other_controller_counts_break_no_rule(seed: int, controller_count: int) -> None:
-    check(SimulatedCluster(seed, faults=EXTENDED_FAULTS, controller_count=controller_count).run())
+    raise_first_failure(SimulatedCluster(seed, faults=EXTENDED_FAULTS, controller_count=controller_count).run())
 
 
 @pytest.mark.parametrize("fault", ["refused", "silent"])
@@ -76,7 +76,7 @@
         incarnations.append({name: worker.incarnation for name, worker in cluster.workers.items()})
 
     cluster.schedule_action(lose_links)
-    check(cluster.run(length_s=90, job_count=20))
+    raise_first_failure(cluster.run(length_s=90, job_count=20))
     assert leaders[0] != leaders[1] == leaders[2] == leaders[3]
     assert cluster.kv_store.keys["lead/term"][0] == 2, "leadership changed more than once"
     if fault == "refused":
@@ -111,7 +111,7 @@
             worker.is_hung = False
 
     cluster.schedule_action(lose_workers)
-    check(cluster.run(length_s=70, job_count=10))
+    raise_first_failure(cluster.run(length_s=70, job_count=10))
     assert cluster.kv_store.keys["lead/term"][0] == 1
 
 
@@ -131,7 +131,7 @@
         second.start()
 
     cluster.schedule_action(crash_second_leader)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert len(set(leaders)) == 3
 
 
@@ -160,7 +160,7 @@
         node.pause_gate.resume()
 
     cluster.schedule_action(pause_controller)
-    check(cluster.run(length_s=100, job_count=20))
+    raise_first_failure(cluster.run(length_s=100, job_count=20))
     assert all(gap_s < 4.0 for gap_s in gaps_s), "a paused leader must be replaced as soon as a crashed one"
     assert cluster.kv_store.keys["lead/term"][0] == (2 if is_leader and pause_s > 5 else 1)
     if not gaps_s:
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_days_with_leader_cut_off_from_store_break_no_rule(seed: int) -> None:
-    check(SimulatedCluster(seed, faults=["deaf", "cut", "recall"]).run())
+    raise_first_failure(SimulatedCluster(seed, faults=["deaf", "cut", "recall"]).run())
 
 
 def test_leader_cut_off_from_store_resigns() -> None:
@@ -191,7 +191,7 @@
         assert node.service.leader_election.leader.name != node.name
 
     cluster.schedule_action(lose_store)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     # The lease, the successor's election, and a query to the peers.
     assert len(gaps_s) == 1 and gaps_s[0] < 4.5
 
@@ -218,7 +218,7 @@
         cluster.kv_store.end_outage()
 
     cluster.schedule_action(lose_store)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert statuses == [[200, 503, 200], [200, 200, 200], [200, 200, 200]]
 
 
@@ -248,7 +248,7 @@
             await asyncio.sleep(0.05)
 
     cluster.schedule_action(flood_with_requests)
-    check(cluster.run(length_s=60, job_count=10))
+    raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert statuses["malformed"] == statuses["oversized"] == statuses["invalid heartbeat"] == {400}
     # 100 polls a second exceed the rate limit of the key-value store: the rest is answered 429 with `retry-after`.
     assert statuses["unknown job"] == {404, 429}
@@ -261,7 +261,7 @@
 def test_days_with_low_store_write_rate_break_no_rule(seed: int) -> None:
     """At low write rates segments lag by up to a minute; a stale segment must not make a task run twice."""
     cluster = SimulatedCluster(seed, write_rps=8.0).run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 10
 
 
@@ -269,7 +269,7 @@
 def test_random_days_of_large_fleet_break_no_rule(seed: int) -> None:
     """Arrays of hundreds of tasks on hundreds of machines, with few writes per second to the write-ahead log."""
     cluster = SimulatedCluster(seed, scale=100, write_rps=20.0).run()
-    check(cluster)
+    raise_first_failure(cluster)
     assert cluster.start_count > 1000 and len(cluster.cloud.machines) >= 200
 
 
@@ -328,7 +328,7 @@
             worker.machine.has_failed = worker.machine.has_failed or fault == "die"
 
     cluster.schedule_action(fail_machines)
-    check(cluster.run(length_s=80, job_count=25))
+    raise_first_failure(cluster.run(length_s=80, job_count=25))
     assert failed_counts[0] >= 3 and cluster.start_count > 100
 
 
@@ -367,7 +367,7 @@
 def test_day_without_faults_ends_all_jobs(seed: int) -> None:
     """Also jobs that wait until their age gives them precedence over all others."""
     cluster = FeasibleJobsCluster(seed)
-    check(cluster.run(length_s=300, job_count=40))
+    raise_first_failure(cluster.run(length_s=300, job_count=40))
     checked_jobs = {job for job in cluster.accepted_jobs if cluster.submitted_at[job] < 150}
     assert len(checked_jobs) >= 15
     assert checked_jobs - set(cluster.observed_ends) == set()
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -35,7 +35,7 @@
 from tests.simulation.cluster import SimulatedCluster, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 
 def first_large_start_s(job_shape: str, minutes: float) -> float:
@@ -287,11 +287,11 @@
     cluster.schedule_action(cluster.submit_jobs)
     if with_failures:
         cluster.schedule_action(cluster.fail_machines_and_leaders)
-    check(cluster.run(length_s=75, job_count=3))
+    raise_first_failure(cluster.run(length_s=75, job_count=3))
     assert cluster.large_job_starts and cluster.large_job_starts[0] < 8 + 45
     # Without starvation marks the small jobs overtake it for ever.
     monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *args: None)
     unprotected_cluster = StarvationCluster(7900, is_calm=True)
     unprotected_cluster.schedule_action(unprotected_cluster.submit_jobs)
-    check(unprotected_cluster.run(length_s=75, job_count=3))
+    raise_first_failure(unprotected_cluster.run(length_s=75, job_count=3))
     assert not unprotected_cluster.large_job_starts
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -34,7 +34,7 @@
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, make_cluster_state
 from tests.test_settings import EXAMPLE, write_changed_settings
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 NOW_MS = 1_700_000_000_000
 STORE_LIMITS: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
@@ -555,7 +555,7 @@
 def test_all_jobs_end_when_limits_fall_during_a_run(announced: bool, extra_fault: str) -> None:
     for seed in range(8100, 8102):
         cluster = run_falling_limits(seed, announced, extra_fault)
-        check(cluster)
+        raise_first_failure(cluster)
         assert cluster.kv_store.lowered_limits is not None and cluster.accepted_jobs and cluster.unfinished == []
         if announced:
             assert cluster.kv_store.lowered_limits.too_large_count == 0, "a write exceeded the announced limits"
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -23,7 +23,7 @@
 from roseweir.workers.answer_authority import AnswerAuthority
 from tests.simulation.cluster import SimulatedCluster, SimulatedWorker, virtual_now
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught, worker_params
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
@@ -84,7 +84,7 @@
     unread_cancellations = 0
     for seed in OUTAGE_SEEDS:
         cluster, outage_durations_s = refusal_then_outage_cluster(seed)
-        check(cluster.run(length_s=80, job_count=14))
+        raise_first_failure(cluster.run(length_s=80, job_count=14))
         assert outage_durations_s and outage_durations_s[0] > cluster.cancel_deadline_s, (
             "no outage longer than cancel_s"
         )
@@ -203,7 +203,7 @@
             renewed.append(leader_term.leader_lease.is_valid())
 
         cluster.schedule_action(outage_and_renewal)
-        check(cluster.run(length_s=50, job_count=2))
+        raise_first_failure(cluster.run(length_s=50, job_count=2))
         return started, bool(renewed and renewed[0])
 
     started, renewed = run_outage()
@@ -247,7 +247,7 @@
     unread_cancellations = 0
     for seed in range(7730, 7738):
         cluster = partitioned_leader_cluster(seed)
-        check(cluster.run(length_s=70, job_count=14))
+        raise_first_failure(cluster.run(length_s=70, job_count=14))
         unread_cancellations += cluster.unheard_cancellations
         for job_id, last_running_at in cluster.last_seen_running.items():
             assert last_running_at - cluster.cancelled_at[job_id] <= cluster.cancel_deadline_s - 1.9, (
@@ -334,7 +334,7 @@
         assert any("ran_twice" in str(error) for cluster in clusters for error in cluster.rule_violations)
         return
     for cluster in clusters:
-        check(cluster)
+        raise_first_failure(cluster)
     assert all(cluster.unheard_cancellations for cluster in clusters if isinstance(cluster, LongTaskCluster))
 
 
@@ -389,7 +389,7 @@
 ) -> None:
     for seed in range(7850, 7853):
         cluster, observed = full_outage_cluster(seed, scenario)
-        check(cluster.run(length_s=85, job_count=10))
+        raise_first_failure(cluster.run(length_s=85, job_count=10))
         assert observed["after"] == observed["before"] and not observed["still_running"], "worker leases expired"
         assert (observed["cancelled"] > 0) == (scenario == "cancels")
         for job_id, last_running_at in cluster.last_seen_running.items():
@@ -400,7 +400,7 @@
 def test_restarted_unreachable_or_paused_peer_confirms_nothing(scenario: str) -> None:
     for seed in range(7850, 7853):
         cluster, observed = full_outage_cluster(seed, scenario)
-        check(cluster.run(length_s=85, job_count=10))
+        raise_first_failure(cluster.run(length_s=85, job_count=10))
         assert observed["cancelled"] > 0 and not observed["still_running"]
         assert all(observed["after"].get(name, 0) != incarnation for name, incarnation in observed["before"].items())
 
@@ -484,7 +484,7 @@
 def test_leader_with_late_renewal_answers_relies_on_its_peers() -> None:
     for seed in range(7870, 7873):
         cluster, incarnations = slow_store_cluster(seed)
-        check(cluster.run(length_s=90, job_count=10))
+        raise_first_failure(cluster.run(length_s=90, job_count=10))
         before, after = incarnations
         assert before and all(after.get(name) == incarnation for name, incarnation in before.items()), (
             "worker leases expired"
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -52,7 +52,7 @@
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
 from tests.test_eviction_days import world_of as make_eviction_cluster
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 Variant = Callable[[Patch], None]
@@ -83,7 +83,7 @@
 def test_concurrent_polls_of_all_controllers_never_go_back() -> None:
     for seed in range(8000, 8003):
         cluster = cluster_with_concurrent_polls(seed)
-        check(cluster.run(length_s=75, job_count=30))
+        raise_first_failure(cluster.run(length_s=75, job_count=30))
         assert len(cluster.history.operations) > 700 and len(cluster.observed_ends) > 12
 
 
@@ -182,7 +182,7 @@
 
 def test_cancel_during_submission_ends_job_or_gets_404() -> None:
     cluster = cluster_with_cancels_during_submission(8090)
-    check(cluster.run(length_s=60, job_count=2))
+    raise_first_failure(cluster.run(length_s=60, job_count=2))
     statuses = Counter(
         operation.status for operation in cluster.history.operations if operation.action is Action.CANCEL
     )
@@ -231,7 +231,7 @@
     done = cancelled = 0
     for seed in range(8010, 8013):
         cluster = cluster_with_cancels_at_job_end(seed)
-        check(cluster.run(length_s=70, job_count=30))
+        raise_first_failure(cluster.run(length_s=70, job_count=30))
         done_in_run, cancelled_in_run = count_ends_of_cancelled_jobs(cluster)
         done, cancelled = done + done_in_run, cancelled + cancelled_in_run
     assert done > 5 and cancelled > 5, "the cancels did not coincide with the ends"
@@ -302,7 +302,7 @@
     cancelled = 0
     for seed in range(8020, 8024):
         cluster = cluster_with_cancels_during_failovers(seed)
-        check(cluster.run(length_s=100, job_count=30))
+        raise_first_failure(cluster.run(length_s=100, job_count=30))
         cancelled += len(cluster.cancelled_at)
         assert len(cluster.leader_by_term) >= 4, "too few failovers"
     assert cancelled > 25
@@ -345,7 +345,7 @@
 def test_ten_failovers_in_two_minutes_with_outages_break_no_rule() -> None:
     for seed in range(8030, 8033):
         cluster = cluster_with_frequent_failovers(seed)
-        check(cluster.run(length_s=120, job_count=25))
+        raise_first_failure(cluster.run(length_s=120, job_count=25))
         assert len(cluster.leader_by_term) >= 10, f"seed {seed}: only {len(cluster.leader_by_term)} terms"
         assert len(cluster.observed_ends) > 8, f"seed {seed}: users observed {len(cluster.observed_ends)} ends"
 
@@ -388,7 +388,7 @@
     statuses: set[tuple[str, int]] = set()
     for seed in range(8040, 8042):
         cluster = cluster_with_invalid_requests(seed)
-        check(cluster.run(length_s=75, job_count=25))
+        raise_first_failure(cluster.run(length_s=75, job_count=25))
         statuses |= {(operation.action.value, operation.status) for operation in cluster.history.operations}
         stored_job_ids = {
             key.partition("/")[2]
@@ -542,7 +542,7 @@
 
 def test_many_one_task_jobs_stay_within_rate_and_leave_no_keys() -> None:
     cluster = run_small_jobs()
-    check(cluster)
+    raise_first_failure(cluster)
     assert unmet_bounds(cluster) == []
     assert len(cluster.cancelled_at) > SMALL_JOB_COUNT / 8
 
@@ -732,7 +732,7 @@
     lost_count = 0
     for seed in range(8060, 8062):
         cluster = LostAnswersCluster(seed, write_type, 1.0 if write_type == "election" else 0.5)
-        check(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=25))
+        raise_first_failure(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=25))
         assert not find_stuck_work(cluster), f"seed {seed}: {find_stuck_work(cluster)}"
         lost_count += len(cluster.lost_answers)
     assert lost_count >= 4, "no answer was lost"
@@ -955,7 +955,7 @@
 def test_drains_whose_write_answers_are_lost_are_stored_and_end() -> None:
     for seed in range(8070, 8072):
         cluster, lost_answers = cluster_with_drains(seed)
-        check(cluster.run(length_s=LOST_ANSWERS_END_S + 45.0, job_count=20))
+        raise_first_failure(cluster.run(length_s=LOST_ANSWERS_END_S + 45.0, job_count=20))
         assert len(lost_answers) >= 3 and not drains_without_end(cluster), (
             len(lost_answers),
             drains_without_end(cluster),
@@ -980,7 +980,7 @@
     for seed in range(8080, 8082):
         cluster, lost_answers = cluster_with_workflows(seed, write_type)
         states = record_workflow_states(cluster)
-        check(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=2))
+        raise_first_failure(cluster.run(length_s=LOST_ANSWERS_END_S + 35.0, job_count=2))
         assert lost_answers and len(cluster.accepted_at) == len(cluster.sent_amendments), (
             len(lost_answers),
             cluster.answer_statuses,
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -23,7 +23,7 @@
 from roseweir.workflows.store import PAGE_KEY_PREFIX
 from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
 from tests.simulation.workflows import WorkflowCluster, workflow_config
-from tests.test_simulated_days import check
+from tests.test_simulated_days import raise_first_failure
 
 W = TypeVar("W", bound=WorkflowCluster)
 
@@ -176,7 +176,7 @@
         cluster.accepted_jobs.add(last)
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=60, job_count=5))
+    raise_first_failure(cluster.run(length_s=60, job_count=5))
     assert told == [201, 200, 409, (200, "queued"), 409, 422, 404, 404]
     assert set(cluster.workflow_states().values()) <= {"done"} or not cluster.workflow_states()
 
@@ -191,7 +191,7 @@
         states.append(cluster.workflow_states())
 
     cluster.schedule_action(end)
-    check(cluster.run(length_s=110, job_count=5))
+    raise_first_failure(cluster.run(length_s=110, job_count=5))
     assert len(cluster.accepted_at) == 25 and list(states[0].values()).count("done") >= 20, states
 
 
@@ -207,7 +207,7 @@
             cluster.spawn(cluster.submit_amendment(amendment))
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=110, job_count=10))
+    raise_first_failure(cluster.run(length_s=110, job_count=10))
     assert len(cluster.accepted_at) > 15
 
 
@@ -261,7 +261,7 @@
         cluster.is_over = True
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=120, job_count=2))
+    raise_first_failure(cluster.run(length_s=120, job_count=2))
     assert failed and list(states[0].values()) == ["done"], (states, failed)
     jobs = [step["job"]["name_id"] for step in next(iter(cluster.sent_amendments.values()))["steps"]]
     for job in jobs:
@@ -288,7 +288,7 @@
         await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=110, job_count=1))
+    raise_first_failure(cluster.run(length_s=110, job_count=1))
     assert told == [False] and len(cluster.accepted_at) == 1
     assert list(cluster.workflow_states().values()) in (["done"], ["open"], [])
 
@@ -316,7 +316,7 @@
             await asyncio.sleep(cluster.rng.uniform(0.2, 5))
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=130, job_count=2))
+    raise_first_failure(cluster.run(length_s=130, job_count=2))
     taken = [a for a in cluster.sent_amendments.values() if a["id"] in cluster.accepted_at]
     assert len(taken) >= 8 and len(taken) + cluster.answer_statuses.count(409) == 12, "what is not taken is told why"
     newest = {lot: max(a["revision"] for a in taken if lot in a["lots"]) for lot in cluster.shown_revisions}
@@ -328,7 +328,7 @@
     cluster = watched(WorkflowCluster(7750, settings, is_calm=True, scale=3))
     cluster.registry.run_time_range_s = (0.5, 1.0)
     cluster.schedule_action(landing(80, 8))
-    check(cluster.run(length_s=110, job_count=1))
+    raise_first_failure(cluster.run(length_s=110, job_count=1))
     assert (
         len(cluster.accepted_at) + cluster.answer_statuses.count(409) == 80 and cluster.answer_statuses.count(429) > 20
     )
@@ -369,7 +369,7 @@
         told.append(list(cluster.workflow_states().values()))
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=110, job_count=1))
+    raise_first_failure(cluster.run(length_s=110, job_count=1))
     assert told[0] == 0 and told[1] == 200 and "failed 3 times" in told[2] and told[3] == ["done"], told
 
 
@@ -394,7 +394,7 @@
         )
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=70, job_count=1))
+    raise_first_failure(cluster.run(length_s=70, job_count=1))
     assert ended == ["done", "cancelled", "cancelled" if on_cancel == "stop" else "done"]
 
 
@@ -421,7 +421,7 @@
         told.append((await cluster.request_workflow({"verb": "stop", "name": "nobody"}))[0])
 
     cluster.schedule_action(act)
-    check(cluster.run(length_s=100, job_count=1))
+    raise_first_failure(cluster.run(length_s=100, job_count=1))
     assert told == [200, [True, False, False], ["done"], 404], told
 
 
@@ -458,7 +458,7 @@
         states.extend(cluster.workflow_states().values())
 
     cluster.schedule_action(end)
-    check(cluster.run(length_s=140, job_count=1))
+    raise_first_failure(cluster.run(length_s=140, job_count=1))
     taken = len(cluster.accepted_at)
     assert taken >= 35 and changes["chain"] <= 2 * taken, changes
     assert states.count("done") + states.count("superseded") >= 0.9 * taken, states
