--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -67,9 +67,9 @@
 # -- workflows: an older amendment is accepted after a newer one, and the leader restarts -------------
 
 
-@pytest.mark.parametrize("broken", [False, True])
-def test_next_leader_restores_delivery_order_of_amendments(broken: bool, monkeypatch: Patch) -> None:
-    if broken:
+@pytest.mark.parametrize("is_broken", [False, True])
+def test_next_leader_restores_delivery_order_of_amendments(is_broken: bool, monkeypatch: Patch) -> None:
+    if is_broken:
         monkeypatch.setattr(WorkflowController, "_restore_delivery_order", lambda self: None)
     failures: list[str] = []
     for seed in range(7770, 7774):
@@ -106,10 +106,10 @@
         cluster.schedule_action(cluster.watch_viewer)
         cluster.run(length_s=120, job_count=2)
         assert len(cluster.accepted_at) == 12, cluster.answer_statuses
-        if not broken:
+        if not is_broken:
             assert set(states) == {"done"}, "a workflow makes no progress"
         failures += [str(error) for error in [*cluster.rule_violations, *cluster.errors]]
-    assert bool(failures) == broken, failures
+    assert bool(failures) == is_broken, failures
     assert all("older_after_newer" in failure for failure in failures)
 
 
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -334,10 +334,10 @@
 # -- a cancel as its job completes ------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("broken", [False, True])
-def test_job_outcome_is_reported_as_stored(broken: bool, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize("is_broken", [False, True])
+def test_job_outcome_is_reported_as_stored(is_broken: bool, monkeypatch: Patch) -> None:
     """A cancel between the last task's end and the stored record must not release the steps that follow."""
-    if broken:
+    if is_broken:
         apply_live_job = LiveJobWatcher._apply_live_job
 
         def assume_completed(self: LiveJobWatcher, job_id: str, value: object, version: int, revision: int) -> None:
@@ -402,4 +402,4 @@
             if reported_state != stored_state:
                 violations.append(f"{job_id} is stored as {stored_state}, and was reported as {reported_state}")
         assert len(reported_ends) > 5
-    assert raced_cancels > 5 and bool(violations) == broken, violations
+    assert raced_cancels > 5 and bool(violations) == is_broken, violations
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -144,10 +144,10 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "rule", "first_seed"), LATE_COMMAND_VARIANTS, ids=lambda v: getattr(v, "__name__", None)
+    ("variant", "rule", "first_seed"), LATE_COMMAND_VARIANTS, ids=lambda v: getattr(v, "__name__", None)
 )
-def test_late_commands_catch(broken: Variant, rule: str, first_seed: int, monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+def test_late_commands_catch(variant: Variant, rule: str, first_seed: int, monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(cluster_with_late_commands, range(first_seed, first_seed + 4), rule, 100, 30)
 
 
@@ -217,9 +217,9 @@
         assert not cluster.unfinished_jobs(before=40), cluster.unfinished_jobs(before=40)
 
 
-@pytest.mark.parametrize("broken", [accept_heartbeats_of_any_term, ignore_heartbeat_order])
-def test_heartbeats_replayed_to_next_leader_catch(broken: Variant, monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+@pytest.mark.parametrize("variant", [accept_heartbeats_of_any_term, ignore_heartbeat_order])
+def test_heartbeats_replayed_to_next_leader_catch(variant: Variant, monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(cluster_with_replayed_heartbeats, range(8130, 8160), "", 100, 22)
 
 
@@ -296,7 +296,7 @@
         assert max(cluster.leader_by_term) >= 5 and cluster.start_count > 40
 
 
-@pytest.mark.parametrize("broken", [send_starts_before_they_are_recorded, expire_unlisted_machines])
-def test_tasks_on_new_machines_catch(broken: Variant, monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+@pytest.mark.parametrize("variant", [send_starts_before_they_are_recorded, expire_unlisted_machines])
+def test_tasks_on_new_machines_catch(variant: Variant, monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(cluster_with_fast_boots, range(8160, 8190), "ran_twice", 110, 22)
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -463,9 +463,9 @@
             self.stopped.append(f"{task.job_id}/{task.index}")
 
 
-@pytest.mark.parametrize("broken", [False, True])
-def test_replayed_heartbeats_stop_no_healthy_task(broken: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    if broken:
+@pytest.mark.parametrize("is_broken", [False, True])
+def test_replayed_heartbeats_stop_no_healthy_task(is_broken: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    if is_broken:
         accept_heartbeats_of_any_term(monkeypatch)
     stopped: list[str] = []
     for seed in range(7340, 7346):
@@ -479,4 +479,4 @@
         cluster.schedule_action(restart_leaders)
         cluster.run(length_s=80, job_count=10)
         stopped += [*cluster.stopped, *map(str, cluster.rule_violations)]
-    assert bool(stopped) == broken, stopped
+    assert bool(stopped) == is_broken, stopped
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -183,10 +183,10 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "rule"), BROKEN_TEAM_LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None)
+    ("variant", "rule"), BROKEN_TEAM_LIMIT_VARIANTS, ids=lambda value: getattr(value, "__name__", None)
 )
-def test_broken_team_limit_accounting_is_caught(broken: Variant, rule: str, monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+def test_broken_team_limit_accounting_is_caught(variant: Variant, rule: str, monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(team_limit_cluster, range(8200, 8220), rule, 150, 16)
 
 
@@ -266,9 +266,9 @@
 ]
 
 
-@pytest.mark.parametrize(("broken", "rule"), BROKEN_ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_broken_zone_placement_is_caught(broken: Variant, rule: str, monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+@pytest.mark.parametrize(("variant", "rule"), BROKEN_ZONE_VARIANTS, ids=lambda value: getattr(value, "__name__", None))
+def test_broken_zone_placement_is_caught(variant: Variant, rule: str, monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(single_zone_cluster, range(8220, 8235), rule, 190, 20)
 
 
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -137,10 +137,10 @@
 
 
 @pytest.mark.parametrize(
-    "broken", [extend_stale_cancellation_window, date_reads_by_their_answer], ids=lambda b: b.__name__
+    "variant", [extend_stale_cancellation_window, date_reads_by_their_answer], ids=lambda b: b.__name__
 )
-def test_catches_leader_that_answers_too_long(broken: Callable[[Patch], None], monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+def test_catches_leader_that_answers_too_long(variant: Callable[[Patch], None], monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert is_caught(lambda seed: refusal_then_outage_cluster(seed)[0], range(7736, 7760), "late")
 
 
@@ -321,16 +321,16 @@
     )
 
 
-@pytest.mark.parametrize("broken", [False, True])
-def test_leader_that_cannot_renew_its_lease_keeps_no_task_too_long(broken: bool, monkeypatch: Patch) -> None:
+@pytest.mark.parametrize("is_broken", [False, True])
+def test_leader_that_cannot_renew_its_lease_keeps_no_task_too_long(is_broken: bool, monkeypatch: Patch) -> None:
     # Returning silent machines to the cloud would prove that their tasks have stopped.
     monkeypatch.setattr("roseweir.cloud.controller.plan_scale_in", lambda cluster_state, left, at, kept: [])
     # As if no redirected worker found another leader, so that only the time bound ends the tasks.
     monkeypatch.setattr(LeaderSearch, "has_found_leader", lambda self, at: False)
-    if broken:
+    if is_broken:
         answer_while_reads_are_fresh(monkeypatch)
     clusters = [refused_renewals_cluster(seed).run(length_s=85, job_count=14) for seed in range(7740, 7744)]
-    if broken:
+    if is_broken:
         assert any("ran_twice" in str(error) for cluster in clusters for error in cluster.rule_violations)
         return
     for cluster in clusters:
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "scenario"),
+    ("variant", "scenario"),
     [
         (answer_for_earlier_process, "restarted"),
         (accept_partial_peer_answers, "partitioned"),
@@ -451,9 +451,9 @@
     ],
 )
 def test_catches_peer_answers_that_prove_nothing(
-    broken: Callable[[Patch], None], scenario: str, monkeypatch: Patch
+    variant: Callable[[Patch], None], scenario: str, monkeypatch: Patch
 ) -> None:
-    broken(monkeypatch)
+    variant(monkeypatch)
     assert is_caught(lambda seed: full_outage_cluster(seed, scenario)[0], range(7850, 7860), "ran_cancelled", 85, 10)
 
 
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -444,7 +444,7 @@
     patch.setattr(LeaderTransactions, "_find_written_version", find_matching_value)
 
 
-@pytest.mark.parametrize("broken", [forget_earlier_attempts, confirm_without_leader_check])
-def test_catches_other_write_confirmed_as_own(broken: Callable[[Patch], None], monkeypatch: Patch) -> None:
-    broken(monkeypatch)
+@pytest.mark.parametrize("variant", [forget_earlier_attempts, confirm_without_leader_check])
+def test_catches_other_write_confirmed_as_own(variant: Callable[[Patch], None], monkeypatch: Patch) -> None:
+    variant(monkeypatch)
     assert any(virtual_time.run_in_virtual_time(_run_leader(seed))[0] for seed in LEADER_SEEDS)
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -1013,15 +1013,15 @@
     return conflicts
 
 
-@pytest.mark.parametrize(("looks_up_writes", "broken"), [(True, False), (False, False), (False, True)])
+@pytest.mark.parametrize(("looks_up_writes", "skips_version_read"), [(True, False), (False, False), (False, True)])
 @pytest.mark.parametrize("write_type", ["drains", "workflows", "delivery deadlines"])
 def test_fenced_writer_taking_lost_answer_for_failure_is_caught(
-    write_type: str, looks_up_writes: bool, broken: bool, monkeypatch: Patch
+    write_type: str, looks_up_writes: bool, skips_version_read: bool, monkeypatch: Patch
 ) -> None:
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(1))
     if not looks_up_writes:
         skip_lookup_of_unanswered_writes(monkeypatch)
-    if broken:
+    if skips_version_read:
         skip_version_read_of_unanswered_writes(monkeypatch)
     cluster, lost_answers = (
         cluster_with_drains(8070) if write_type == "drains" else cluster_with_workflows(8080, write_type)
@@ -1031,4 +1031,4 @@
     assert lost_answers
     max_conflicts = max(conflicts.values(), default=0)
     # A writer that reads the version before it retries has no conflicts.
-    assert max_conflicts >= MAX_CONFLICTS if broken else max_conflicts == 0, conflicts
+    assert max_conflicts >= MAX_CONFLICTS if skips_version_read else max_conflicts == 0, conflicts
