--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -113,7 +113,8 @@
         super().__init__(seed, is_calm=True, **options)
         self.last_seen_running: dict[str, float] = {}
         self.accepted_at: dict[str, float] = {}
-        self.unheard_cancellations = 0  # jobs cancelled while a leader that workers could reach had not learned of it
+        # How often the case under test arose, such as a cancellation unknown to a leader that workers could reach.
+        self.tested_case_count = 0
         self.schedule_action(lambda _: self._watch_cancelled_tasks())
         self.max_tasks, self.task_duration_s = 6, 90.0
 
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -60,7 +60,7 @@
         await asyncio.sleep(refused_alone_s)
         if leader_term is not None:
             jobs = leader_term.cluster_state.jobs
-            cluster.unheard_cancellations = sum(
+            cluster.tested_case_count = sum(
                 1 for j in running_jobs[::2] if j in cluster.cancelled_at and j in jobs and not jobs[j].final_state
             )
         cluster.max_store_delay_s = 0.0
@@ -88,7 +88,7 @@
         assert outage_durations_s and outage_durations_s[0] > cluster.cancel_deadline_s, (
             "no outage longer than cancel_s"
         )
-        unread_cancellations += cluster.unheard_cancellations
+        unread_cancellations += cluster.tested_case_count
         for job_id, last_running_at in cluster.last_seen_running.items():
             running_after_cancel_s = last_running_at - cluster.cancelled_at[job_id]
             assert running_after_cancel_s <= cluster.cancel_deadline_s - 2.0 + 0.1, (
@@ -235,7 +235,7 @@
         for job_id in sorted({task.job_id for _, task in cluster.active_tasks()}):
             await cluster.cancel_via_others(job_id, node.name)
             run = old_term.cluster_state.jobs.get(job_id)
-            cluster.unheard_cancellations += (
+            cluster.tested_case_count += (
                 old_term.leader_lease.end_reason == "" and run is not None and not run.final_state
             )
 
@@ -248,7 +248,7 @@
     for seed in range(7730, 7738):
         cluster = partitioned_leader_cluster(seed)
         raise_first_failure(cluster.run(length_s=70, job_count=14))
-        unread_cancellations += cluster.unheard_cancellations
+        unread_cancellations += cluster.tested_case_count
         for job_id, last_running_at in cluster.last_seen_running.items():
             assert last_running_at - cluster.cancelled_at[job_id] <= cluster.cancel_deadline_s - 1.9, (
                 f"seed {seed}: {job_id}"
@@ -304,7 +304,7 @@
         refused_since = virtual_now()
         while node.service is not None and node.service.leader_term is not None and virtual_now() < refused_since + 45:
             await asyncio.sleep(0.1)
-        cluster.unheard_cancellations = sum(node.zone == worker.machine.zone for worker in cluster.workers.values())
+        cluster.tested_case_count = sum(node.zone == worker.machine.zone for worker in cluster.workers.values())
 
     cluster.schedule_action(refuse_writes)
     return cluster
@@ -335,7 +335,7 @@
         return
     for cluster in clusters:
         raise_first_failure(cluster)
-    assert all(cluster.unheard_cancellations for cluster in clusters if isinstance(cluster, LongTaskCluster))
+    assert all(cluster.tested_case_count for cluster in clusters if isinstance(cluster, LongTaskCluster))
 
 
 # -- acknowledged cancellations of the other controllers ---------------------------------------------
