--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -770,7 +770,7 @@
         self.cancel_requested: set[str] = set()
         self.observed_ends: dict[str, str] = {}
         self.history = OperationHistory()  # every user request that reached a controller, with its answer
-        self.without_request: set[str] = set()  # jobs that other interfaces than user requests submit or cancel
+        self.externally_changed_jobs: set[str] = set()  # jobs that other interfaces than user requests submit or cancel
         self.errors: list[Any] = []
         self.rule_violations: list[RuleViolation] = []
         self.start_count = 0
@@ -1375,7 +1375,7 @@
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
             await asyncio.sleep(0)
-            for violation in violations(self.history.operations, self.without_request):
+            for violation in violations(self.history.operations, self.externally_changed_jobs):
                 self.check_rule(False, str(violation))
 
     def schedule_action(self, act: Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]) -> None:
--- a/tests/simulation/job_dependencies.py
+++ b/tests/simulation/job_dependencies.py
@@ -51,7 +51,7 @@
         self.jobs[job_id] = job
         self.dependencies[job_id] = depends_on
         # It may be cancelled with a job that it depends on, which its own history does not show. See `check_answer`.
-        self.without_request.add(job_id)
+        self.externally_changed_jobs.add(job_id)
         if len(depends_on) > MAX_INLINE_DEPENDENCIES:
             await self.write_job_record(job, depends_on)
         else:
--- a/tests/simulation/linearizability.py
+++ b/tests/simulation/linearizability.py
@@ -77,10 +77,10 @@
         return f"history: {self.rule}: {self.job_id}: {self.description}"
 
 
-def violations(operations: Iterable[Operation], without_request: Collection[str] = ()) -> list[Violation]:
+def violations(operations: Iterable[Operation], externally_changed_jobs: Collection[str] = ()) -> list[Violation]:
     """Answers that no order of the operations explains.
 
-    `without_request`: jobs that other interfaces may submit or cancel too.
+    `externally_changed_jobs`: jobs that other interfaces may submit or cancel too.
     """
     jobs: dict[str, list[Operation]] = defaultdict(list)
     for operation in operations:
@@ -88,16 +88,16 @@
     return [
         Violation(job_id, rule, description)
         for job_id, job_operations in jobs.items()
-        for rule, description in _violations_of_job(job_operations, job_id in without_request)
+        for rule, description in _violations_of_job(job_operations, job_id in externally_changed_jobs)
     ]
 
 
-def _violations_of_job(operations: list[Operation], without_request: bool) -> list[tuple[str, str]]:
+def _violations_of_job(operations: list[Operation], is_externally_changed: bool) -> list[tuple[str, str]]:
     at_stage = {stage: [o for o in operations if o.stage is stage] for stage in Stage}
     showing_job = at_stage[Stage.LIVE] + at_stage[Stage.ENDED]
     created = [o for o in operations if o.status == 201]
     rule_breaks: list[tuple[str, str]] = []
-    if not without_request:
+    if not is_externally_changed:
         rule_breaks += _answer_without_cause("invented", showing_job, [o for o in operations if o.may_accept])
         cancelled = [o for o in at_stage[Stage.ENDED] if o.job_state == "aborted"]
         rule_breaks += _answer_without_cause("cancelled_by_nobody", cancelled, [o for o in operations if o.may_cancel])
--- a/tests/simulation/user_faults.py
+++ b/tests/simulation/user_faults.py
@@ -113,7 +113,7 @@
     if draw < 0.04 and job_id in cluster.accepted_jobs:
         await cancel_until_answered(cluster, job_id, controller)
         return
-    if draw < 0.3 and job_id not in cluster.without_request:
+    if draw < 0.3 and job_id not in cluster.externally_changed_jobs:
         _, answer = await request_controller(cluster, controller, "POST", "/submissions", to_wire(cluster.jobs[job_id]))
     else:
         _, answer = await request_controller(cluster, controller, "GET", f"/submissions/{job_id}")
@@ -132,7 +132,7 @@
 
 
 async def _repeat_unfinished(cluster: "SimulatedCluster") -> None:
-    jobs = [job for job in unfinished_jobs(cluster) if job not in cluster.without_request]
+    jobs = [job for job in unfinished_jobs(cluster) if job not in cluster.externally_changed_jobs]
     if jobs:
         job_id = cluster.rng.choice(jobs)
         controller = cluster.rng.choice(cluster.controllers)
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -56,7 +56,7 @@
         self.sent_amendments[amendment["id"]] = amendment
         for step in amendment["steps"]:
             self.jobs.setdefault(step["job"]["name_id"], step["job"])
-            self.without_request.add(step["job"]["name_id"])
+            self.externally_changed_jobs.add(step["job"]["name_id"])
             self.dependencies.setdefault(step["job"]["name_id"], step["after"])
 
     async def submit_amendment(self, amendment: dict[str, Any], timeout_s: float = 60.0) -> int:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -91,7 +91,7 @@
     poll_of_other_job = Operation(POLL, "j-2", 5, 6, 404)
     assert violations([ACCEPTED, poll_of_other_job]) == []
     step_history = [operation(POLL, 1, 2, 200, "queued"), operation(POLL, 3, 4, 200, "aborted")]
-    assert violations(step_history, without_request={"j-1"}) == []
+    assert violations(step_history, externally_changed_jobs={"j-1"}) == []
     assert {violation.rule for violation in violations(step_history)} == {"invented", "cancelled_by_nobody"}
 
 
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -368,7 +368,7 @@
             seed, is_calm=True, controller_count=2, versions=[production()] * 2, restart_delay_range_s=(3.0, 4.0)
         )
         self.record = record
-        self.without_request.add(DEPENDENT_JOB)  # the test stores its record; no user submits it
+        self.externally_changed_jobs.add(DEPENDENT_JOB)  # the test stores its record; no user submits it
         self.answers: list[tuple[float, int, dict[str, Any]]] = []
         self.start_times: list[float] = []
         self.upgrade_begins_at, self.upgraded_at = 45.0, 0.0
