--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -37,7 +37,7 @@
 # No run command goes to a machine that nothing has reached for this long: two unanswered queries, a lost answer.
 UNREACHABLE_AFTER_S = 9.0
 BASIC_FAULTS = ["crash", "crash", "roll", "all", "outage", "alone", "hang", "die", "recall", "cut", "sick", "slow"]
-# Faults that also occurred in production.
+# The basic faults, and faults that were added later, as on-call engineers had met them.
 EXTENDED_FAULTS = [*BASIC_FAULTS, "paused", "paused", "partly", "partly", "partly", "boots", "lag"]
 # One-way partitions, duplicated heartbeats, isolated controllers and machines that restart in place.
 PARTIAL_PARTITION_FAULTS = [
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -39,8 +39,8 @@
 class FaultSchedule:
     seed: int
     events: tuple[tuple[float, str], ...]  # when each fault begins
-    controllers: int = 3
-    jobs: int = 25
+    controller_count: int = 3
+    job_count: int = 25
     quiet_s: float = 0.0  # length of the period without faults at the end
 
     @staticmethod
@@ -49,9 +49,9 @@
         fault_names = rng.sample(FAULT_NAMES, rng.choice([2, 2, 3]))
         round_starts = [12.0 + ROUND_INTERVAL_S * n for n in range(FAULT_ROUNDS)]
         events = [(start + rng.uniform(0, 4.0), fault) for start in round_starts for fault in fault_names]
-        controllers = rng.choice([2, 3, 3, 3, 5])
+        controller_count = rng.choice([2, 3, 3, 3, 5])
         quiet_s = QUIET_S if rng.random() < QUIET_DAY_PROBABILITY else 0.0
-        return FaultSchedule(seed, tuple(sorted(events)), controllers, quiet_s=quiet_s)
+        return FaultSchedule(seed, tuple(sorted(events)), controller_count, quiet_s=quiet_s)
 
     def run(self) -> "FaultCombinationCluster":
         return FaultCombinationCluster(self).run_schedule()
@@ -64,7 +64,7 @@
         super().__init__(
             schedule.seed,
             is_calm=True,
-            controller_count=schedule.controllers,
+            controller_count=schedule.controller_count,
             restart_delay_range_s=(0.1, 2.5),
             max_clock_skew_s=0.5,
         )
@@ -87,7 +87,7 @@
             self.fault_spans.append((started_at, virtual_now(), fault))
 
     def run_schedule(self) -> "FaultCombinationCluster":
-        self.run(DAY_LENGTH_S + self.schedule.quiet_s, self.schedule.jobs)
+        self.run(DAY_LENGTH_S + self.schedule.quiet_s, self.schedule.job_count)
         return self
 
     @property
@@ -193,10 +193,14 @@
 
 
 def is_caught(
-    make_cluster: Callable[[int], SimulatedCluster], seeds: range, rule_name: str, length_s: float = 80, jobs: int = 14
+    make_cluster: Callable[[int], SimulatedCluster],
+    seeds: range,
+    rule_name: str,
+    length_s: float = 80,
+    job_count: int = 14,
 ) -> bool:
     for seed in seeds:
-        cluster = make_cluster(seed).run(length_s=length_s, job_count=jobs)
+        cluster = make_cluster(seed).run(length_s=length_s, job_count=job_count)
         is_cancel_late = isinstance(cluster, LongTaskCluster) and any(
             last_seen_at - cluster.cancelled_at[job_id] > cluster.cancel_deadline_s - 1.9
             for job_id, last_seen_at in cluster.last_seen_running.items()
