--- a/benchmarks/fleet_replacement.py
+++ b/benchmarks/fleet_replacement.py
@@ -51,7 +51,7 @@
         deadline=timedelta(hours=1),
         budgets=[DisruptionBudget(share=max_disrupted_share)],
     )
-    cluster = BenchmarkFleet(seed, operator_config, max_disrupted_share, is_calm=True, scale=scale)
+    cluster = BenchmarkFleet(seed, operator_config, max_disrupted_share, without_random_faults=True, scale=scale)
     results: list[tuple[float, float, int, int, int]] = []
 
     async def drain_fleet(cluster: BenchmarkFleet) -> None:
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -735,7 +735,7 @@
         self,
         seed: int,
         operator_config: OperatorConfig | None = None,
-        is_calm: bool = False,
+        without_random_faults: bool = False,
         faults: list[str] | None = None,
         write_rps: float = 100.0,
         scale: int = 1,
@@ -760,7 +760,8 @@
         self.seed = seed
         self.rng = random.Random(seed)
         self.operator_config = operator_config or OperatorConfig()
-        self.is_calm = is_calm
+        # Draws no faults, and loses and delays no messages at random; tests may still inject faults.
+        self.without_random_faults = without_random_faults
         self.faults = faults or BASIC_FAULTS
         self.jobs: dict[str, dict[str, Any]] = {}
         self.workers: dict[str, SimulatedWorker] = {}
@@ -890,7 +891,7 @@
             self.spawn(self.deliver_late(deliver, 12.0 if path == "/txn" else 16.0))
             await asyncio.sleep(timeout.total_seconds())
             raise Unreachable("delayed; delivered later")
-        if not self.is_calm and not path.startswith("/watch"):
+        if not self.without_random_faults and not path.startswith("/watch"):
             if fault_draw < 0.01:
                 await asyncio.sleep(timeout.total_seconds())
                 raise Unreachable("request lost")
@@ -1085,7 +1086,7 @@
             return 0, {}
         controller = self.rng.choice(running_controllers)
         await asyncio.sleep(self.rng.uniform(0.001, 0.02))
-        loses_answer = not self.is_calm and self.rng.random() < 0.03
+        loses_answer = not self.without_random_faults and self.rng.random() < 0.03
         raw = orjson.dumps(body) if body else b""
         try:
             async with asyncio.timeout(5.0):
@@ -1357,7 +1358,7 @@
                 self.cloud.rent_machine("cpu", zone, False)
             self.spawn(self.check_continuously())
             self.spawn(self.query_unknown_jobs())
-            if not self.is_calm:
+            if not self.without_random_faults:
                 self.spawn(self.inject_faults())
             for action in self.scheduled_actions:
                 self.spawn(action(self))
--- a/tests/simulation/eviction.py
+++ b/tests/simulation/eviction.py
@@ -142,13 +142,13 @@
         ]
         is_partitioned = any(w.machine.zone in self.partitioned_zones for w in self.workers.values())
         self.check_rule(
-            not still_running_on or is_partitioned or self.has_faults,
+            not still_running_on or is_partitioned or self.has_random_faults,
             f"half a gang: {job_id} still runs on {still_running_on}",
         )
 
     @property
-    def has_faults(self) -> bool:
-        return not self.is_calm
+    def has_random_faults(self) -> bool:
+        return not self.without_random_faults
 
     async def _watch_tasks(self) -> None:
         while True:
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -63,7 +63,7 @@
     def __init__(self, schedule: FaultSchedule) -> None:
         super().__init__(
             schedule.seed,
-            is_calm=True,
+            without_random_faults=True,
             controller_count=schedule.controller_count,
             restart_delay_range_s=(0.1, 2.5),
             max_clock_skew_s=0.5,
@@ -110,7 +110,7 @@
     """Small jobs with long tasks, which only users stop; records when tasks of cancelled jobs were last active."""
 
     def __init__(self, seed: int, **options: Any) -> None:
-        super().__init__(seed, is_calm=True, **options)
+        super().__init__(seed, without_random_faults=True, **options)
         self.last_seen_running: dict[str, float] = {}
         self.accepted_at: dict[str, float] = {}
         # How often the case under test arose, such as a cancellation unknown to a leader that workers could reach.
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -143,7 +143,7 @@
         super().__init__(
             seed,
             config,
-            is_calm=True,
+            without_random_faults=True,
             controller_count=2,
             versions=[production(), PRESENT],
             restart_delay_range_s=(4.0, 5.0),
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -45,7 +45,7 @@
                 response = await controller.serve_peer("POST", "/chains", request_body)
         except TimeoutError:
             return 0, {}
-        if response is None or (not self.is_calm and self.rng.random() < 0.03):
+        if response is None or (not self.without_random_faults and self.rng.random() < 0.03):
             return 0, {}
         return response.status, orjson.loads(response.body)
 
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -206,7 +206,7 @@
     """An array of the same team fills the place before a landing that is promised for soon after."""
 
     def __init__(self, seed: int, operator_config: OperatorConfig, landing: int = 12, **more: Any) -> None:
-        super().__init__(seed, operator_config, **({"is_calm": True, "scale": 1} | more))
+        super().__init__(seed, operator_config, **({"without_random_faults": True, "scale": 1} | more))
         self.registry.run_time_range_s = (1.0, 2.0)
         self.landing = landing
         self.fillers = 10
@@ -317,7 +317,11 @@
 def test_rough_nights_break_no_rule_and_are_told_as_the_world_knows_them(seed: int) -> None:
     cluster = watched(
         Landings(
-            seed, promised(time(0, 1, 30)), is_calm=False, faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS], scale=2
+            seed,
+            promised(time(0, 1, 30)),
+            without_random_faults=False,
+            faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS],
+            scale=2,
         )
     )
     wrong: list[str] = []
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -252,7 +252,7 @@
 
 def run_with_store(scenario: Any) -> None:
     async def main() -> None:
-        cluster = SimulatedCluster(1, is_calm=True)
+        cluster = SimulatedCluster(1, without_random_faults=True)
         cluster.kv_store, cluster.controllers = SimulatedKeyValueStore(cluster), []
         node = SimulatedController(cluster, 0)
         with virtual_wall_clock():
@@ -420,7 +420,7 @@
         raise ZeroDivisionError("injected")
 
     monkeypatch.setattr(ScalingPlanner, "plan", raise_error)
-    cluster = SimulatedCluster(77, operator_config=predictive_scaling_config(), is_calm=True)
+    cluster = SimulatedCluster(77, operator_config=predictive_scaling_config(), without_random_faults=True)
     statuses: list[Any] = []
 
     async def record_status(cluster: SimulatedCluster) -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -186,7 +186,7 @@
 
 
 def test_pipelines_run_in_dependency_order_and_end() -> None:
-    cluster = DependencyCluster(8800, is_calm=True)
+    cluster = DependencyCluster(8800, without_random_faults=True)
     cluster.schedule_action(submit_pipelines(8, 20))
     raise_first_failure(cluster.run(length_s=90, job_count=3))
     assert len(cluster.dependencies) > 20 and cluster.jobs_without_observed_end() == []
@@ -196,7 +196,7 @@
 
 
 def test_dependents_of_a_cancelled_job_are_cancelled_and_never_start() -> None:
-    cluster = DependencyCluster(8810, is_calm=True)
+    cluster = DependencyCluster(8810, without_random_faults=True)
     cluster.schedule_action(submit_pipelines(8, 20, cancel_probability=1.0, guess_s=13.0))
     raise_first_failure(cluster.run(length_s=150, job_count=3))
     cancelled = {
@@ -221,7 +221,7 @@
 
 @pytest.mark.parametrize("seed", range(8840, 8846))
 def test_leader_crashes_cause_no_early_release_and_no_lost_cancellation(seed: int) -> None:
-    cluster = DependencyCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 1.0))
+    cluster = DependencyCluster(seed, without_random_faults=True, restart_delay_range_s=(0.1, 1.0))
     cluster.schedule_action(submit_pipelines(8, 30, cancel_probability=0.5))
 
     async def crash_leaders(_: SimulatedCluster) -> None:
@@ -236,7 +236,7 @@
 
 
 def test_late_writes_across_leader_changes_cause_no_early_release() -> None:
-    cluster = DependencyCluster(8850, is_calm=True, restart_delay_range_s=(0.1, 1.0))
+    cluster = DependencyCluster(8850, without_random_faults=True, restart_delay_range_s=(0.1, 1.0))
     cluster.schedule_action(submit_pipelines(10, 40, cancel_probability=0.4))
 
     async def scenario(_: SimulatedCluster) -> None:
@@ -260,7 +260,7 @@
 
 
 def test_cancellation_reaches_present_and_later_dependents() -> None:
-    cluster = DependencyCluster(8811, is_calm=True)
+    cluster = DependencyCluster(8811, without_random_faults=True)
     jobs: list[str] = []
 
     async def scenario(_: SimulatedCluster) -> None:
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("restarted", ["", "leader", "all"])
 def test_store_outage_after_a_cancel_delays_ends_and_starts_no_dependent(restarted: str) -> None:
-    cluster = DependencyCluster(8812, is_calm=True, restart_delay_range_s=(0.1, 1.0))
+    cluster = DependencyCluster(8812, without_random_faults=True, restart_delay_range_s=(0.1, 1.0))
     jobs: list[str] = []
 
     async def scenario(_: SimulatedCluster) -> None:
@@ -321,7 +321,7 @@
 
 
 def test_cancelled_pipeline_of_1000_jobs_is_ended_with_spare_write_capacity() -> None:
-    cluster = DependencyCluster(8813, is_calm=True, write_rps=21.0, txn_ops=8, value_kb=2.0)
+    cluster = DependencyCluster(8813, without_random_faults=True, write_rps=21.0, txn_ops=8, value_kb=2.0)
     jobs: list[str] = []
     live_counts: list[tuple[int, int]] = []
 
@@ -359,7 +359,7 @@
 
 
 def test_submission_may_depend_on_a_workflow_step() -> None:
-    cluster = WorkflowDependencyCluster(8814, is_calm=True)
+    cluster = WorkflowDependencyCluster(8814, without_random_faults=True)
     cluster.schedule_action(cluster.watch_viewer)
     dependents: list[str] = []
 
@@ -660,7 +660,7 @@
 
 def make_cluster_with_leader_restarts(seed: int) -> DependencyCluster:
     """Pipelines, half of them cancelled at their root, while the store is slow and each leader is restarted."""
-    cluster = DependencyCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 1.0))
+    cluster = DependencyCluster(seed, without_random_faults=True, restart_delay_range_s=(0.1, 1.0))
     cluster.schedule_action(submit_pipelines(8, 30, cancel_probability=0.5))
 
     async def restart_leaders(cluster: SimulatedCluster) -> None:
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -45,7 +45,7 @@
     """The submission handlers of two nodes on one key-value store, without a leader: only the test ends jobs."""
 
     def __init__(self, txn_ops: int = 24, value_kb: float = 8.0, rps: float = 200.0, page_items: int = 1000) -> None:
-        self.cluster = SimulatedCluster(1, is_calm=True)
+        self.cluster = SimulatedCluster(1, without_random_faults=True)
         self.cluster.txn_ops, self.cluster.value_kb = txn_ops, value_kb
         self.kv_store = SimulatedKeyValueStore(self.cluster)
         self.kv_store.max_page_items = page_items
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -31,7 +31,7 @@
 
 
 async def serve_on_loopback(tmp_path: Path) -> None:
-    cluster = SimulatedCluster(1, is_calm=True)
+    cluster = SimulatedCluster(1, without_random_faults=True)
     cluster.kv_store, cluster.cloud, cluster.controllers = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster), []
 
     async def serve_store(request: Request) -> Response:
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -52,7 +52,7 @@
 
 def world_of(seed: int, older: float | None = None, calm: bool = True, **more: Any) -> EvictionCluster:
     more = {"scale": 2} | more
-    return EvictionCluster(seed, tuning(older), SHARE, is_calm=calm, **more)
+    return EvictionCluster(seed, tuning(older), SHARE, without_random_faults=calm, **more)
 
 
 def test_quiet_day_replaces_the_fleet_within_budgets() -> None:
@@ -515,6 +515,6 @@
 def test_a_day_without_drains_costs_the_state_service_nothing() -> None:
     settings = OperatorConfig()
     settings.rebalancing.move = "off"
-    cluster = SimulatedCluster(22_950, settings, is_calm=True)
+    cluster = SimulatedCluster(22_950, settings, without_random_faults=True)
     raise_first_failure(cluster.run(length_s=60, job_count=10))
     assert not any(key.startswith("drain/") for key in cluster.kv_store.keys)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -74,7 +74,7 @@
     failures: list[str] = []
     for seed in range(7770, 7774):
         # Small values: the two amendments are stored on different pages.
-        cluster = WorkflowCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 0.5), value_kb=2.0)
+        cluster = WorkflowCluster(seed, without_random_faults=True, restart_delay_range_s=(0.1, 0.5), value_kb=2.0)
         cluster.registry.run_time_range_s = (2.0, 6.0)
         states: list[str] = []
 
@@ -118,7 +118,9 @@
 
 def cluster_with_failovers(seed: int) -> SimulatedCluster:
     """Repeated failovers: a paused leader, a restart of all controllers, a leader that the store refuses."""
-    cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5)
+    cluster = SimulatedCluster(
+        seed, without_random_faults=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5
+    )
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(10)
@@ -249,7 +251,7 @@
 
 def cluster_with_old_heartbeats(seed: int) -> SimulatedCluster:
     """Every heartbeat is delivered again, up to five lease durations late, while leases expire and leaders change."""
-    cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 1.0))
+    cluster = SimulatedCluster(seed, without_random_faults=True, restart_delay_range_s=(0.1, 1.0))
     cluster.heartbeat_duplication_count = 1
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -296,7 +298,7 @@
 
 
 def cluster_with_polling_users(seed: int) -> tuple[SimulatedCluster, list[Any]]:
-    cluster = SimulatedCluster(seed, is_calm=True, controller_count=3 if seed % 2 else 5)
+    cluster = SimulatedCluster(seed, without_random_faults=True, controller_count=3 if seed % 2 else 5)
     polling_users = schedule_polling_users(cluster, 72.0)
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -411,7 +413,7 @@
 
 def cluster_with_late_commands(seed: int) -> SimulatedCluster:
     """Direct commands and probes arrive 2 to 12 s late, also at machines that hung, while gangs are stopped."""
-    cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
+    cluster = SimulatedCluster(seed, without_random_faults=True, restart_delay_range_s=(0.2, 1.0))
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(10)
@@ -507,7 +509,7 @@
 
 
 def test_unreadable_leader_key_stops_no_controller() -> None:
-    cluster = SimulatedCluster(7840, is_calm=True)
+    cluster = SimulatedCluster(7840, without_random_faults=True)
 
     async def corrupt_leader_key(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(20)
@@ -549,13 +551,15 @@
 
 
 def cluster_with_delivery_deadlines(seed: int) -> SimulatedCluster:
-    cluster = watch_workflows(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=ALL_FAULTS, scale=2))
+    cluster = watch_workflows(
+        Landings(seed, promised(time(0, 1, 30)), without_random_faults=False, faults=ALL_FAULTS, scale=2)
+    )
     cluster.schedule_action(cluster.night)
     return cluster
 
 
 def cluster_with_rebalancing(seed: int) -> SimulatedCluster:
-    cluster = Pieces(seed, rebalancing_config(0.3), 0.3, is_calm=False, faults=ALL_FAULTS)
+    cluster = Pieces(seed, rebalancing_config(0.3), 0.3, without_random_faults=False, faults=ALL_FAULTS)
     cluster.schedule_action(cluster.story)
     return cluster
 
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -53,7 +53,7 @@
             if node.service is None:
                 node.start()
         cluster.partitioned_zones.clear()
-        cluster.is_calm = True
+        cluster.without_random_faults = True
 
     cluster.schedule_action(end_all_faults)
     raise_first_failure(cluster.run(length_s=130, job_count=40))
@@ -73,7 +73,7 @@
     """
     if stays_healthy:
         monkeypatch.setattr(StoreIsolationDetector, "evaluate_failing", lambda self, *args, **more: False)
-    cluster = SimulatedCluster(7600, is_calm=True)
+    cluster = SimulatedCluster(7600, without_random_faults=True)
     pollers = schedule_polling_users(cluster, 25.0)
 
     async def isolate_followers(cluster: SimulatedCluster) -> None:
@@ -97,7 +97,7 @@
 
 def test_flood_of_polls_leaves_no_ended_job_unanswered() -> None:
     """Each poll of an ended or unknown job takes a read, so a flood of polls can use up the read budget."""
-    cluster = SimulatedCluster(7601, is_calm=True, params_override=None)
+    cluster = SimulatedCluster(7601, without_random_faults=True, params_override=None)
     pollers = schedule_polling_users(cluster, 0.0)
     refusals: list[int] = []
 
@@ -127,7 +127,7 @@
 
 
 def test_job_with_an_unreadable_record_is_held_and_other_jobs_run() -> None:
-    cluster = SimulatedCluster(7602, is_calm=True)
+    cluster = SimulatedCluster(7602, without_random_faults=True)
     observed: list[object] = []
 
     async def corrupt_job_record(cluster: SimulatedCluster) -> None:
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -169,7 +169,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.cluster = SimulatedCluster(seed, is_calm=True)
+        self.cluster = SimulatedCluster(seed, without_random_faults=True)
         self.simulated_store = SimulatedKeyValueStore(self.cluster)
         self.settings = make_settings(0).params.kv_store
         self.transaction_limits = TransactionLimits(self.settings)
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -101,7 +101,7 @@
     """One machine receives nothing for `partition_s`. All jobs are arrays that a few machines finish in seconds."""
 
     def __init__(self, seed: int, partition_s: float, controller_count: int = 3) -> None:
-        super().__init__(seed, is_calm=True, controller_count=controller_count)
+        super().__init__(seed, without_random_faults=True, controller_count=controller_count)
         self.partition_s = partition_s
         self.submitted_at: dict[str, float] = {}
         self.task_counts: list[int] = []  # the number of tasks on the machine when its partition began
@@ -145,7 +145,7 @@
 
 
 def test_leader_whose_answers_are_lost_resigns_before_leases_expire() -> None:
-    cluster = SimulatedCluster(7311, is_calm=True)
+    cluster = SimulatedCluster(7311, without_random_faults=True)
     leaders: list[str] = []
 
     async def lose_answers(cluster: SimulatedCluster) -> None:
@@ -240,7 +240,7 @@
 @pytest.mark.parametrize("controller_count", [3, 5])
 def test_leader_without_store_and_peers_resigns_and_is_unhealthy(fault: str, controller_count: int) -> None:
     """If the isolated leader answered its workers for the whole hold-over, no task could start in that time."""
-    cluster = SimulatedCluster(7320, is_calm=True, controller_count=controller_count)
+    cluster = SimulatedCluster(7320, without_random_faults=True, controller_count=controller_count)
     observed: dict[str, object] = {}
 
     async def isolate_leader(cluster: SimulatedCluster) -> None:
@@ -275,7 +275,7 @@
 
 
 def test_leader_keeps_workers_in_outage_with_unreachable_peers() -> None:
-    cluster = SimulatedCluster(7321, is_calm=True)
+    cluster = SimulatedCluster(7321, without_random_faults=True)
     incarnations: list[int] = []
     has_searched_and_returned: list[bool] = []
 
@@ -309,7 +309,7 @@
 
 
 def test_machine_restarted_at_once_has_no_tasks_and_runs_new_ones() -> None:
-    cluster = SimulatedCluster(7330, is_calm=True)
+    cluster = SimulatedCluster(7330, without_random_faults=True)
     restarted_machines: list[str] = []
 
     async def restart_busy_machines(cluster: SimulatedCluster) -> None:
@@ -347,7 +347,9 @@
 @pytest.mark.parametrize("restart_delay_s", [0.05, 0.6])
 def test_candidate_that_restarts_at_election_step_is_soon_replaced(step: str, restart_delay_s: float) -> None:
     """The simulated cluster checks at every event that no term is used twice."""
-    cluster = SimulatedCluster(7340, is_calm=True, restart_delay_range_s=(restart_delay_s, restart_delay_s))
+    cluster = SimulatedCluster(
+        7340, without_random_faults=True, restart_delay_range_s=(restart_delay_s, restart_delay_s)
+    )
     step_path, is_applied, step_text = STEPS[step]
     restarted: list[str] = []
     gaps_s: list[float] = []
@@ -384,7 +386,7 @@
 
 
 def test_leader_is_elected_soon_after_two_candidates_restart_in_turn() -> None:
-    cluster = SimulatedCluster(7350, is_calm=True, restart_delay_range_s=(0.1, 0.3), controller_count=2)
+    cluster = SimulatedCluster(7350, without_random_faults=True, restart_delay_range_s=(0.1, 0.3), controller_count=2)
     gaps_s: list[float] = []
 
     async def restart_in_turn(cluster: SimulatedCluster) -> None:
@@ -449,7 +451,7 @@
     """Leaders restart in turn while every heartbeat is replayed; there is no reason to stop any task."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
+        super().__init__(seed, without_random_faults=True, restart_delay_range_s=(0.2, 1.0))
         self.stopped: list[str] = []
         self.heartbeat_duplication_count = 1
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -309,7 +309,7 @@
     """Two zones of two GPU machines each, full of small services of which some leave: large ones fit in total only."""
 
     def __init__(self, seed: int, settings: OperatorConfig, max_disrupted_share: float = 0.5, **more: Any) -> None:
-        super().__init__(seed, settings, max_disrupted_share, scale=2, **({"is_calm": True} | more))
+        super().__init__(seed, settings, max_disrupted_share, scale=2, **({"without_random_faults": True} | more))
         self.team_gpu_limit = None
         teams = [{"name": "t0"}, {"name": "t1"}, {"name": "guest"}]
         self.params_override = {**(self.params_override or {}), **_params(teams)}
@@ -459,7 +459,7 @@
 def test_rough_days_with_moves_break_no_rule_and_pass_no_budget(seed: int) -> None:
     from tests.simulation.cluster import EXTENDED_FAULTS
 
-    cluster = Pieces(seed, tuning(0.3), 0.3, is_calm=False, faults=EXTENDED_FAULTS)
+    cluster = Pieces(seed, tuning(0.3), 0.3, without_random_faults=False, faults=EXTENDED_FAULTS)
     cluster.schedule_action(cluster.story)
     raise_first_failure(cluster.run(length_s=110, job_count=10))
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -86,7 +86,11 @@
 @pytest.mark.parametrize("restart_count", [1, 10])
 def test_controller_restarted_in_any_phase_recovers_without_lease_wait(phase: str, restart_count: int) -> None:
     cluster = SimulatedCluster(
-        7200 + restart_count, is_calm=True, max_clock_skew_s=0.5, restart_delay_range_s=RESTART_DELAY_RANGE_S, scale=3
+        7200 + restart_count,
+        without_random_faults=True,
+        max_clock_skew_s=0.5,
+        restart_delay_range_s=RESTART_DELAY_RANGE_S,
+        scale=3,
     )
     restarted_nodes: list[str] = []
     leaderless_s: list[float] = []
@@ -127,7 +131,9 @@
 @pytest.mark.parametrize("restart_delay_s", [0.05, 0.2, 0.8])
 def test_leader_is_ready_within_half_a_second_of_a_restart(restarted: str, restart_delay_s: float) -> None:
     """A restarted leader that waits for the 2.5 s lease of its earlier process redirects workers meanwhile."""
-    cluster = SimulatedCluster(7210, is_calm=True, restart_delay_range_s=(restart_delay_s, restart_delay_s))
+    cluster = SimulatedCluster(
+        7210, without_random_faults=True, restart_delay_range_s=(restart_delay_s, restart_delay_s)
+    )
     leaderless_s: list[float] = []
     terms: list[int] = []
 
@@ -152,7 +158,7 @@
 
 def test_crash_looping_controller_causes_no_further_elections() -> None:
     """One controller crashes 0.3 s after each start, fifty times: it never leads again while others run."""
-    cluster = SimulatedCluster(7220, is_calm=True, restart_delay_range_s=(0.05, 0.05))
+    cluster = SimulatedCluster(7220, without_random_faults=True, restart_delay_range_s=(0.05, 0.05))
     terms: list[int] = []
     store_changes: list[int] = []
 
@@ -180,7 +186,7 @@
 
 def test_crash_looping_controllers_elect_at_a_bounded_rate() -> None:
     """Each controller crashes 0.3 to 0.7 s after its start: at most four elections a second, then recovery."""
-    cluster = SimulatedCluster(7221, is_calm=True, restart_delay_range_s=(0.05, 0.2))
+    cluster = SimulatedCluster(7221, without_random_faults=True, restart_delay_range_s=(0.05, 0.2))
     terms: list[int] = []
     ended_at: list[float] = []
     leaderless_s: list[float] = []
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -30,8 +30,10 @@
 
 
 @pytest.mark.parametrize("controllers", [3, 5])
-def test_users_are_answered_throughout_a_calm_rolling_upgrade(controllers: int) -> None:
-    cluster = RollingUpgradeCluster(7900 + controllers, is_calm=True, controller_count=controllers).run_day_to_end()
+def test_users_are_answered_throughout_rolling_upgrade_without_faults(controllers: int) -> None:
+    cluster = RollingUpgradeCluster(
+        7900 + controllers, without_random_faults=True, controller_count=controllers
+    ).run_day_to_end()
     cluster.check_outcome()
     statuses_during_roll = [
         status
@@ -93,7 +95,9 @@
 def kill_leader(
     seed: int, versions: list[Version], restart_delay_range_s: tuple[float, float], restart_version: Version
 ) -> Succession:
-    cluster = SimulatedCluster(seed, is_calm=True, versions=versions, restart_delay_range_s=restart_delay_range_s)
+    cluster = SimulatedCluster(
+        seed, without_random_faults=True, versions=versions, restart_delay_range_s=restart_delay_range_s
+    )
     successions: list[Succession] = []
 
     async def kill(cluster: SimulatedCluster) -> None:
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -88,7 +88,7 @@
 
 def test_rejected_requests_are_counted_by_team_and_class() -> None:
     """A best-effort team's requests beyond its share get 429 on any node, and the leader counts them all."""
-    cluster = SimulatedCluster(9450, is_calm=True, write_rps=20.0)
+    cluster = SimulatedCluster(9450, without_random_faults=True, write_rps=20.0)
     levels_by_class: list[dict[str, ServiceLevel]] = []
     answers: Counter[int] = Counter()
 
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("fault", ["leader", "all", "roll", "refused", "outage", "peers", "state", "workers"])
 def test_controller_failures_lose_no_healthy_replica(fault: str) -> None:
-    cluster = ServiceCluster(9600, is_calm=True)
+    cluster = ServiceCluster(9600, without_random_faults=True)
     attempts_before: dict[tuple[str, int], int] = {}
 
     def replica_attempts() -> dict[tuple[str, int], int]:
@@ -143,7 +143,7 @@
 
 def test_lost_replicas_restart_before_lower_priority_jobs() -> None:
     """A third of the machines of a full fleet fails: replicas are placed again first, spread over zones as required."""
-    cluster = ServiceCluster(9601, is_calm=True)
+    cluster = ServiceCluster(9601, without_random_faults=True)
 
     async def fail_third_of_machines(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
--- a/tests/test_simulated_days.py
+++ b/tests/test_simulated_days.py
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("other_links", [[], ["peers"], ["peers", "cloud"]], ids=str)
 def test_leader_unreachable_for_workers_resigns_before_their_leases_expire(fault: str, other_links: list[str]) -> None:
     """A leader without its workers must not keep its lease in the key-value store until the workers' leases expire."""
-    cluster = SimulatedCluster(7003, is_calm=True)
+    cluster = SimulatedCluster(7003, without_random_faults=True)
     incarnations: list[dict[str, int]] = []
     leaders: list[str] = []
 
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("affected", ["all controllers", "zone", "workers"])
 def test_leader_stays_when_no_other_controller_reaches_the_workers(affected: str) -> None:
-    cluster = SimulatedCluster(7004, is_calm=True)
+    cluster = SimulatedCluster(7004, without_random_faults=True)
 
     async def lose_workers(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(30)
@@ -116,7 +116,7 @@
 
 
 def test_controller_unreachable_for_workers_lets_others_be_elected() -> None:
-    cluster = SimulatedCluster(7005, is_calm=True)
+    cluster = SimulatedCluster(7005, without_random_faults=True)
     leaders: list[str] = []
 
     async def crash_second_leader(cluster: SimulatedCluster) -> None:
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("is_leader", [True, False])
 def test_paused_controller_resumes_without_harm(pause_s: float, is_leader: bool) -> None:
     """On resuming, the controller gets all delayed messages at once; its old term gives it no authority."""
-    cluster = SimulatedCluster(7006, is_calm=True)
+    cluster = SimulatedCluster(7006, without_random_faults=True)
     gaps_s: list[float] = []
 
     async def pause_controller(cluster: SimulatedCluster) -> None:
@@ -175,7 +175,7 @@
 
 def test_leader_cut_off_from_store_resigns() -> None:
     """The leader may answer heartbeats for the hold-over, but learns of its successor from a peer long before."""
-    cluster = SimulatedCluster(7000, is_calm=True)
+    cluster = SimulatedCluster(7000, without_random_faults=True)
     gaps_s: list[float] = []
 
     async def lose_store(cluster: SimulatedCluster) -> None:
@@ -197,7 +197,7 @@
 
 
 def test_only_controller_cut_off_from_store_alone_is_unhealthy() -> None:
-    cluster = SimulatedCluster(7001, is_calm=True)
+    cluster = SimulatedCluster(7001, without_random_faults=True)
     statuses: list[list[int]] = []
 
     async def health_statuses(cluster: SimulatedCluster) -> list[int]:
@@ -223,7 +223,7 @@
 
 
 def test_flood_of_invalid_requests_delays_no_heartbeat_or_lease_renewal() -> None:
-    cluster = SimulatedCluster(7002, is_calm=True)
+    cluster = SimulatedCluster(7002, without_random_faults=True)
     statuses: dict[str, set[int]] = {}
     latencies_s: list[float] = []
 
@@ -302,7 +302,7 @@
 @pytest.mark.parametrize("fault", ["die", "hang"])
 @pytest.mark.parametrize("step", ["lost", "elected", "recovering", "ready", "heartbeat", "placed"])
 def test_third_of_machines_fails_at_any_failover_step(step: str, fault: str) -> None:
-    cluster = SimulatedCluster(7100, is_calm=True, scale=6)
+    cluster = SimulatedCluster(7100, without_random_faults=True, scale=6)
     failed_counts: list[int] = []
 
     async def fail_machines(cluster: SimulatedCluster) -> None:
@@ -336,7 +336,7 @@
     """Generates only jobs that the machines can hold."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, is_calm=True)
+        super().__init__(seed, without_random_faults=True)
         self.submitted_at: dict[str, float] = {}
 
     def make_job(self) -> dict[str, Any]:
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -283,7 +283,7 @@
 ) -> None:
     monkeypatch.setattr(starvation, "LARGE_JOB_STARVATION_THRESHOLD", seconds(10))
     monkeypatch.setattr(starvation, "STARVATION_THRESHOLD", seconds(18))
-    cluster = StarvationCluster(7900, is_calm=True)
+    cluster = StarvationCluster(7900, without_random_faults=True)
     cluster.schedule_action(cluster.submit_jobs)
     if with_failures:
         cluster.schedule_action(cluster.fail_machines_and_leaders)
@@ -291,7 +291,7 @@
     assert cluster.large_job_starts and cluster.large_job_starts[0] < 8 + 45
     # Without starvation marks the small jobs overtake it for ever.
     monkeypatch.setattr(queue_order, "mark_starving_jobs", lambda *args: None)
-    unprotected_cluster = StarvationCluster(7900, is_calm=True)
+    unprotected_cluster = StarvationCluster(7900, without_random_faults=True)
     unprotected_cluster.schedule_action(unprotected_cluster.submit_jobs)
     raise_first_failure(unprotected_cluster.run(length_s=75, job_count=3))
     assert not unprotected_cluster.large_job_starts
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -510,9 +510,9 @@
 class FallingLimitsCluster(SimulatedCluster):
     """Limits fall at a random time, announced or not; jobs submitted before the last 40 s must end."""
 
-    def __init__(self, seed: int, announced: bool, extra_fault: str = "", is_calm: bool = True) -> None:
+    def __init__(self, seed: int, announced: bool, extra_fault: str = "", without_random_faults: bool = True) -> None:
         state = HIGH_LIMITS | ({"next": LOW_LIMITS} if announced else {})
-        super().__init__(seed, is_calm=is_calm, scale=3, params_override={"state": state})
+        super().__init__(seed, without_random_faults=without_random_faults, scale=3, params_override={"state": state})
         self.extra_fault = extra_fault
         self.schedule_action(lambda _: self._lower_limits())
 
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -212,7 +212,7 @@
 @pytest.mark.parametrize(("key", "expected"), ADDED_KEYS)
 def test_production_handles_added_key_as_expected(key: str, expected: str) -> None:
     """A leader of the production version takes over with a key that a later version may write."""
-    cluster = SimulatedCluster(7800, is_calm=True, controller_count=2, versions=[production()] * 2)
+    cluster = SimulatedCluster(7800, without_random_faults=True, controller_count=2, versions=[production()] * 2)
     outcomes: list[str] = []
 
     def find_leader_term() -> Any:
@@ -258,7 +258,7 @@
 def test_controllers_of_both_versions_answer_each_other(leader: Any) -> None:
     """Two controllers, one of each version, with either as leader: each answers every query of the other."""
     other = PRESENT if leader() is production() else production()
-    cluster = SimulatedCluster(7700, is_calm=True, controller_count=2, versions=[leader(), other])
+    cluster = SimulatedCluster(7700, without_random_faults=True, controller_count=2, versions=[leader(), other])
     verified: list[str] = []
 
     async def query_each_other(cluster: SimulatedCluster) -> None:
@@ -365,7 +365,11 @@
 
     def __init__(self, seed: int, record: dict[str, Any]) -> None:
         super().__init__(
-            seed, is_calm=True, controller_count=2, versions=[production()] * 2, restart_delay_range_s=(3.0, 4.0)
+            seed,
+            without_random_faults=True,
+            controller_count=2,
+            versions=[production()] * 2,
+            restart_delay_range_s=(3.0, 4.0),
         )
         self.record = record
         self.externally_changed_jobs.add(DEPENDENT_JOB)  # the test stores its record; no user submits it
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -53,7 +53,7 @@
 
 def run_scenario(scenario: Scenario) -> None:
     async def main() -> None:
-        cluster = SimulatedCluster(1, is_calm=True)
+        cluster = SimulatedCluster(1, without_random_faults=True)
         cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
         cluster.controllers = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
--- a/tests/test_unconfirmed_writes.py
+++ b/tests/test_unconfirmed_writes.py
@@ -166,7 +166,7 @@
     seed: int, fault_probability: float, draw_outcome: Callable[[Random], str], jobs: int = 160
 ) -> UserWorkload:
     async def main() -> UserWorkload:
-        cluster = SimulatedCluster(seed, is_calm=True, params_override={"state": STORE_LIMITS})
+        cluster = SimulatedCluster(seed, without_random_faults=True, params_override={"state": STORE_LIMITS})
         cluster.kv_store, cluster.cloud = SimulatedKeyValueStore(cluster), SimulatedCloud(cluster)
         cluster.controllers = [SimulatedController(cluster, i) for i in range(3)]
         with virtual_wall_clock():
@@ -294,7 +294,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.simulated_store = SimulatedKeyValueStore(SimulatedCluster(seed, is_calm=True))
+        self.simulated_store = SimulatedKeyValueStore(SimulatedCluster(seed, without_random_faults=True))
         self.simulated_store.commit_transaction({"guards": [], "then": [put(LEADER_KEY, {"term": 1})]})
         self.revision_by_transaction: dict[int, int] = {}  # revision of each committed transaction, by its number
         self.sent_count = 0
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -74,7 +74,7 @@
 
 def cluster_with_concurrent_polls(seed: int) -> SimulatedCluster:
     """Answers of the key-value store are delayed by up to 40 ms, in which a read can become stale."""
-    cluster = SimulatedCluster(seed, is_calm=True, controller_count=3 if seed % 2 else 5)
+    cluster = SimulatedCluster(seed, without_random_faults=True, controller_count=3 if seed % 2 else 5)
     cluster.max_store_delay_s = 0.04
     cluster.schedule_action(lambda cluster: user_faults.concurrent_polls(cluster, 70.0))
     return cluster
@@ -160,7 +160,7 @@
 
 def cluster_with_cancels_during_submission(seed: int) -> SimulatedCluster:
     """Users cancel a job through other controllers while its submission is in progress."""
-    cluster = SimulatedCluster(seed, is_calm=True)
+    cluster = SimulatedCluster(seed, without_random_faults=True)
     cluster.max_store_delay_s = 0.04
 
     async def act(cluster: SimulatedCluster) -> None:
@@ -329,7 +329,9 @@
 
 
 def cluster_with_frequent_failovers(seed: int) -> SimulatedCluster:
-    cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5)
+    cluster = SimulatedCluster(
+        seed, without_random_faults=True, restart_delay_range_s=(0.05, 0.9), max_clock_skew_s=0.5
+    )
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(8)
@@ -372,7 +374,7 @@
 
 
 def cluster_with_invalid_requests(seed: int) -> SimulatedCluster:
-    cluster = SimulatedCluster(seed, is_calm=True, restart_delay_range_s=(0.2, 1.0))
+    cluster = SimulatedCluster(seed, without_random_faults=True, restart_delay_range_s=(0.2, 1.0))
 
     async def act(cluster: SimulatedCluster) -> None:
         await asyncio.sleep(5)
@@ -923,7 +925,7 @@
 def cluster_with_workflows(seed: int, write_type: str) -> tuple[WorkflowCluster, list[str]]:
     cluster: WorkflowCluster
     if write_type == "workflows":
-        cluster = WorkflowCluster(seed, is_calm=True, restart_delay_range_s=(0.1, 0.5))
+        cluster = WorkflowCluster(seed, without_random_faults=True, restart_delay_range_s=(0.1, 0.5))
         cluster.registry.run_time_range_s = (1.0, 3.0)
         cluster.schedule_action(cluster.watch_viewer)
         cluster.schedule_action(lambda _: submit_ten_amendments(cluster))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,7 +44,7 @@
 
 def test_cluster_of_production_version_runs_no_other_version() -> None:
     production_version = production()
-    cluster = SimulatedCluster(1, is_calm=True, versions=[production_version] * 3)
+    cluster = SimulatedCluster(1, without_random_faults=True, versions=[production_version] * 3)
     cluster.run(length_s=20, job_count=8)
     assert not cluster.errors and not cluster.rule_violations
     assert {type(service) for service in cluster.leader_by_term.values()} == {
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -146,7 +146,7 @@
 
 
 def test_a_chain_is_taken_whole_and_its_steps_are_known_and_wait_for_their_turn() -> None:
-    cluster = watched(WorkflowCluster(7700, is_calm=True))
+    cluster = watched(WorkflowCluster(7700, without_random_faults=True))
     told: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
@@ -182,7 +182,7 @@
 
 
 def test_what_waits_takes_no_quota_and_what_it_follows_is_durable_before_it_starts() -> None:
-    cluster = watched(WorkflowCluster(7701, is_calm=True, scale=3))
+    cluster = watched(WorkflowCluster(7701, without_random_faults=True, scale=3))
     cluster.schedule_action(landing(25, 8, fan_out=True))
     states: list[dict[str, str]] = []
 
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("who", ["leader", "all", "at once", "state"])
 def test_a_chain_goes_on_from_its_last_durable_end_whoever_fails_in_whichever_step(moment: str, who: str) -> None:
     back = (0.05, 0.2) if who == "at once" else (1.0, 3.0)
-    cluster = watched(WorkflowCluster(7720, is_calm=True, restart_delay_range_s=back))
+    cluster = watched(WorkflowCluster(7720, without_random_faults=True, restart_delay_range_s=back))
     failed: list[str] = []
     states: list[dict[str, str]] = []
 
@@ -273,7 +273,7 @@
 
 
 def test_an_amendment_larger_than_a_transaction_is_taken_whole_or_not_at_all() -> None:
-    cluster = watched(WorkflowCluster(7730, is_calm=True, txn_ops=8, value_kb=8.0, scale=3))
+    cluster = watched(WorkflowCluster(7730, without_random_faults=True, txn_ops=8, value_kb=8.0, scale=3))
     told: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
@@ -298,7 +298,7 @@
 
 @pytest.mark.parametrize("running", ["finish", "stop"])
 def test_the_viewer_never_gets_the_older_after_the_newer(running: str) -> None:
-    cluster = watched(WorkflowCluster(7740, workflow_config(superseded=running), is_calm=True))
+    cluster = watched(WorkflowCluster(7740, workflow_config(superseded=running), without_random_faults=True))
     cluster.registry.run_time_range_s = (3.0, 9.0)
 
     async def act(_: SimulatedCluster) -> None:
@@ -325,7 +325,7 @@
 
 def test_a_burst_is_trimmed_with_a_time_to_come_back_and_none_is_lost() -> None:
     settings = workflow_config(max_amendments_per_window=20.0, intake_window=timedelta(seconds=10))
-    cluster = watched(WorkflowCluster(7750, settings, is_calm=True, scale=3))
+    cluster = watched(WorkflowCluster(7750, settings, without_random_faults=True, scale=3))
     cluster.registry.run_time_range_s = (0.5, 1.0)
     cluster.schedule_action(landing(80, 8))
     raise_first_failure(cluster.run(length_s=110, job_count=1))
@@ -340,7 +340,7 @@
 
 @pytest.mark.parametrize("seed", range(7760, 7768))
 def test_a_failing_step_stands_still_says_so_and_goes_on_when_told(seed: int) -> None:
-    cluster = watched(WorkflowCluster(seed, workflow_config(max_attempts=3), is_calm=True))
+    cluster = watched(WorkflowCluster(seed, workflow_config(max_attempts=3), without_random_faults=True))
     told: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
@@ -375,7 +375,7 @@
 
 @pytest.mark.parametrize("on_cancel", ["stop", "skip"])
 def test_what_follows_a_cancelled_step_is_stopped_or_skips_it(on_cancel: str) -> None:
-    cluster = watched(WorkflowCluster(7770, workflow_config(on_cancel=on_cancel), is_calm=True))
+    cluster = watched(WorkflowCluster(7770, workflow_config(on_cancel=on_cancel), without_random_faults=True))
     cluster.may_skip_failed = on_cancel == "skip"
     cluster.registry.run_time_range_s = (4.0, 5.0)
     ended: list[str] = []
@@ -399,7 +399,7 @@
 
 
 def test_a_stopped_chain_begins_nothing_more_until_it_is_resumed() -> None:
-    cluster = watched(WorkflowCluster(7780, is_calm=True))
+    cluster = watched(WorkflowCluster(7780, without_random_faults=True))
     cluster.registry.run_time_range_s = (3.0, 4.0)
     told: list[Any] = []
 
@@ -431,7 +431,9 @@
 @pytest.mark.parametrize(("write_rps", "txn_ops", "value_kb"), [(15.0, 8, 4.0), (30.0, 24, 8.0)])
 def test_a_chain_costs_at_most_two_changes_beyond_its_jobs_own(write_rps: float, txn_ops: int, value_kb: float) -> None:
     cluster = watched(
-        WorkflowCluster(7790, is_calm=True, scale=4, write_rps=write_rps, txn_ops=txn_ops, value_kb=value_kb)
+        WorkflowCluster(
+            7790, without_random_faults=True, scale=4, write_rps=write_rps, txn_ops=txn_ops, value_kb=value_kb
+        )
     )
     cluster.registry.run_time_range_s = (0.5, 1.0)
     cluster.schedule_action(landing(40, 6))
@@ -482,7 +484,7 @@
 def test_broken_variant_is_caught(broken: Any, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     broken(monkeypatch)
     for seed in range(20):
-        cluster = watched(WorkflowCluster(seed, is_calm=True))
+        cluster = watched(WorkflowCluster(seed, without_random_faults=True))
         cluster.registry.run_time_range_s = (1.0, 12.0)
         cluster.registry.lot_count = 3
 
