--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,11 +11,11 @@
 from roseweir.settings import load_settings
 from roseweir.sexp import SettingsError
 
-EXAMPLE = Path(__file__).parent.parent / "examples" / "settings.json"
+EXAMPLE_SETTINGS_PATH = Path(__file__).parent.parent / "examples" / "settings.json"
 
 
 def write_changed_settings(tmp_path: Path, *path: str, value: object) -> Path:
-    settings = orjson.loads(EXAMPLE.read_bytes())
+    settings = orjson.loads(EXAMPLE_SETTINGS_PATH.read_bytes())
     parent = settings
     for name in path[:-1]:
         parent = parent[name]
@@ -75,7 +75,7 @@
     (tmp_path / "bad.json").write_text("{")
     assert main(["check-config", "--config", str(tmp_path / "bad.json")]) == 2
     monkeypatch.setenv("LOG_LEVEL", "loud")
-    assert main(["serve", "--config", str(EXAMPLE)]) == 2
+    assert main(["serve", "--config", str(EXAMPLE_SETTINGS_PATH)]) == 2
     assert capsys.readouterr().err.count("\n") == 3
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -33,7 +33,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, make_cluster_state
-from tests.test_settings import EXAMPLE, write_changed_settings
+from tests.test_settings import EXAMPLE_SETTINGS_PATH, write_changed_settings
 from tests.test_simulated_days import raise_first_failure
 
 NOW_MS = 1_700_000_000_000
@@ -61,8 +61,8 @@
 
 
 def test_settings_without_announced_limits_keep_current_limits() -> None:
-    configured = orjson.loads(EXAMPLE.read_bytes())["params"]["state"]
-    limits = load_settings(EXAMPLE).params.kv_store
+    configured = orjson.loads(EXAMPLE_SETTINGS_PATH.read_bytes())["params"]["state"]
+    limits = load_settings(EXAMPLE_SETTINGS_PATH).params.kv_store
     assert limits.announced_limits is None and (limits.max_value_kib, limits.max_txn_ops) == (
         configured["value_kb"],
         configured["txn_ops"],
