--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -492,13 +492,13 @@
                 return self.exit_task(task, "done")
             self.cluster.check_start(self, task)
             task.state = "gathering" if job["shape"] == "gang" else "running"
-            task.ends_at = virtual_now() + (8.0 if task.state == "gathering" else self.cluster.run_time(job))
+            task.ends_at = virtual_now() + (8.0 if task.state == "gathering" else self.cluster.draw_run_time_s(job))
             self.heartbeat_due.set()
         elif task.state == "gathering":
             members = self.cluster.gang_members(task)
             if len(members) == job["parcels"] and all(t.is_active and not w.is_hung for w, t in members):
                 task.state = "running"
-                task.ends_at = virtual_now() + self.cluster.run_time(job)
+                task.ends_at = virtual_now() + self.cluster.draw_run_time_s(job)
                 self.heartbeat_due.set()
             elif virtual_now() >= task.ends_at:
                 self.exit_task(task, "alone")
@@ -1007,7 +1007,7 @@
     def is_gang_done(self, task: SimulatedTask) -> bool:
         return (task.job_id, 0) in self.completed_tasks
 
-    def run_time(self, job: dict[str, Any]) -> float:
+    def draw_run_time_s(self, job: dict[str, Any]) -> float:
         return float(job["guess_s"] * self.rng.uniform(0.5, 1.5))
 
     def check_start(self, worker: SimulatedWorker, task: SimulatedTask) -> None:
@@ -1379,9 +1379,9 @@
             for violation in violations(self.history.operations, self.externally_changed_jobs):
                 self.check_rule(False, str(violation))
 
-    def schedule_action(self, act: Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]) -> None:
+    def schedule_action(self, action: Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]) -> None:
         """Adds a coroutine of a test that is started when the day begins."""
-        self.scheduled_actions.append(act)
+        self.scheduled_actions.append(action)
 
     def run(self, length_s: float = 90.0, job_count: int = 25) -> "SimulatedCluster":
         virtual_time.run_in_virtual_time(self.run_day(length_s, job_count))
--- a/tests/simulation/demand_weeks.py
+++ b/tests/simulation/demand_weeks.py
@@ -45,8 +45,8 @@
         self.zone = ZoneInfo(zone)
         self.now_s = 0.0  # seconds since 1970; the history has been advanced to this instant
 
-    def timestamp(self, text: str) -> float:
-        return datetime.fromisoformat(text).replace(tzinfo=self.zone).timestamp()
+    def timestamp(self, local_time: str) -> float:
+        return datetime.fromisoformat(local_time).replace(tzinfo=self.zone).timestamp()
 
     def advance_to(self, until_s: float, is_watched: bool = True) -> None:
         """Advance the history by at most an hour at a time: only open blocks can be marked as watched."""
@@ -58,15 +58,15 @@
 
     def simulate_days(
         self,
-        first: str,
-        days: int,
+        first_day: str,
+        day_count: int,
         burst_units: Callable[[datetime], float] = lambda day: 40.0,
         is_watched: Callable[[datetime], bool] = lambda day: True,
         hour: str = "16:30",
     ) -> None:
-        day = datetime.fromisoformat(first)
-        self.now_s = self.now_s or self.timestamp(first)
-        for _ in range(days):
+        day = datetime.fromisoformat(first_day)
+        self.now_s = self.now_s or self.timestamp(first_day)
+        for _ in range(day_count):
             burst_begins_at = self.timestamp(f"{day.date()}T{hour}")
             self.advance_to(burst_begins_at, is_watched(day))
             for half_hour in range(3):
@@ -77,11 +77,11 @@
             day += timedelta(days=1)
             self.advance_to(self.timestamp(f"{day.date()}T00:00"), is_watched(day - timedelta(days=1)))
 
-    def needed_units(self, text: str, lead_s: float = 120.0) -> float:
+    def needed_units(self, local_time: str, lead_s: float = 120.0) -> float:
         """Units that should be available at this local time, with all demand watched until then.
 
         `lead_s` is the time from the request of a machine until it can run tasks.
         """
-        now = self.timestamp(text)
+        now = self.timestamp(local_time)
         self.advance_to(now)
         return sum(need.units for need in self.forecaster.needs(now, {CPU_POOL: lead_s}))
--- a/tests/simulation/fault_combinations.py
+++ b/tests/simulation/fault_combinations.py
@@ -111,7 +111,7 @@
 
     def __init__(self, seed: int, **options: Any) -> None:
         super().__init__(seed, without_random_faults=True, **options)
-        self.last_seen_running: dict[str, float] = {}
+        self.last_active_at: dict[str, float] = {}
         self.accepted_at: dict[str, float] = {}
         # How often the case under test arose, such as a cancellation unknown to a leader that workers could reach.
         self.tested_case_count = 0
@@ -132,7 +132,7 @@
         while True:
             for _, task in self.active_tasks():
                 if task.job_id in self.cancelled_at:
-                    self.last_seen_running[task.job_id] = virtual_now()
+                    self.last_active_at[task.job_id] = virtual_now()
             await asyncio.sleep(0.02)
 
     async def cancel_via_others(self, job_id: str, avoided_controller: str) -> None:
@@ -202,8 +202,8 @@
     for seed in seeds:
         cluster = make_cluster(seed).run(length_s=length_s, job_count=job_count)
         is_cancel_late = isinstance(cluster, LongTaskCluster) and any(
-            last_seen_at - cluster.cancelled_at[job_id] > cluster.cancel_deadline_s - 1.9
-            for job_id, last_seen_at in cluster.last_seen_running.items()
+            last_active_at - cluster.cancelled_at[job_id] > cluster.cancel_deadline_s - 1.9
+            for job_id, last_active_at in cluster.last_active_at.items()
         )
         if any(rule_name in str(error) for error in cluster.rule_violations) or (
             rule_name == "late" and is_cancel_late
--- a/tests/simulation/load_balancer.py
+++ b/tests/simulation/load_balancer.py
@@ -120,10 +120,10 @@
         while True:
             for job_id in sorted(self.cluster.accepted_jobs):
                 if job_id not in polls:
-                    polls[job_id] = self.cluster.spawn(self._keep_asking(job_id))
+                    polls[job_id] = self.cluster.spawn(self._poll_job(job_id))
             await asyncio.sleep(0.5)
 
-    async def _keep_asking(self, job_id: str) -> None:
+    async def _poll_job(self, job_id: str) -> None:
         while True:
             await asyncio.sleep(self.cluster.rng.uniform(4.0, 6.0))
             observed_end = self.cluster.observed_ends.get(job_id)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -182,7 +182,7 @@
         self.tasks_across_terms = 0  # tasks that ended in another term than another task of their job
         self.terms_of_ends: dict[str, set[int]] = {}
 
-    def run_time(self, job: dict[str, Any]) -> float:
+    def draw_run_time_s(self, job: dict[str, Any]) -> float:
         return self.rng.choice([1.0, 9.0, 22.0]) * self.rng.uniform(0.7, 1.3)
 
     def on_clear_command(self, task: SimulatedTask) -> None:
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -89,7 +89,7 @@
             "no outage longer than cancel_s"
         )
         unread_cancellations += cluster.tested_case_count
-        for job_id, last_running_at in cluster.last_seen_running.items():
+        for job_id, last_running_at in cluster.last_active_at.items():
             running_after_cancel_s = last_running_at - cluster.cancelled_at[job_id]
             assert running_after_cancel_s <= cluster.cancel_deadline_s - 2.0 + 0.1, (
                 f"seed {seed}: {job_id} was running {running_after_cancel_s:.2f} s after its cancel"
@@ -249,7 +249,7 @@
         cluster = partitioned_leader_cluster(seed)
         raise_first_failure(cluster.run(length_s=70, job_count=14))
         unread_cancellations += cluster.tested_case_count
-        for job_id, last_running_at in cluster.last_seen_running.items():
+        for job_id, last_running_at in cluster.last_active_at.items():
             assert last_running_at - cluster.cancelled_at[job_id] <= cluster.cancel_deadline_s - 1.9, (
                 f"seed {seed}: {job_id}"
             )
@@ -392,7 +392,7 @@
         raise_first_failure(cluster.run(length_s=85, job_count=10))
         assert observed["after"] == observed["before"] and not observed["still_running"], "worker leases expired"
         assert (observed["cancelled"] > 0) == (scenario == "cancels")
-        for job_id, last_running_at in cluster.last_seen_running.items():
+        for job_id, last_running_at in cluster.last_active_at.items():
             assert last_running_at - cluster.cancelled_at[job_id] < 7.0, "its tasks ran until their lease expired"
 
 
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -694,7 +694,7 @@
         await asyncio.sleep(LOST_ANSWERS_END_S)
         self.started_count = self.start_count
 
-    def run_time(self, job: dict[str, Any]) -> float:
+    def draw_run_time_s(self, job: dict[str, Any]) -> float:
         return self.rng.choice([0.2, 3.0, 8.0])
 
 
