--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -41,7 +41,7 @@
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as replaced
+from tests.test_eviction_days import make_eviction_cluster
 from tests.test_job_durability import ANSWERED, watched
 from tests.test_rebalancing import Pieces
 from tests.test_rebalancing import tuning as pieces_tuning
@@ -536,7 +536,7 @@
 
 
 def with_drains(seed: int) -> SimulatedCluster:
-    return replaced(seed, older=20, calm=False, faults=MET)
+    return make_eviction_cluster(seed, max_machine_age_s=20, is_calm=False, faults=MET)
 
 
 def with_promises(seed: int) -> SimulatedCluster:
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -51,7 +51,7 @@
 from tests.simulation.linearizability import Action
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as replaced
+from tests.test_eviction_days import make_eviction_cluster
 from tests.test_simulated_days import check
 
 Patch = pytest.MonkeyPatch
@@ -883,7 +883,7 @@
 
 
 def drained(seed: int) -> tuple[EvictionCluster, list[str]]:
-    cluster = replaced(seed, restart_delay_range_s=(0.1, 1.0))
+    cluster = make_eviction_cluster(seed, restart_delay_range_s=(0.1, 1.0))
     lost = loses_answers(cluster, "drains", 0.5)
     cluster.schedule_action(some_drains)
     return cluster, lost
