--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -43,8 +43,7 @@
 from tests.test_delivery_deadlines import Landings, promised
 from tests.test_eviction_days import make_eviction_cluster
 from tests.test_job_durability import ANSWERED, watched
-from tests.test_rebalancing import Pieces
-from tests.test_rebalancing import tuning as pieces_tuning
+from tests.test_rebalancing import FragmentedCluster, make_rebalancing_config
 from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 from tests.test_workflows import watched as seen_in_the_viewer
@@ -546,8 +545,8 @@
 
 
 def with_moves(seed: int) -> SimulatedCluster:
-    cluster = Pieces(seed, pieces_tuning(0.3), 0.3, is_calm=False, faults=MET)
-    cluster.schedule_action(cluster.story)
+    cluster = FragmentedCluster(seed, make_rebalancing_config(0.3), 0.3, is_calm=False, faults=MET)
+    cluster.schedule_action(cluster.submit_services)
     return cluster
 
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -1,4 +1,7 @@
-"""Large tasks that fit in total and nowhere: places that are spared, and replicas that move, whoever falls."""
+"""Rebalancing of fragmented capacity, where a large task fits in total but on no single machine.
+
+Covers the placement that avoids fragmentation, and moves of replicas with failures at every point of a move.
+"""
 
 import asyncio
 import random
@@ -40,24 +43,24 @@
 from tests.test_scheduler import CPU, NOW, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
 
-BIG = MachineType("gpu", 96, 8, 384, 200, 1.0, 24.0, 9.0, 50, ("a", "b"))
-LARGE: TaskSize = (80.0, 8.0, 304.0)
+LARGE_GPU_MACHINE = MachineType("gpu", 96, 8, 384, 200, 1.0, 24.0, 9.0, 50, ("a", "b"))
+LARGE_TASK_SIZE: TaskSize = (80.0, 8.0, 304.0)
 
 
-def place_of(count: int, ordinary: int = 0) -> tuple[ClusterState, list[FakeWorker]]:
+def make_machines(gpu_count: int, cpu_count: int = 0) -> tuple[ClusterState, list[FakeWorker]]:
     cluster_state = make_cluster_state()
-    cluster_state.catalog = {"cpu": CPU, "gpu": BIG}
+    cluster_state.catalog = {"cpu": CPU, "gpu": LARGE_GPU_MACHINE}
     cluster_state.teams["t0"].max_gpus = cluster_state.teams["t1"].max_gpus = 0.0
-    hands = [
-        FakeWorker(cluster_state, f"i-{n:02d}", "gpu" if n < count else "cpu", "ab"[n % 2])
-        for n in range(count + ordinary)
+    workers = [
+        FakeWorker(cluster_state, f"i-{index:02d}", "gpu" if index < gpu_count else "cpu", "ab"[index % 2])
+        for index in range(gpu_count + cpu_count)
     ]
-    for hand in hands:
-        hand.send_heartbeat(NOW)
-    return cluster_state, hands
+    for worker in workers:
+        worker.send_heartbeat(NOW)
+    return cluster_state, workers
 
 
-def service(cluster_state: ClusterState, number: int, gpus: float, **more: Any) -> JobRun:
+def add_service(cluster_state: ClusterState, number: int, gpus: float, **more: Any) -> JobRun:
     fields: dict[str, Any] = {"job_type": SERVICE, "gpus": gpus, "cpus": 10.0 * gpus, "memory_gb": 38.0 * gpus}
     fields["estimated_duration_s"] = 0.0
     return cluster_state.add_job(
@@ -65,181 +68,202 @@
     )
 
 
-def runs_on(cluster_state: ClusterState, run: JobRun, machine: Machine, index: int = 0) -> None:
-    placed = cluster_state.add_placement(run, index, machine, 1, NOW)
-    placed.phase, placed.state, placed.running_since = PlacementPhase.CONFIRMED, wire.RUNNING, NOW
+def add_running_task(cluster_state: ClusterState, run: JobRun, machine: Machine, index: int = 0) -> None:
+    placement = cluster_state.add_placement(run, index, machine, 1, NOW)
+    placement.phase, placement.state, placement.running_since = PlacementPhase.CONFIRMED, wire.RUNNING, NOW
     run.next_unplaced_index = max(run.next_unplaced_index, index + 1)
 
 
-def ground(
-    cluster_state: ClusterState, stays: Callable[[str, int], bool] = lambda job, index: False
+def make_planning_context(
+    cluster_state: ClusterState, is_pinned: Callable[[str, int], bool] = lambda job, index: False
 ) -> PlanningContext:
-    choice = FragmentationScorer()
-    choice.begin_pass(cluster_state.jobs.values(), list(cluster_state.machines.values()), NOW)
+    scorer = FragmentationScorer()
+    scorer.begin_pass(cluster_state.jobs.values(), list(cluster_state.machines.values()), NOW)
     return PlanningContext(
-        cluster_state, list(cluster_state.machines.values()), NOW, stays, {}, choice.fragmentation_cost
+        cluster_state, list(cluster_state.machines.values()), NOW, is_pinned, {}, scorer.fragmentation_cost
     )
 
 
-# -- measured -----------------------------------------------------------------------------------
+# -- measuring fragmentation --------------------------------------------------------------------
 
 
-def test_pieces_are_told_by_size_and_to_whom_they_are_missing() -> None:
-    cluster_state, hands = place_of(4)
-    for n, hand in enumerate(hands):
-        for each in range(6):
-            runs_on(cluster_state, service(cluster_state, 10 * n + each + 1, 1.0), hand.machine)
-    large = service(cluster_state, 99, 8.0)
+def test_fragmentation_is_reported_by_task_size_and_waiting_job() -> None:
+    cluster_state, workers = make_machines(4)
+    for worker_index, worker in enumerate(workers):
+        for replica_index in range(6):
+            add_running_task(
+                cluster_state, add_service(cluster_state, 10 * worker_index + replica_index + 1, 1.0), worker.machine
+            )
+    large = add_service(cluster_state, 99, 8.0)
     machines = list(cluster_state.machines.values())
-    found = measure_fragmentation(machines, [(large.spec, 1)], [(10.0, 1.0, 38.0), LARGE])
-    assert [(p.gpus, p.free_slots, p.slots_if_defragmented, p.waiting_tasks) for p in found] == [
+    fragmentation = measure_fragmentation(machines, [(large.spec, 1)], [(10.0, 1.0, 38.0), LARGE_TASK_SIZE])
+    assert [(row.gpus, row.free_slots, row.slots_if_defragmented, row.waiting_tasks) for row in fragmentation] == [
         (1.0, 8, 8, 0),
         (8.0, 0, 1, 1),
     ]
-    assert format_report(found[1]) == "8 GPUs, 80 CPUs: 0 places, 1 if together, 1 wait"
+    assert format_report(fragmentation[1]) == "8 GPUs, 80 CPUs: 0 places, 1 if together, 1 wait"
     run_scheduling_pass(cluster_state, NOW)
-    told = explain_job(cluster_state, large.spec.id, NOW)
-    assert told is not None and told["waits_for"] == "room: in pieces, 8 GPUs free on 4 machines"
+    explanation = explain_job(cluster_state, large.spec.id, NOW)
+    assert explanation is not None and explanation["waits_for"] == "room: in pieces, 8 GPUs free on 4 machines"
 
 
-# -- chosen -------------------------------------------------------------------------------------
+# -- placement ----------------------------------------------------------------------------------
 
 
-def _fill(seed: int, choose: bool) -> int:
-    """Small services come and go on ten machines; how many large ones find a place as they come."""
-    draw = random.Random(seed)
-    cluster_state, hands = place_of(10)
-    if choose:
+def _count_placed_large_services(seed: int, avoid_fragmentation: bool) -> int:
+    """Starts and cancels small services on ten machines; returns how many large services are placed on submission."""
+    rng = random.Random(seed)
+    cluster_state, workers = make_machines(10)
+    if avoid_fragmentation:
         cluster_state.placement_policy = FragmentationScorer()
-        assert cluster_state.active_placement_policy is None, "no service takes GPUs yet"
-    alive: list[JobRun] = []
-    begun = 0
+        assert cluster_state.active_placement_policy is None, "no service requests GPUs yet"
+    small_services: list[JobRun] = []
+    placed_count = 0
     for step in range(200):
-        at = NOW + seconds(step * 5)
-        if len(alive) > 33:
-            gone = alive.pop(draw.randrange(len(alive)))
-            gone.final_state = "cancelled"
-            for placed in list(gone.placements.values()):
-                cluster_state.remove_placement(placed, at)
-        small = service(cluster_state, 1000 + step, draw.choice([1.0, 1.0, 1.0, 4.0]), image=f"m{step % 6}")
-        large = service(cluster_state, 5000 + step, 8.0, priority=3) if step % 10 == 9 else None
-        for hand in hands:
-            hand.machine.last_heartbeat_at = at
-        run_scheduling_pass(cluster_state, at)
+        now = NOW + seconds(step * 5)
+        if len(small_services) > 33:
+            cancelled = small_services.pop(rng.randrange(len(small_services)))
+            cancelled.final_state = "cancelled"
+            for placement in list(cancelled.placements.values()):
+                cluster_state.remove_placement(placement, now)
+        small = add_service(cluster_state, 1000 + step, rng.choice([1.0, 1.0, 1.0, 4.0]), image=f"m{step % 6}")
+        large = add_service(cluster_state, 5000 + step, 8.0, priority=3) if step % 10 == 9 else None
+        for worker in workers:
+            worker.machine.last_heartbeat_at = now
+        run_scheduling_pass(cluster_state, now)
         commit_placements(cluster_state)
-        alive.append(small)
+        small_services.append(small)
         if large is not None:
-            begun += bool(large.placements)
+            placed_count += bool(large.placements)
             large.final_state = "cancelled"
-            for placed in list(large.placements.values()):
-                cluster_state.remove_placement(placed, at)
+            for placement in list(large.placements.values()):
+                cluster_state.remove_placement(placement, now)
             cluster_state.jobs.pop(large.spec.id, None)
-        for hand in hands:
-            for placed in hand.machine.placements.values():
-                placed.phase, placed.state = PlacementPhase.CONFIRMED, wire.RUNNING
-                hand.machine.record_image_use(placed.run.spec.image, 8.0)
-    return begun
-
-
-def test_large_places_are_spared_where_they_are_scarce() -> None:
-    plain, chosen = (sum(_fill(seed, choose) for seed in range(4)) for choose in (False, True))
-    assert chosen > plain * 1.1, (plain, chosen)
-
-
-# -- moved --------------------------------------------------------------------------------------
-
-
-def test_the_cheapest_moves_make_room_and_none_is_made_for_lower_rank() -> None:
-    cluster_state, hands = place_of(3)
-    for n, hand in enumerate(hands):
-        for each in range((2, 5, 5)[n]):
-            runs_on(cluster_state, service(cluster_state, 10 * n + each + 1, 1.0), hand.machine)
-    # Weights at hand make a move cheap.
-    for name in ("m1", "m2"):
-        hands[1].machine.record_image_use(name, 8.0)
-    large = service(cluster_state, 99, 8.0)
-    found = plan_replica_moves(ground(cluster_state), large, 0)
-    assert found is not None and found.machine == "i-00"
-    assert sorted((m.name, m.target_machine) for m in found.moves) == [("j-000001/0", "i-01"), ("j-000002/0", "i-01")]
-    assert found.cost == pytest.approx(
-        2 * move_downtime_s(cluster_state, cluster_state.jobs["j-000001"].spec, hands[1].machine)
+        for worker in workers:
+            for placement in worker.machine.placements.values():
+                placement.phase, placement.state = PlacementPhase.CONFIRMED, wire.RUNNING
+                worker.machine.record_image_use(placement.run.spec.image, 8.0)
+    return placed_count
+
+
+def test_fragmentation_scorer_places_more_large_services() -> None:
+    without_scorer, with_scorer = (
+        sum(_count_placed_large_services(seed, avoid_fragmentation) for seed in range(4))
+        for avoid_fragmentation in (False, True)
+    )
+    assert with_scorer > without_scorer * 1.1, (without_scorer, with_scorer)
+
+
+# -- planning of moves --------------------------------------------------------------------------
+
+
+def test_cheapest_moves_are_planned_but_not_for_lower_priority() -> None:
+    cluster_state, workers = make_machines(3)
+    for worker_index, worker in enumerate(workers):
+        for replica_index in range((2, 5, 5)[worker_index]):
+            add_running_task(
+                cluster_state, add_service(cluster_state, 10 * worker_index + replica_index + 1, 1.0), worker.machine
+            )
+    # A move is cheap where the machine already has the image.
+    for image in ("m1", "m2"):
+        workers[1].machine.record_image_use(image, 8.0)
+    large = add_service(cluster_state, 99, 8.0)
+    plan = plan_replica_moves(make_planning_context(cluster_state), large, 0)
+    assert plan is not None and plan.machine == "i-00"
+    assert sorted((move.name, move.target_machine) for move in plan.moves) == [
+        ("j-000001/0", "i-01"),
+        ("j-000002/0", "i-01"),
+    ]
+    assert plan.cost == pytest.approx(
+        2 * move_downtime_s(cluster_state, cluster_state.jobs["j-000001"].spec, workers[1].machine)
+    )
+    assert (
+        plan_replica_moves(make_planning_context(cluster_state), add_service(cluster_state, 98, 8.0, priority=3), 0)
+        is None
+    ), "never for a job of lower priority"
+    second_plan = plan_replica_moves(
+        make_planning_context(cluster_state, lambda job, index: job == "j-000001"), large, 0
     )
-    assert plan_replica_moves(ground(cluster_state), service(cluster_state, 98, 8.0, priority=3), 0) is None, (
-        "never for lower rank"
+    assert second_plan is None or all(move.job_id != "j-000001" for move in second_plan.moves), (
+        "a replica that has just moved stays"
     )
-    again = plan_replica_moves(ground(cluster_state, lambda job, index: job == "j-000001"), large, 0)
-    assert again is None or all(move.job_id != "j-000001" for move in again.moves), "who has just moved stays"
-    assert MovePlan.decode(found.encode()).moves == found.moves
-
-
-def test_no_step_of_a_move_breaks_what_the_job_asks_of_its_zones() -> None:
-    cluster_state, hands = place_of(4)
-    spread = service(cluster_state, 1, 1.0, task_count=3, spread_across_zones=True)
-    for index, n in enumerate((0, 2, 1)):
-        runs_on(cluster_state, spread, hands[n].machine, index)
-    together = service(cluster_state, 2, 1.0, task_count=2, requires_single_zone=True)
-    runs_on(cluster_state, together, hands[0].machine, 0)
-    runs_on(cluster_state, together, hands[2].machine, 1)
-    found = plan_replica_moves(ground(cluster_state), service(cluster_state, 99, 8.0, zone="a"), 0)
-    zones = {move.name: cluster_state.machines[move.target_machine].zone for move in found.moves} if found else {}
-    assert all(zone == "a" for name, zone in zones.items() if name.startswith(together.spec.id))
+    assert MovePlan.decode(plan.encode()).moves == plan.moves
+
+
+def test_moves_respect_the_zone_requirements_of_each_job() -> None:
+    cluster_state, workers = make_machines(4)
+    spread_service = add_service(cluster_state, 1, 1.0, task_count=3, spread_across_zones=True)
+    for index, worker_index in enumerate((0, 2, 1)):
+        add_running_task(cluster_state, spread_service, workers[worker_index].machine, index)
+    single_zone_service = add_service(cluster_state, 2, 1.0, task_count=2, requires_single_zone=True)
+    add_running_task(cluster_state, single_zone_service, workers[0].machine, 0)
+    add_running_task(cluster_state, single_zone_service, workers[2].machine, 1)
+    plan = plan_replica_moves(make_planning_context(cluster_state), add_service(cluster_state, 99, 8.0, zone="a"), 0)
+    zones = {move.name: cluster_state.machines[move.target_machine].zone for move in plan.moves} if plan else {}
+    assert all(zone == "a" for name, zone in zones.items() if name.startswith(single_zone_service.spec.id))
     assert all(zone in ("a", "b") for zone in zones.values())
-    for move in found.moves if found else ():
+    for move in plan.moves if plan else ():
         run = cluster_state.jobs[move.job_id]
-        stay = [p.machine.zone for p in run.placements.values() if p.index != move.index]
-        assert [*stay, cluster_state.machines[move.target_machine].zone].count(
+        other_zones = [placement.machine.zone for placement in run.placements.values() if placement.index != move.index]
+        assert [*other_zones, cluster_state.machines[move.target_machine].zone].count(
             "a"
         ) <= 2 or not run.spec.spread_across_zones
 
 
-def test_two_large_ones_that_want_each_others_room_do_not_go_round_in_circles() -> None:
-    cluster_state, hands = place_of(2)
-    first, second = service(cluster_state, 1, 4.0), service(cluster_state, 2, 4.0)
-    runs_on(cluster_state, first, hands[0].machine)
-    runs_on(cluster_state, second, hands[1].machine)
+def test_two_competing_large_services_do_not_cause_repeated_moves() -> None:
+    cluster_state, workers = make_machines(2)
+    first, second = add_service(cluster_state, 1, 4.0), add_service(cluster_state, 2, 4.0)
+    add_running_task(cluster_state, first, workers[0].machine)
+    add_running_task(cluster_state, second, workers[1].machine)
     moved: set[str] = set()
     for step in range(20):
-        wants = service(cluster_state, 50 + step, 8.0, zone="ab"[step % 2])
-        found = plan_replica_moves(ground(cluster_state, lambda job, index: f"{job}/{index}" in moved), wants, 0)
-        if found is None:
+        large = add_service(cluster_state, 50 + step, 8.0, zone="ab"[step % 2])
+        plan = plan_replica_moves(
+            make_planning_context(cluster_state, lambda job, index: f"{job}/{index}" in moved), large, 0
+        )
+        if plan is None:
             continue
-        for move in found.moves:
+        for move in plan.moves:
             assert move.name not in moved
             moved.add(move.name)
             run = cluster_state.jobs[move.job_id]
             cluster_state.remove_placement(run.placements[move.index], NOW)
-            runs_on(cluster_state, run, cluster_state.machines[move.target_machine], move.index)
-        wants.final_state = "cancelled"
+            add_running_task(cluster_state, run, cluster_state.machines[move.target_machine], move.index)
+        large.final_state = "cancelled"
     assert len(moved) <= 2
 
 
-def test_replicas_without_gpus_leave_the_processors_of_gpus_to_ordinary_machines() -> None:
-    cluster_state, hands = place_of(1, ordinary=2)
+def test_cpu_only_replicas_move_from_gpu_to_cpu_machines() -> None:
+    cluster_state, workers = make_machines(1, cpu_count=2)
     cluster_state.max_cpus_per_gpu = 10.0
     run = cluster_state.add_job(
         job(1, job_type=SERVICE, task_count=1, cpus=6.0, priority=0, estimated_duration_s=0.0), 1
     )
-    runs_on(cluster_state, run, hands[0].machine)
-    filler = service(cluster_state, 2, 1.0, cpus=12.0)
-    runs_on(cluster_state, filler, hands[0].machine)
-    hands[0].machine.free_cpus -= 10.0  # held by something else: 7 GPUs are free with 68 CPUs
-    found = plan_cpu_only_moves(ground(cluster_state), 0, 4)
-    assert found is not None and found.for_job_id == "" and [m.target_machine[:2] for m in found.moves] == ["i-"]
-    assert cluster_state.machines[found.moves[0].target_machine].machine_type.gpus == 0
-    # Ordinary machines are full of arrays of lower rank: one is held until they leave.
-    for n, hand in enumerate(hands[1:]):
-        runs_on(
-            cluster_state, cluster_state.add_job(job(10 + n, job_type=ARRAY, cpus=8.0, priority=3), 1), hand.machine
+    add_running_task(cluster_state, run, workers[0].machine)
+    filler = add_service(cluster_state, 2, 1.0, cpus=12.0)
+    add_running_task(cluster_state, filler, workers[0].machine)
+    workers[0].machine.free_cpus -= 10.0  # used elsewhere: 7 GPUs are free with 68 CPUs
+    plan = plan_cpu_only_moves(make_planning_context(cluster_state), 0, 4)
+    assert plan is not None and plan.for_job_id == "" and [move.target_machine[:2] for move in plan.moves] == ["i-"]
+    assert cluster_state.machines[plan.moves[0].target_machine].machine_type.gpus == 0
+    # CPU machines are full of arrays of lower priority: one is reserved until they end.
+    for index, worker in enumerate(workers[1:]):
+        add_running_task(
+            cluster_state,
+            cluster_state.add_job(job(10 + index, job_type=ARRAY, cpus=8.0, priority=3), 1),
+            worker.machine,
         )
-    assert plan_cpu_only_moves(ground(cluster_state), 0, 4) is not None
+    assert plan_cpu_only_moves(make_planning_context(cluster_state), 0, 4) is not None
     for run in list(cluster_state.jobs.values()):
         if run.spec.job_type == ARRAY:
             run.placements[0].run = cluster_state.add_job(job(30, job_type=ARRAY, cpus=8.0, priority=0), 1)
-    assert plan_cpu_only_moves(ground(cluster_state), 0, 4) is None, "work of the same rank is not waited out"
+    assert plan_cpu_only_moves(make_planning_context(cluster_state), 0, 4) is None, (
+        "no machine is reserved until tasks of the same priority end"
+    )
 
 
-def test_a_gang_moves_last_of_all_whole_and_only_for_a_job_that_is_old() -> None:
-    cluster_state, hands = place_of(2)
+def test_gang_moves_whole_and_only_for_a_starving_job() -> None:
+    cluster_state, workers = make_machines(2)
     gang = cluster_state.add_job(
         job(
             1,
@@ -254,75 +278,84 @@
         1,
     )
     for index in range(2):
-        runs_on(cluster_state, gang, hands[0].machine, index)
-    runs_on(cluster_state, service(cluster_state, 2, 1.0), hands[1].machine)
-    large = service(cluster_state, 99, 8.0, zone="a")
-    assert plan_replica_moves(ground(cluster_state), large, 0) is None
-    assert plan_gang_move(ground(cluster_state), large, 0, lambda p: True) is None
+        add_running_task(cluster_state, gang, workers[0].machine, index)
+    add_running_task(cluster_state, add_service(cluster_state, 2, 1.0), workers[1].machine)
+    large = add_service(cluster_state, 99, 8.0, zone="a")
+    assert plan_replica_moves(make_planning_context(cluster_state), large, 0) is None
+    assert plan_gang_move(make_planning_context(cluster_state), large, 0, lambda placement: True) is None
     large.starvation_level = 1
-    found = plan_gang_move(ground(cluster_state), large, 0, lambda p: True)
-    assert found is not None and found.moves == [Move(gang.spec.id, -1, "")]
-    assert plan_gang_move(ground(cluster_state), large, 0, lambda p: False) is None, (
-        "it has to fit elsewhere as a whole"
+    plan = plan_gang_move(make_planning_context(cluster_state), large, 0, lambda placement: True)
+    assert plan is not None and plan.moves == [Move(gang.spec.id, -1, "")]
+    assert plan_gang_move(make_planning_context(cluster_state), large, 0, lambda placement: False) is None, (
+        "the whole gang must fit elsewhere"
     )
 
 
-def test_weights_that_no_cache_holds_are_refused_with_the_reason_and_others_go_where_they_fit() -> None:
-    cluster_state, hands = place_of(1, ordinary=1)
-    heavy = job(1, image="w", image_gb=80.0, cpus=2.0)
+def test_images_larger_than_every_cache_are_rejected() -> None:
+    cluster_state, workers = make_machines(1, cpu_count=1)
+    large_image_job = job(1, image="w", image_gb=80.0, cpus=2.0)
     assert (
-        rejection_reason(heavy, cluster_state.teams, [CPU])
+        rejection_reason(large_image_job, cluster_state.teams, [CPU])
         == "no allowed machine type has a cache for an image of 80 GB"
     )
-    assert rejection_reason(heavy, cluster_state.teams, [CPU, BIG]) is None
-    run = cluster_state.add_job(heavy, 1)
+    assert rejection_reason(large_image_job, cluster_state.teams, [CPU, LARGE_GPU_MACHINE]) is None
+    run = cluster_state.add_job(large_image_job, 1)
     cluster_state.overflow_until = NOW + seconds(60)
     run_scheduling_pass(cluster_state, NOW)
-    assert [p.machine.name for p in run.placements.values()] == ["i-00"] and hands[1].machine.machine_type is CPU
+    assert [placement.machine.name for placement in run.placements.values()] == ["i-00"] and workers[
+        1
+    ].machine.machine_type is CPU
 
 
-def test_moving_is_weighed_against_renting() -> None:
-    young = seconds(10)
-    assert not cheaper_to_rent(200.0, BIG, True, young) and cheaper_to_rent(2000.0, BIG, True, young)
-    assert not cheaper_to_rent(2000.0, BIG, False, young), "sold out"
-    assert not cheaper_to_rent(2000.0, BIG, True, seconds(110)), "it would come late"
+def test_renting_is_preferred_only_if_cheaper_available_and_in_time() -> None:
+    short_wait = seconds(10)
+    assert not cheaper_to_rent(200.0, LARGE_GPU_MACHINE, True, short_wait) and cheaper_to_rent(
+        2000.0, LARGE_GPU_MACHINE, True, short_wait
+    )
+    assert not cheaper_to_rent(2000.0, LARGE_GPU_MACHINE, False, short_wait), "sold out"
+    assert not cheaper_to_rent(2000.0, LARGE_GPU_MACHINE, True, seconds(110)), (
+        "a rented machine would be ready too late"
+    )
 
 
-def test_settings_are_checked() -> None:
+def test_invalid_rebalancing_settings_are_rejected() -> None:
     assert parse_rebalancing([]).move == "auto"
-    for bad in ('(moves "on")', '(move "yes")', "(at-once 1.5)", "(after -1)"):
+    for invalid in ('(moves "on")', '(move "yes")', "(at-once 1.5)", "(after -1)"):
         with pytest.raises(SettingsError):
-            parse_rebalancing(sexpdata.parse(bad))
+            parse_rebalancing(sexpdata.parse(invalid))
+
 
+# -- in the simulated cluster -------------------------------------------------------------------
 
-# -- in the simulated world ---------------------------------------------------------------------
 
+def make_rebalancing_config(max_disrupted_share: float = 0.5) -> OperatorConfig:
+    config = OperatorConfig()
+    config.rebalancing = RebalancingSettings(choose="on", move="on", after=seconds(3), again=timedelta(seconds=60))
+    config.drain = DrainSettings(budgets=[DisruptionBudget(share=max_disrupted_share)])
+    return config
 
-def tuning(share: float = 0.5) -> OperatorConfig:
-    found = OperatorConfig()
-    found.rebalancing = RebalancingSettings(choose="on", move="on", after=seconds(3), again=timedelta(seconds=60))
-    found.drain = DrainSettings(budgets=[DisruptionBudget(share=share)])
-    return found
 
+class FragmentedCluster(EvictionCluster):
+    """Two zones of two GPU machines each, full of small services, some of which are cancelled.
 
-class Pieces(EvictionCluster):
-    """Two zones of two GPU machines each, full of small services of which some leave: large ones fit in total only."""
+    The free GPUs then fit a large service in total, but on no single machine.
+    """
 
     def __init__(self, seed: int, settings: OperatorConfig, max_disrupted_share: float = 0.5, **more: Any) -> None:
         super().__init__(seed, settings, max_disrupted_share, scale=2, **({"is_calm": True} | more))
         self.team_gpu_limit = None
         teams = [{"name": "t0"}, {"name": "t1"}, {"name": "guest"}]
-        self.params_override = {**(self.params_override or {}), **_params(teams)}
-        self.leave = (2, 3, 2, 3)  # of each machine's four small ones
-        self.large: dict[str, float] = {}
-        self.begun: dict[str, float] = {}
+        self.params_override = {**(self.params_override or {}), **_simulation_params(teams)}
+        self.cancelled_per_machine = (2, 3, 2, 3)  # of the four small services of each machine
+        self.large_submitted_at: dict[str, float] = {}
+        self.large_start_delay_s: dict[str, float] = {}
 
     def make_job(self) -> dict[str, Any]:
-        """Arrays without GPUs: the GPU machines belong to services."""
-        plain = {"accelerators": 0.0, "shape": "sweep", "builds": ["cpu"], "mistaken": False, "yard": None}
-        return super().make_job() | plain | {"parcels": 3, "together": False}
+        """Arrays without GPUs, so that only services use the GPU machines."""
+        without_gpus = {"accelerators": 0.0, "shape": "sweep", "builds": ["cpu"], "mistaken": False, "yard": None}
+        return super().make_job() | without_gpus | {"parcels": 3, "together": False}
 
-    def daemon(self, number: int, gpus: float) -> dict[str, Any]:
+    def service_body(self, number: int, gpus: float) -> dict[str, Any]:
         return {
             "name_id": f"j-5{number:05d}", "docket": "model", "crew": f"t{number % 2}", "shape": "daemon",
             "rank": "normal", "parcels": 1, "cores": gpus * 3.0, "accelerators": gpus, "memory_gb": gpus * 10.0,
@@ -330,13 +363,13 @@
             "scatter": False, "loaners": False, "guess_s": 0.0, "mark_every_s": 0.0, "mark_s": 0.0, "due_s": None,
         }  # fmt: skip
 
-    async def send(self, job: dict[str, Any]) -> None:
-        self.jobs[job["name_id"]] = job
+    async def submit(self, body: dict[str, Any]) -> None:
+        self.jobs[body["name_id"]] = body
         for _ in range(60):
-            status, answer = await self.ask("POST", "/submissions", job)
-            self.check_answer(job["name_id"], status, answer)
+            status, answer = await self.ask("POST", "/submissions", body)
+            self.check_answer(body["name_id"], status, answer)
             if status in (200, 201):
-                self.accepted_jobs.add(job["name_id"])
+                self.accepted_jobs.add(body["name_id"])
                 return
             await asyncio.sleep(1.0)
 
@@ -349,31 +382,32 @@
 
     def check_start(self, worker: Any, task: Any) -> None:
         super().check_start(worker, task)
-        if task.job_id in self.large:
-            self.begun.setdefault(task.job_id, virtual_now() - self.large[task.job_id])
+        if task.job_id in self.large_submitted_at:
+            self.large_start_delay_s.setdefault(task.job_id, virtual_now() - self.large_submitted_at[task.job_id])
 
-    async def story(self, cluster: SimulatedCluster) -> None:
-        """16 small ones fill all; of each machine's four some leave; then two large ones come."""
+    async def submit_services(self, cluster: SimulatedCluster) -> None:
+        """Fills the GPUs with 16 small services, cancels some on each machine, then submits two large ones."""
         for number in range(16):
-            await self.send(self.daemon(number, 1.0))
+            await self.submit(self.service_body(number, 1.0))
         while (
-            sum(t.is_active and t.job_id.startswith("j-5") for _, t in self.active_tasks()) < 16 and virtual_now() < 60
+            sum(task.is_active and task.job_id.startswith("j-5") for _, task in self.active_tasks()) < 16
+            and virtual_now() < 60
         ):
             await asyncio.sleep(0.5)
         by_machine: dict[str, list[str]] = {}
         for worker, task in self.active_tasks():
             if task.job_id.startswith("j-5"):
                 by_machine.setdefault(worker.machine.name, []).append(task.job_id)
-        for n, jobs in enumerate(sorted(by_machine.values())):
-            for job_id in sorted(jobs)[: self.leave[n % 4]]:
+        for machine_index, jobs in enumerate(sorted(by_machine.values())):
+            for job_id in sorted(jobs)[: self.cancelled_per_machine[machine_index % 4]]:
                 await self.cancel(job_id)
         for number in (100, 101):
-            job = self.daemon(number, 4.0)
-            self.large[job["name_id"]] = virtual_now()
-            await self.send(job)
+            body = self.service_body(number, 4.0)
+            self.large_submitted_at[body["name_id"]] = virtual_now()
+            await self.submit(body)
 
 
-def _params(teams: list[dict[str, Any]]) -> dict[str, Any]:
+def _simulation_params(teams: list[dict[str, Any]]) -> dict[str, Any]:
     return {
         "zones": ["a", "b"],
         "teams": teams,
@@ -386,140 +420,143 @@
 
 
 @pytest.mark.parametrize("move", [True, False])
-def test_large_services_begin_where_they_fit_in_total(move: bool) -> None:
-    settings = tuning()
+def test_large_services_start_only_after_moves_free_a_machine(move: bool) -> None:
+    settings = make_rebalancing_config()
     settings.rebalancing.move = "on" if move else "off"
-    cluster = Pieces(7500, settings)
-    cluster.schedule_action(cluster.story)
+    cluster = FragmentedCluster(7500, settings)
+    cluster.schedule_action(cluster.submit_services)
     check(cluster.run(length_s=110, job_count=4))
-    assert len(cluster.large) == 2
-    assert len(cluster.begun) == (2 if move else 0), cluster.begun
-    assert all(wait < 40 for wait in cluster.begun.values())
+    assert len(cluster.large_submitted_at) == 2
+    assert len(cluster.large_start_delay_s) == (2 if move else 0), cluster.large_start_delay_s
+    assert all(wait < 40 for wait in cluster.large_start_delay_s.values())
 
 
-@pytest.mark.parametrize("moment", ["planned", "stopped", "held"])
-@pytest.mark.parametrize("who", ["leader", "all", "machine", "state", "cancel"])
-def test_a_move_goes_on_or_is_let_go_whoever_fails_in_its_middle(moment: str, who: str) -> None:
-    cluster = Pieces(7510, tuning(), restart_delay_range_s=(0.2, 1.5))
+@pytest.mark.parametrize("move_state", ["planned", "stopped", "held"])
+@pytest.mark.parametrize("failing", ["leader", "all", "machine", "state", "cancel"])
+def test_move_completes_or_is_abandoned_after_a_failure(move_state: str, failing: str) -> None:
+    cluster = FragmentedCluster(7510, make_rebalancing_config(), restart_delay_range_s=(0.2, 1.5))
     failed: list[float] = []
 
-    def desk() -> RebalancingController | None:
+    def rebalancer() -> RebalancingController | None:
         return next(
-            (n.service.leader_term.rebalancer for n in cluster.nodes if n.service and n.service.leader_term), None
+            (
+                node.service.leader_term.rebalancer
+                for node in cluster.nodes
+                if node.service and node.service.leader_term
+            ),
+            None,
         )
 
     def reached() -> bool:
-        found = desk()
-        if found is None or not found.plans:
+        controller = rebalancer()
+        if controller is None or not controller.plans:
             return False
-        replicas = [found._placement_to_move(plan, move) for plan in found.plans for move in plan.moves]
-        if moment == "planned":
+        replicas = [controller._placement_to_move(plan, move) for plan in controller.plans for move in plan.moves]
+        if move_state == "planned":
             return True
-        if moment == "stopped":
-            return any(p is not None and p.stop_requested_at is not None for p in replicas)
-        return any(p is None for p in replicas)
+        if move_state == "stopped":
+            return any(placement is not None and placement.stop_requested_at is not None for placement in replicas)
+        return any(placement is None for placement in replicas)
 
     async def fail(_: SimulatedCluster) -> None:
         while not reached():
             await asyncio.sleep(0.02)
         failed.append(virtual_now())
-        if who == "leader":
+        if failing == "leader":
             await cluster.restart_controller(cluster.current_leader())
-        elif who == "all":
+        elif failing == "all":
             await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
-        elif who == "machine":
-            found = desk()
-            assert found is not None
-            worker = cluster.workers.get(found.plans[0].machine)
+        elif failing == "machine":
+            controller = rebalancer()
+            assert controller is not None
+            worker = cluster.workers.get(controller.plans[0].machine)
             if worker is not None:
                 worker.die()
                 await asyncio.sleep(3)
                 worker.machine.has_failed = True
-        elif who == "state":
+        elif failing == "state":
             cluster.state.is_down = True
             await asyncio.sleep(4)
             cluster.state.end_outage()
         else:
-            found = desk()
-            assert found is not None
-            await cluster.cancel(found.plans[0].for_job_id or next(iter(cluster.large)))
+            controller = rebalancer()
+            assert controller is not None
+            await cluster.cancel(controller.plans[0].for_job_id or next(iter(cluster.large_submitted_at)))
 
-    cluster.schedule_action(cluster.story)
+    cluster.schedule_action(cluster.submit_services)
     cluster.schedule_action(fail)
     check(cluster.run(length_s=130, job_count=4))
     assert failed
-    found = desk()
-    if who not in ("machine", "cancel"):
-        assert len(cluster.begun) == 2, cluster.begun
-    moved = found.moved_at_ms if found is not None else {}
-    assert len(moved) <= 12, "each replica moves once"
+    controller = rebalancer()
+    if failing not in ("machine", "cancel"):
+        assert len(cluster.large_start_delay_s) == 2, cluster.large_start_delay_s
+    moved = controller.moved_at_ms if controller is not None else {}
+    assert len(moved) <= 12, "each replica moves at most once"
 
 
 @pytest.mark.parametrize("seed", range(7520, 7526))
-def test_rough_days_with_moves_break_no_rule_and_pass_no_budget(seed: int) -> None:
+def test_moves_under_all_faults_stay_within_budgets(seed: int) -> None:
     from tests.simulation.cluster import EXTENDED_FAULTS
 
-    cluster = Pieces(seed, tuning(0.3), 0.3, is_calm=False, faults=EXTENDED_FAULTS)
-    cluster.schedule_action(cluster.story)
+    cluster = FragmentedCluster(seed, make_rebalancing_config(0.3), 0.3, is_calm=False, faults=EXTENDED_FAULTS)
+    cluster.schedule_action(cluster.submit_services)
     check(cluster.run(length_s=110, job_count=10))
 
 
-Break = Callable[[pytest.MonkeyPatch], None]
+Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def past_the_budget(patch: pytest.MonkeyPatch) -> None:
+def ignore_budgets(monkeypatch: pytest.MonkeyPatch) -> None:
     from roseweir.drain.disruption_budget import DisruptionAccount
 
-    patch.setattr(
+    monkeypatch.setattr(
         DisruptionAccount,
         "reserve_disruption",
         lambda self, run, indices, now: self.mark_down(run, indices, "drained", now) or "",
     )
-    patch.setattr(DisruptionAccount, "exceeds_budget", lambda self, run, tasks: False)
+    monkeypatch.setattr(DisruptionAccount, "exceeds_budget", lambda self, run, tasks: False)
 
 
-def test_moves_past_the_budget_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    past_the_budget(monkeypatch)
+def test_moves_beyond_the_budget_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    ignore_budgets(monkeypatch)
     for seed in range(7530, 7540):
-        cluster = Pieces(seed, tuning(0.05), 0.05)
-        cluster.schedule_action(cluster.story)
+        cluster = FragmentedCluster(seed, make_rebalancing_config(0.05), 0.05)
+        cluster.schedule_action(cluster.submit_services)
         cluster.run(length_s=100, job_count=2)
         if cluster.rule_violations:
             return
-    pytest.fail("no seed caught it")
+    pytest.fail("no seed exceeded a budget")
 
 
-@pytest.mark.parametrize("forgets", [False, True])
-def test_nobody_is_moved_twice_though_leaders_end_after_each_halt(
-    forgets: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """With the record the next leader finishes what was begun; without, it moves who has just been moved."""
-    if forgets:
+@pytest.mark.parametrize("forgets_moves", [False, True])
+def test_no_replica_moves_twice_across_leader_restarts(forgets_moves: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The next leader finishes recorded moves; without the record it moves replicas again that have just moved."""
+    if forgets_moves:
         monkeypatch.setattr(RebalancingController, "restore", lambda self, value: None)
-    twice: list[str] = []
+    moved_twice: list[str] = []
     for seed in range(7540, 7543):
-        settings = tuning()
+        settings = make_rebalancing_config()
         settings.rebalancing.max_concurrent_moves = 1
-        cluster = Ending(seed, settings, restart_delay_range_s=(0.1, 0.5))
-        cluster.leave = (2, 2, 2, 2)
-        cluster.schedule_action(cluster.story)
+        cluster = LeaderRestartCluster(seed, settings, restart_delay_range_s=(0.1, 0.5))
+        cluster.cancelled_per_machine = (2, 2, 2, 2)
+        cluster.schedule_action(cluster.submit_services)
         check(cluster.run(length_s=150, job_count=2))
-        assert len(cluster.begun) == 2
-        twice += [name for name in cluster.halted if cluster.halted.count(name) > 1]
-    assert bool(twice) == forgets, twice
+        assert len(cluster.large_start_delay_s) == 2
+        moved_twice += [name for name in cluster.stopped_jobs if cluster.stopped_jobs.count(name) > 1]
+    assert bool(moved_twice) == forgets_moves, moved_twice
 
 
-class Ending(Pieces):
-    """Whoever leads ends as a replica has been told to go."""
+class LeaderRestartCluster(FragmentedCluster):
+    """Restarts the leader 50 ms after each stop command to a replica that is moved."""
 
-    halted: list[str]
+    stopped_jobs: list[str]
 
     def on_halt(self, worker: Any, task: Any, grace: float) -> None:
         super().on_halt(worker, task, grace)
         if task.job_id.startswith("j-5") and task.job_id not in self.cancel_requested:
-            self.halted = [*getattr(self, "halted", []), task.job_id]
-            self.spawn(self.end())
+            self.stopped_jobs = [*getattr(self, "stopped_jobs", []), task.job_id]
+            self.spawn(self.restart_leader())
 
-    async def end(self) -> None:
+    async def restart_leader(self) -> None:
         await asyncio.sleep(0.05)
         await self.restart_controller(self.current_leader())
