--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -38,7 +38,7 @@
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.test_scheduler import NOW, make_cluster_state
 from tests.test_simulated_days import check
-from tests.test_workflows import watched
+from tests.test_workflows import observe_workflows
 
 TORONTO = Calendar(time_zone="America/Toronto", holidays={(None, 12, 25), (2026, 12, 28)})
 
@@ -242,7 +242,7 @@
         with patch.context() as inner:
             if not hurries:
                 inner.setattr("roseweir.delivery_deadlines.controller.urgent_job_slack", lambda standings, chains: {})
-            cluster = watched(Landings(seed, promised(time(0, 1, 40), margin=110)))
+            cluster = observe_workflows(Landings(seed, promised(time(0, 1, 40), margin=110)))
             cluster.fillers = 60
             cluster.schedule_action(cluster.night)
             check(cluster.run(length_s=102, job_count=1))
@@ -258,7 +258,7 @@
 
 @pytest.mark.parametrize("who", ["leader", "all", "state", "zone"])
 def test_no_failure_moves_forgets_or_doubles_a_promise(who: str) -> None:
-    cluster = watched(
+    cluster = observe_workflows(
         Landings(7810, promised(time(0, 2)), landing=8, restart_delay_range_s=(0.1, 1.0), max_clock_skew_s=0.5)
     )
     dues: dict[str, set[int]] = {}
@@ -314,7 +314,7 @@
 
 @pytest.mark.parametrize("seed", range(7820, 7824))
 def test_rough_nights_break_no_rule_and_are_told_as_the_world_knows_them(seed: int) -> None:
-    cluster = watched(
+    cluster = observe_workflows(
         Landings(
             seed, promised(time(0, 1, 30)), is_calm=False, faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS], scale=2
         )
@@ -340,7 +340,7 @@
 def test_nights_are_kept_durably_in_bounded_space_and_drawn(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.REPORT_CLOSE_DELAY_MS", 10_000)
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(2))
-    cluster = watched(Landings(7830, promised(time(0, 1)), landing=6, scale=2))
+    cluster = observe_workflows(Landings(7830, promised(time(0, 1)), landing=6, scale=2))
     told: list[Any] = []
 
     async def end(_: SimulatedCluster) -> None:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -46,7 +46,7 @@
 from tests.test_rebalancing import FragmentedCluster, make_rebalancing_config
 from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import check
-from tests.test_workflows import watched as seen_in_the_viewer
+from tests.test_workflows import observe_workflows
 
 Patch = pytest.MonkeyPatch
 
@@ -523,7 +523,7 @@
 
 
 def with_chains(seed: int) -> SimulatedCluster:
-    cluster = seen_in_the_viewer(WorkflowCluster(seed, faults=MET, restart_delay_range_s=(0.1, 3.0)))
+    cluster = observe_workflows(WorkflowCluster(seed, faults=MET, restart_delay_range_s=(0.1, 3.0)))
 
     async def act(_: SimulatedCluster) -> None:
         for at, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
@@ -539,7 +539,7 @@
 
 
 def with_promises(seed: int) -> SimulatedCluster:
-    cluster = seen_in_the_viewer(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=MET, scale=2))
+    cluster = observe_workflows(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=MET, scale=2))
     cluster.schedule_action(cluster.night)
     return cluster
 
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -1,4 +1,4 @@
-"""Chains of jobs: taken whole, released once and never early, and going on whoever fails."""
+"""Workflows: accepted atomically, each step released once after its dependencies, and resumed after failures."""
 
 import asyncio
 import random
@@ -25,19 +25,19 @@
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.test_simulated_days import check
 
-W = TypeVar("W", bound=WorkflowCluster)
+WorkflowClusterT = TypeVar("WorkflowClusterT", bound=WorkflowCluster)
 
 
-def watched(cluster: W) -> W:
+def observe_workflows(cluster: WorkflowClusterT) -> WorkflowClusterT:
     cluster.schedule_action(cluster.watch_viewer)
     cluster.schedule_action(cluster.poll_steps)
     return cluster
 
 
-def landing(count: int, at: float, fan_out: bool = False) -> Any:
+def submit_amendments_at(count: int, start_s: float, fan_out: bool = False) -> Any:
     async def act(cluster: SimulatedCluster) -> None:
         assert isinstance(cluster, WorkflowCluster)
-        await asyncio.sleep(at)
+        await asyncio.sleep(start_s)
         for _ in range(count):
             cluster.spawn(cluster.submit_amendment(cluster.registry.make_amendment(fan_out=fan_out)))
             await asyncio.sleep(0.05)
@@ -45,165 +45,175 @@
     return act
 
 
-# -- what is sent -------------------------------------------------------------------------------
+# -- validation and step order ------------------------------------------------------------------
 
 
-def test_an_amendment_that_makes_no_sense_is_refused_in_one_line_before_anybody_is_asked(
-    tmp_path: Any, capsys: pytest.CaptureFixture[str]
-) -> None:
-    good = SimulatedRegistry(1).make_amendment(["lot-1", "lot-2"])
-
-    def changed(**more: Any) -> dict[str, Any]:
-        return orjson.loads(orjson.dumps(good | more))  # type: ignore[no-any-return]
-
-    circle = changed()
-    circle["steps"][0]["after"] = [circle["steps"][2]["job"]["name_id"]]
-    missing = changed()
-    missing["steps"][1]["after"] = ["j-99"]
-    twice = changed()
-    twice["steps"][1] = twice["steps"][0]
-    daemon = changed()
-    daemon["steps"][0]["job"]["shape"] = "daemon"
-    two_teams = changed()
+def test_invalid_amendment_is_rejected_before_any_request(tmp_path: Any, capsys: pytest.CaptureFixture[str]) -> None:
+    valid = SimulatedRegistry(1).make_amendment(["lot-1", "lot-2"])
+
+    def valid_with(**overrides: Any) -> dict[str, Any]:
+        return orjson.loads(orjson.dumps(valid | overrides))  # type: ignore[no-any-return]
+
+    cyclic = valid_with()
+    cyclic["steps"][0]["after"] = [cyclic["steps"][2]["job"]["name_id"]]
+    missing_step = valid_with()
+    missing_step["steps"][1]["after"] = ["j-99"]
+    duplicate_step = valid_with()
+    duplicate_step["steps"][1] = duplicate_step["steps"][0]
+    service_step = valid_with()
+    service_step["steps"][0]["job"]["shape"] = "daemon"
+    two_teams = valid_with()
     two_teams["steps"][0]["job"]["crew"] = "t1"
-    for bad, why in [
-        (circle, "circle"),
-        (missing, "no step"),
-        (twice, "twice"),
-        (daemon, "never ends"),
+    for invalid, reason in [
+        (cyclic, "circle"),
+        (missing_step, "no step"),
+        (duplicate_step, "twice"),
+        (service_step, "never ends"),
         (two_teams, "is of team"),
-        (changed(lots=[]), "0 lots"),
-        (changed(lots=["lot-1", "lot-1"]), "named twice"),
-        (changed(id="no spaces"), "id `no spaces`"),
-        (changed(revision="x"), "Expected `int`"),
-        (changed(more=1), "unknown field"),
-        (changed(steps=[]), "0 steps"),
+        (valid_with(lots=[]), "0 lots"),
+        (valid_with(lots=["lot-1", "lot-1"]), "named twice"),
+        (valid_with(id="no spaces"), "id `no spaces`"),
+        (valid_with(revision="x"), "Expected `int`"),
+        (valid_with(more=1), "unknown field"),
+        (valid_with(steps=[]), "0 steps"),
     ]:
         path = tmp_path / "a.json"
-        path.write_bytes(orjson.dumps(bad))
+        path.write_bytes(orjson.dumps(invalid))
         assert main(["amend", str(path), "--at", "127.0.0.1:9"]) == 2
-        told = capsys.readouterr().err.strip()
-        assert why in told and "\n" not in told, told
+        message = capsys.readouterr().err.strip()
+        assert reason in message and "\n" not in message, message
     path.write_text("{")
     assert main(["amend", str(path), "--at", "127.0.0.1:9"]) == 2
     assert main(["amend", str(tmp_path / "none"), "--at", "127.0.0.1:9"]) == 2
 
 
-def test_steps_follow_by_the_settings_order_and_fan_out_by_lot() -> None:
+def test_step_dependencies_follow_settings_order_and_lots() -> None:
     settings = parse_workflow_settings([])
     assert settings.max_attempts == 5
     settings = WorkflowSettings(step_order=[["a"], ["b", "c"], ["d"]])
     registry = SimulatedRegistry(1)
     jobs = [("a", ["x"]), ("a", ["y"]), ("b", ["x"]), ("c", []), ("d", [])]
-    steps = [{"job": registry.make_job(f"j-{n}", docket, 1), "lots": lots} for n, (docket, lots) in enumerate(jobs)]
+    steps = [
+        {"job": registry.make_job(f"j-{number}", job_class, 1), "lots": lots}
+        for number, (job_class, lots) in enumerate(jobs)
+    ]
     amendment = parse_amendment({"id": "am", "revision": 1, "lots": ["x", "y"], "steps": steps})
     specs = job_specs(amendment)
-    after = step_dependencies(amendment, specs, settings)
-    assert after == [[], [], [0], [0, 1], [2, 3]]
-    chain = build_workflow(amendment, specs, after, settings, 5)
-    assert [step.is_delivery for step in chain.steps] == [False] * 4 + [True] and chain.lots_of(chain.steps[2]) == ["x"]
-    for bad in (
+    dependencies = step_dependencies(amendment, specs, settings)
+    assert dependencies == [[], [], [0], [0, 1], [2, 3]]
+    workflow = build_workflow(amendment, specs, dependencies, settings, 5)
+    assert [step.is_delivery for step in workflow.steps] == [False] * 4 + [True] and workflow.lots_of(
+        workflow.steps[2]
+    ) == ["x"]
+    for invalid in (
         "(chain (order))",
         '(chain (order "a" "a"))',
         '(chain (on-cancel "x"))',
         '(chain (delivery "z") (order "a"))',
     ):
         with pytest.raises(SettingsError):
-            parse_operator_config(sexpdata.parse(bad))
+            parse_operator_config(sexpdata.parse(invalid))
     with pytest.raises(WorkflowRejected):
         parse_amendment({"id": "am", "revision": 1, "lots": ["x"], "steps": [steps[1]]})
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_any_graph_is_released_in_its_order_and_each_step_once(seed: int) -> None:
-    draw = random.Random(seed)
-    count = draw.randint(2, 30)
+def test_each_step_is_released_once_after_its_dependencies(seed: int) -> None:
+    rng = random.Random(seed)
+    count = rng.randint(2, 30)
     steps = [
-        WorkflowStep(f"j-{n}", "c", sorted(draw.sample(range(n), draw.randint(0, min(n, 3)))), []) for n in range(count)
+        WorkflowStep(f"j-{number}", "c", sorted(rng.sample(range(number), rng.randint(0, min(number, 3)))), [])
+        for number in range(count)
     ]
-    chain = Workflow("am", 1, "t0", 0, 0, "", ["x"], steps)
+    workflow = Workflow("am", 1, "t0", 0, 0, "", ["x"], steps)
     settings = WorkflowSettings()
     released: list[int] = []
     running: set[int] = set()
-    while not chain.is_ended:
-        todo = step_transitions.evaluate(chain, settings, lambda job: True)
-        for n in todo.releasable:
-            assert n not in released and all(chain.steps[m].outcome == "done" for m in chain.steps[n].dependencies)
-            chain.steps[n].released_ms = 1
-            released.append(n)
-            running.add(n)
-        if todo.final_state:
-            chain.state = todo.final_state
+    while not workflow.is_ended:
+        transitions = step_transitions.evaluate(workflow, settings, lambda job: True)
+        for number in transitions.releasable:
+            assert number not in released and all(
+                workflow.steps[dependency].outcome == "done" for dependency in workflow.steps[number].dependencies
+            )
+            workflow.steps[number].released_ms = 1
+            released.append(number)
+            running.add(number)
+        if transitions.final_state:
+            workflow.state = transitions.final_state
             break
-        n = draw.choice(sorted(running))
-        running.discard(n)
-        assert step_transitions.record_step_outcome(chain, f"j-{n}", "done", 2)
-        assert not step_transitions.record_step_outcome(chain, f"j-{n}", "done", 3), "an end counts once"
-    assert sorted(released) == list(range(count)) and chain.state == "done"
+        number = rng.choice(sorted(running))
+        running.discard(number)
+        assert step_transitions.record_step_outcome(workflow, f"j-{number}", "done", 2)
+        assert not step_transitions.record_step_outcome(workflow, f"j-{number}", "done", 3), (
+            "a second outcome of the same step is ignored"
+        )
+    assert sorted(released) == list(range(count)) and workflow.state == "done"
 
 
-# -- taken --------------------------------------------------------------------------------------
+# -- acceptance and execution -------------------------------------------------------------------
 
 
-def test_a_chain_is_taken_whole_and_its_steps_are_known_and_wait_for_their_turn() -> None:
-    cluster = watched(WorkflowCluster(7700, is_calm=True))
-    told: list[Any] = []
+def test_amendments_are_accepted_or_rejected_atomically() -> None:
+    cluster = observe_workflows(WorkflowCluster(7700, is_calm=True))
+    answers: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(10)
-        first = cluster.registry.make_amendment()
-        told.append(await cluster.submit_amendment(first))
-        told.append(await cluster.submit_amendment(first))
-        other = orjson.loads(orjson.dumps(first))
-        other["lots"] = [*first["lots"], "another"]
-        told.append(await cluster.submit_amendment(other))
-        last = first["steps"][-1]["job"]["name_id"]
-        status, answer = await cluster.ask("GET", f"/submissions/{last}")
-        told.append((status, answer["standing"]))
-        taken = cluster.registry.make_amendment()
-        taken["steps"][1]["job"] = {**taken["steps"][1]["job"], "name_id": last}
-        taken["steps"][2]["after"] = [last]
-        told.append(await cluster.submit_amendment(taken))
-        unknown = cluster.registry.make_amendment()
-        for step in unknown["steps"]:
+        amendment = cluster.registry.make_amendment()
+        answers.append(await cluster.submit_amendment(amendment))
+        answers.append(await cluster.submit_amendment(amendment))
+        changed = orjson.loads(orjson.dumps(amendment))
+        changed["lots"] = [*amendment["lots"], "another"]
+        answers.append(await cluster.submit_amendment(changed))
+        last_job_id = amendment["steps"][-1]["job"]["name_id"]
+        status, answer = await cluster.ask("GET", f"/submissions/{last_job_id}")
+        answers.append((status, answer["standing"]))
+        with_taken_job = cluster.registry.make_amendment()
+        with_taken_job["steps"][1]["job"] = {**with_taken_job["steps"][1]["job"], "name_id": last_job_id}
+        with_taken_job["steps"][2]["after"] = [last_job_id]
+        answers.append(await cluster.submit_amendment(with_taken_job))
+        unknown_team = cluster.registry.make_amendment()
+        for step in unknown_team["steps"]:
             step["job"]["crew"] = "nobody"
-        told.append(await cluster.submit_amendment(unknown))
-        # Nothing of what was refused is there.
-        for bad in (taken, unknown):
-            name = bad["steps"][0]["job"]["name_id"]
-            told.append((await cluster.ask("GET", f"/submissions/{name}"))[0])
-        cluster.accepted_jobs -= {step["job"]["name_id"] for bad in (taken, unknown) for step in bad["steps"]}
-        cluster.accepted_jobs.add(last)
+        answers.append(await cluster.submit_amendment(unknown_team))
+        # A rejected amendment leaves no jobs behind.
+        for rejected in (with_taken_job, unknown_team):
+            first_job_id = rejected["steps"][0]["job"]["name_id"]
+            answers.append((await cluster.ask("GET", f"/submissions/{first_job_id}"))[0])
+        cluster.accepted_jobs -= {
+            step["job"]["name_id"] for rejected in (with_taken_job, unknown_team) for step in rejected["steps"]
+        }
+        cluster.accepted_jobs.add(last_job_id)
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=60, job_count=5))
-    assert told == [201, 200, 409, (200, "queued"), 409, 422, 404, 404]
+    assert answers == [201, 200, 409, (200, "queued"), 409, 422, 404, 404]
     assert set(cluster.workflow_states().values()) <= {"done"} or not cluster.workflow_states()
 
 
-def test_what_waits_takes_no_quota_and_what_it_follows_is_durable_before_it_starts() -> None:
-    cluster = watched(WorkflowCluster(7701, is_calm=True, scale=3))
-    cluster.schedule_action(landing(25, 8, fan_out=True))
+def test_workflows_complete_without_waiting_steps_using_quota() -> None:
+    cluster = observe_workflows(WorkflowCluster(7701, is_calm=True, scale=3))
+    cluster.schedule_action(submit_amendments_at(25, 8, fan_out=True))
     states: list[dict[str, str]] = []
 
-    async def end(_: SimulatedCluster) -> None:
+    async def record_states(_: SimulatedCluster) -> None:
         await asyncio.sleep(108)
         states.append(cluster.workflow_states())
 
-    cluster.schedule_action(end)
+    cluster.schedule_action(record_states)
     check(cluster.run(length_s=110, job_count=5))
     assert len(cluster.accepted_at) == 25 and list(states[0].values()).count("done") >= 20, states
 
 
 @pytest.mark.parametrize("seed", range(7710, 7718))
-def test_rough_days_with_chains_break_no_rule(seed: int) -> None:
-    cluster = watched(
+def test_workflows_under_all_faults_break_no_rule(seed: int) -> None:
+    cluster = observe_workflows(
         WorkflowCluster(seed, faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS], restart_delay_range_s=(0.1, 3.0))
     )
 
     async def act(_: SimulatedCluster) -> None:
-        for at, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
-            await asyncio.sleep(max(0.0, at - virtual_now()))
+        for submit_at_s, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
+            await asyncio.sleep(max(0.0, submit_at_s - virtual_now()))
             cluster.spawn(cluster.submit_amendment(amendment))
 
     cluster.schedule_action(act)
@@ -211,33 +221,37 @@
     assert len(cluster.accepted_at) > 15
 
 
-MOMENTS = ["taken", "released", "started", "ended", "next released", "all over"]
+FAILURE_POINTS = ["accepted", "released", "started", "first completed", "next released", "all completed"]
 
 
-@pytest.mark.parametrize("moment", MOMENTS)
-@pytest.mark.parametrize("who", ["leader", "all", "at once", "state"])
-def test_a_chain_goes_on_from_its_last_durable_end_whoever_fails_in_whichever_step(moment: str, who: str) -> None:
-    back = (0.05, 0.2) if who == "at once" else (1.0, 3.0)
-    cluster = watched(WorkflowCluster(7720, is_calm=True, restart_delay_range_s=back))
-    failed: list[str] = []
+@pytest.mark.parametrize("failure_point", FAILURE_POINTS)
+@pytest.mark.parametrize("failing", ["leader", "all", "at once", "state"])
+def test_workflow_resumes_after_a_failure_at_each_point(failure_point: str, failing: str) -> None:
+    restart_delay_s = (0.05, 0.2) if failing == "at once" else (1.0, 3.0)
+    cluster = observe_workflows(WorkflowCluster(7720, is_calm=True, restart_delay_range_s=restart_delay_s))
+    reached_points: list[str] = []
     states: list[dict[str, str]] = []
 
     def reached(amendment: dict[str, Any]) -> bool:
-        jobs = [step["job"]["name_id"] for step in amendment["steps"]]
-        reign = next((n.service.leader_term for n in cluster.nodes if n.service and n.service.leader_term), None)
-        runs: list[JobRun | None] = [None if reign is None else reign.cluster_state.jobs.get(job) for job in jobs]
-        over = [f"over/{job}" in cluster.state.keys for job in jobs]
-        if moment == "taken":
+        job_ids = [step["job"]["name_id"] for step in amendment["steps"]]
+        leader_term = next(
+            (node.service.leader_term for node in cluster.nodes if node.service and node.service.leader_term), None
+        )
+        runs: list[JobRun | None] = [
+            None if leader_term is None else leader_term.cluster_state.jobs.get(job_id) for job_id in job_ids
+        ]
+        completed = [f"over/{job_id}" in cluster.state.keys for job_id in job_ids]
+        if failure_point == "accepted":
             return any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.state.keys)
-        if moment == "released":
+        if failure_point == "released":
             return runs[0] is not None and not runs[0].hold_reason
-        if moment == "started":
-            return any(job == jobs[0] for job, _, _ in cluster.started_attempts)
-        if moment == "ended":
-            return over[0]
-        if moment == "next released":
-            return over[0] and runs[1] is not None and not runs[1].hold_reason
-        return all(over)
+        if failure_point == "started":
+            return any(job_id == job_ids[0] for job_id, _, _ in cluster.started_attempts)
+        if failure_point == "first completed":
+            return completed[0]
+        if failure_point == "next released":
+            return completed[0] and runs[1] is not None and not runs[1].hold_reason
+        return all(completed)
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(10)
@@ -245,10 +259,10 @@
         cluster.spawn(cluster.submit_amendment(amendment))
         while not reached(amendment):
             await asyncio.sleep(0.01)
-        failed.append(moment)
-        if who == "all":
+        reached_points.append(failure_point)
+        if failing == "all":
             await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
-        elif who == "state":
+        elif failing == "state":
             cluster.state.is_down = True
             await asyncio.sleep(9)
             cluster.state.end_outage()
@@ -262,53 +276,55 @@
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=120, job_count=2))
-    assert failed and list(states[0].values()) == ["done"], (states, failed)
-    jobs = [step["job"]["name_id"] for step in next(iter(cluster.sent_amendments.values()))["steps"]]
-    for job in jobs:
-        starts = [index for name, index, _ in cluster.started_attempts if name == job]
-        done = {index for name, index in cluster.finished if name == job}
-        assert len(done) == cluster.jobs[job]["parcels"]
-        if who in ("leader", "all", "at once"):
-            assert len(starts) == len(set(starts)), "nothing done is done again"
-
-
-def test_an_amendment_larger_than_a_transaction_is_taken_whole_or_not_at_all() -> None:
-    cluster = watched(WorkflowCluster(7730, is_calm=True, txn_ops=8, value_kb=8.0, scale=3))
-    told: list[Any] = []
+    assert reached_points and list(states[0].values()) == ["done"], (states, reached_points)
+    job_ids = [step["job"]["name_id"] for step in next(iter(cluster.sent_amendments.values()))["steps"]]
+    for job_id in job_ids:
+        started_indices = [
+            task_index for started_job_id, task_index, _ in cluster.started_attempts if started_job_id == job_id
+        ]
+        done_indices = {task_index for started_job_id, task_index in cluster.finished if started_job_id == job_id}
+        assert len(done_indices) == cluster.jobs[job_id]["parcels"]
+        if failing in ("leader", "all", "at once"):
+            assert len(started_indices) == len(set(started_indices)), "no completed task is started again"
+
+
+def test_amendment_larger_than_a_transaction_is_accepted_atomically() -> None:
+    cluster = observe_workflows(WorkflowCluster(7730, is_calm=True, txn_ops=8, value_kb=8.0, scale=3))
+    page_key_existed: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(8)
-        large = cluster.registry.make_amendment([f"lot-{n}" for n in range(30)], fan_out=True)
+        large = cluster.registry.make_amendment([f"lot-{number}" for number in range(30)], fan_out=True)
         cluster.register_amendment(large)
         cluster.spawn(cluster.submit_amendment(large))
-        # The leader ends in the middle of the taking: nobody was told anything, and the registry asks again.
+        # The leader restarts while it stores the amendment, before it has answered; the registry retries the request.
         while sum(key.startswith("live/j-4") for key in cluster.state.keys) < 10:
             await asyncio.sleep(0.01)
-        told.append(any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.state.keys))
+        page_key_existed.append(any(key.startswith(PAGE_KEY_PREFIX) for key in cluster.state.keys))
         await cluster.restart_controller(cluster.current_leader())
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=110, job_count=1))
-    assert told == [False] and len(cluster.accepted_at) == 1
+    assert page_key_existed == [False] and len(cluster.accepted_at) == 1
     assert list(cluster.workflow_states().values()) in (["done"], ["open"], [])
 
 
-# -- overtaken ----------------------------------------------------------------------------------
+# -- superseded amendments and bursts -----------------------------------------------------------
 
 
-@pytest.mark.parametrize("running", ["finish", "stop"])
-def test_the_viewer_never_gets_the_older_after_the_newer(running: str) -> None:
-    cluster = watched(WorkflowCluster(7740, workflow_config(superseded=running), is_calm=True))
+@pytest.mark.parametrize("superseded_jobs", ["finish", "stop"])
+def test_viewer_never_gets_an_older_revision_after_a_newer_one(superseded_jobs: str) -> None:
+    cluster = observe_workflows(WorkflowCluster(7740, workflow_config(superseded=superseded_jobs), is_calm=True))
     cluster.registry.run_time_range_s = (3.0, 9.0)
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(8)
         for _turn in range(12):
-            amendment = cluster.registry.make_amendment([f"lot-{n}" for n in cluster.rng.sample(range(4), 2)])
-            late = cluster.rng.random() < 0.3
+            amendment = cluster.registry.make_amendment([f"lot-{number}" for number in cluster.rng.sample(range(4), 2)])
+            is_delayed = cluster.rng.random() < 0.3
 
-            async def send(amendment: dict[str, Any] = amendment, late: bool = late) -> None:
-                if late:
+            async def send(amendment: dict[str, Any] = amendment, is_delayed: bool = is_delayed) -> None:
+                if is_delayed:
                     await asyncio.sleep(cluster.rng.uniform(3, 10))
                 await cluster.submit_amendment(amendment)
 
@@ -317,17 +333,26 @@
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=130, job_count=2))
-    taken = [a for a in cluster.sent_amendments.values() if a["id"] in cluster.accepted_at]
-    assert len(taken) >= 8 and len(taken) + cluster.answer_statuses.count(409) == 12, "what is not taken is told why"
-    newest = {lot: max(a["revision"] for a in taken if lot in a["lots"]) for lot in cluster.shown_revisions}
-    assert {lot: revision for lot, (revision, _) in cluster.shown_revisions.items()} == newest
+    accepted = [
+        amendment_body
+        for amendment_body in cluster.sent_amendments.values()
+        if amendment_body["id"] in cluster.accepted_at
+    ]
+    assert len(accepted) >= 8 and len(accepted) + cluster.answer_statuses.count(409) == 12, (
+        "each amendment is either accepted or rejected with a reason"
+    )
+    newest_revisions = {
+        lot: max(amendment_body["revision"] for amendment_body in accepted if lot in amendment_body["lots"])
+        for lot in cluster.shown_revisions
+    }
+    assert {lot: revision for lot, (revision, _) in cluster.shown_revisions.items()} == newest_revisions
 
 
-def test_a_burst_is_trimmed_with_a_time_to_come_back_and_none_is_lost() -> None:
+def test_burst_is_rejected_with_a_retry_delay_and_none_is_lost() -> None:
     settings = workflow_config(max_amendments_per_window=20.0, intake_window=timedelta(seconds=10))
-    cluster = watched(WorkflowCluster(7750, settings, is_calm=True, scale=3))
+    cluster = observe_workflows(WorkflowCluster(7750, settings, is_calm=True, scale=3))
     cluster.registry.run_time_range_s = (0.5, 1.0)
-    cluster.schedule_action(landing(80, 8))
+    cluster.schedule_action(submit_amendments_at(80, 8))
     check(cluster.run(length_s=110, job_count=1))
     assert (
         len(cluster.accepted_at) + cluster.answer_statuses.count(409) == 80 and cluster.answer_statuses.count(429) > 20
@@ -335,163 +360,169 @@
     assert len(cluster.accepted_at) > 70
 
 
-# -- standing still -----------------------------------------------------------------------------
+# -- halted, cancelled and stopped workflows ----------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(7760, 7768))
-def test_a_failing_step_stands_still_says_so_and_goes_on_when_told(seed: int) -> None:
-    cluster = watched(WorkflowCluster(seed, workflow_config(max_attempts=3), is_calm=True))
-    told: list[Any] = []
+def test_failing_step_halts_its_workflow_until_it_is_resumed(seed: int) -> None:
+    cluster = observe_workflows(WorkflowCluster(seed, workflow_config(max_attempts=3), is_calm=True))
+    results: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(8)
         amendment = cluster.registry.make_amendment(["lot-1"])
         amendment["steps"][1]["job"]["parcels"] = 1
-        bad = amendment["steps"][1]["job"]["name_id"]
+        failing_job_id = amendment["steps"][1]["job"]["name_id"]
         await cluster.submit_amendment(amendment)
-        cluster.jobs[bad]["mistaken"] = True
+        cluster.jobs[failing_job_id]["mistaken"] = True
         while "standing" not in cluster.workflow_states().values():
             await asyncio.sleep(0.5)
-        starts = sum(job == bad for job, _, _ in cluster.started_attempts)
+        start_count = sum(job_id == failing_job_id for job_id, _, _ in cluster.started_attempts)
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(10)
-        told.append(sum(job == bad for job, _, _ in cluster.started_attempts) - starts)
+        results.append(sum(job_id == failing_job_id for job_id, _, _ in cluster.started_attempts) - start_count)
         status, answer = await cluster.request_workflow({"verb": "list", "name": amendment["id"]})
-        told.extend([status, answer["chain"]["why"]])
+        results.extend([status, answer["chain"]["why"]])
         status, _answer = await cluster.request_workflow({"verb": "list"})
-        cluster.jobs[bad]["mistaken"] = False
+        cluster.jobs[failing_job_id]["mistaken"] = False
         for _turn in range(10):
             status, _answer = await cluster.request_workflow({"verb": "resume", "name": amendment["id"]})
             if status == 200:
                 break
             await asyncio.sleep(1)
         await asyncio.sleep(25)
-        told.append(list(cluster.workflow_states().values()))
+        results.append(list(cluster.workflow_states().values()))
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=110, job_count=1))
-    assert told[0] == 0 and told[1] == 200 and "failed 3 times" in told[2] and told[3] == ["done"], told
+    assert results[0] == 0 and results[1] == 200 and "failed 3 times" in results[2] and results[3] == ["done"], results
 
 
 @pytest.mark.parametrize("on_cancel", ["stop", "skip"])
-def test_what_follows_a_cancelled_step_is_stopped_or_skips_it(on_cancel: str) -> None:
-    cluster = watched(WorkflowCluster(7770, workflow_config(on_cancel=on_cancel), is_calm=True))
+def test_dependents_of_a_cancelled_step_are_stopped_or_skip_it(on_cancel: str) -> None:
+    cluster = observe_workflows(WorkflowCluster(7770, workflow_config(on_cancel=on_cancel), is_calm=True))
     cluster.may_skip_failed = on_cancel == "skip"
     cluster.registry.run_time_range_s = (4.0, 5.0)
-    ended: list[str] = []
+    final_states: list[str] = []
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(8)
         amendment = cluster.registry.make_amendment(["lot-1"])
         await cluster.submit_amendment(amendment)
-        jobs = [step["job"]["name_id"] for step in amendment["steps"]]
-        cluster.cancel_requested.add(jobs[1])
-        status, answer = await cluster.ask("POST", f"/submissions/{jobs[1]}/cancel")
-        cluster.check_answer(jobs[1], status, answer)
+        job_ids = [step["job"]["name_id"] for step in amendment["steps"]]
+        cluster.cancel_requested.add(job_ids[1])
+        status, answer = await cluster.ask("POST", f"/submissions/{job_ids[1]}/cancel")
+        cluster.check_answer(job_ids[1], status, answer)
         await asyncio.sleep(40)
-        ended.extend(
-            cluster.state.keys[f"over/{job}"][0]["state"] for job in jobs if f"over/{job}" in cluster.state.keys
+        final_states.extend(
+            cluster.state.keys[f"over/{job_id}"][0]["state"]
+            for job_id in job_ids
+            if f"over/{job_id}" in cluster.state.keys
         )
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=70, job_count=1))
-    assert ended == ["done", "cancelled", "cancelled" if on_cancel == "stop" else "done"]
+    assert final_states == ["done", "cancelled", "cancelled" if on_cancel == "stop" else "done"]
 
 
-def test_a_stopped_chain_begins_nothing_more_until_it_is_resumed() -> None:
-    cluster = watched(WorkflowCluster(7780, is_calm=True))
+def test_stopped_workflow_starts_no_step_until_it_is_resumed() -> None:
+    cluster = observe_workflows(WorkflowCluster(7780, is_calm=True))
     cluster.registry.run_time_range_s = (3.0, 4.0)
-    told: list[Any] = []
+    results: list[Any] = []
 
     async def act(_: SimulatedCluster) -> None:
         await asyncio.sleep(8)
         amendment = cluster.registry.make_amendment(["lot-1"])
         await cluster.submit_amendment(amendment)
-        jobs = [step["job"]["name_id"] for step in amendment["steps"]]
-        while not any(job == jobs[0] for job, _, _ in cluster.started_attempts):
+        job_ids = [step["job"]["name_id"] for step in amendment["steps"]]
+        while not any(job_id == job_ids[0] for job_id, _, _ in cluster.started_attempts):
             await asyncio.sleep(0.1)
-        told.append((await cluster.request_workflow({"verb": "stop", "name": amendment["id"]}))[0])
+        results.append((await cluster.request_workflow({"verb": "stop", "name": amendment["id"]}))[0])
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(20)
-        told.append([any(job == each for each, _, _ in cluster.started_attempts) for job in jobs])
+        results.append(
+            [any(job_id == started_job_id for started_job_id, _, _ in cluster.started_attempts) for job_id in job_ids]
+        )
         while (await cluster.request_workflow({"verb": "resume", "name": amendment["id"]}))[0] != 200:
             await asyncio.sleep(1)
         await asyncio.sleep(25)
-        told.append(list(cluster.workflow_states().values()))
-        told.append((await cluster.request_workflow({"verb": "stop", "name": "nobody"}))[0])
+        results.append(list(cluster.workflow_states().values()))
+        results.append((await cluster.request_workflow({"verb": "stop", "name": "nobody"}))[0])
 
     cluster.schedule_action(act)
     check(cluster.run(length_s=100, job_count=1))
-    assert told == [200, [True, False, False], ["done"], 404], told
+    assert results == [200, [True, False, False], ["done"], 404], results
 
 
-# -- what it costs, and broken variants ---------------------------------------------------------
+# -- writes per workflow, and faulty variants ---------------------------------------------------
 
 
 @pytest.mark.parametrize(("write_rps", "txn_ops", "value_kb"), [(15.0, 8, 4.0), (30.0, 24, 8.0)])
-def test_a_chain_costs_at_most_two_changes_beyond_its_jobs_own(write_rps: float, txn_ops: int, value_kb: float) -> None:
-    cluster = watched(
+def test_workflow_needs_at_most_two_writes_beyond_those_of_its_jobs(
+    write_rps: float, txn_ops: int, value_kb: float
+) -> None:
+    cluster = observe_workflows(
         WorkflowCluster(7790, is_calm=True, scale=4, write_rps=write_rps, txn_ops=txn_ops, value_kb=value_kb)
     )
     cluster.registry.run_time_range_s = (0.5, 1.0)
-    cluster.schedule_action(landing(40, 6))
-    changes: dict[str, int] = {}
+    cluster.schedule_action(submit_amendments_at(40, 6))
+    writes_by_key_prefix: dict[str, int] = {}
 
-    async def count(_: SimulatedCluster) -> None:
-        plain = cluster.state.commit_transaction
+    async def install_write_counter(_: SimulatedCluster) -> None:
+        original = cluster.state.commit_transaction
 
-        def txn(body: Any) -> Any:
-            answer = plain(body)
+        def count_writes(body: Any) -> Any:
+            answer = original(body)
             if answer.status == 200:
-                for op in body["then"]:
-                    kind = str(op.get("put") or op.get("delete")).partition("/")[0]
-                    changes[kind] = changes.get(kind, 0) + 1
+                for operation in body["then"]:
+                    key_prefix = str(operation.get("put") or operation.get("delete")).partition("/")[0]
+                    writes_by_key_prefix[key_prefix] = writes_by_key_prefix.get(key_prefix, 0) + 1
             return answer
 
-        cluster.state.commit_transaction = txn  # type: ignore[method-assign]
+        cluster.state.commit_transaction = count_writes  # type: ignore[method-assign]
 
-    cluster.schedule_action(count)
+    cluster.schedule_action(install_write_counter)
     states: list[str] = []
 
-    async def end(_: SimulatedCluster) -> None:
+    async def record_states(_: SimulatedCluster) -> None:
         await asyncio.sleep(138)
         states.extend(cluster.workflow_states().values())
 
-    cluster.schedule_action(end)
+    cluster.schedule_action(record_states)
     check(cluster.run(length_s=140, job_count=1))
-    taken = len(cluster.accepted_at)
-    assert taken >= 35 and changes["chain"] <= 2 * taken, changes
-    assert states.count("done") + states.count("superseded") >= 0.9 * taken, states
+    accepted_count = len(cluster.accepted_at)
+    assert accepted_count >= 35 and writes_by_key_prefix["chain"] <= 2 * accepted_count, writes_by_key_prefix
+    assert states.count("done") + states.count("superseded") >= 0.9 * accepted_count, states
 
 
-def released_without_their_turn(patch: pytest.MonkeyPatch) -> None:
-    """A new leader takes all that it finds for free."""
-    patch.setattr(step_transitions, "_satisfies_dependents", lambda step, settings: True)
+def release_steps_early(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Treats every dependency as satisfied."""
+    monkeypatch.setattr(step_transitions, "_satisfies_dependents", lambda step, settings: True)
 
 
-def order_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """The newer amendment's delivery does not wait for the older one's."""
-    patch.setattr(step_transitions, "pending_delivery_jobs", lambda older, newer: [])
+def ignore_older_deliveries(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The delivery of a newer amendment does not wait for that of an older one."""
+    monkeypatch.setattr(step_transitions, "pending_delivery_jobs", lambda older, newer: [])
 
 
 @pytest.mark.parametrize(
-    ("broken", "rule"),
-    [(released_without_their_turn, "started_early"), (order_forgotten, "older_after_newer")],
+    ("patch", "rule"),
+    [(release_steps_early, "started_early"), (ignore_older_deliveries, "older_after_newer")],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_broken_variant_is_caught(broken: Any, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    broken(monkeypatch)
+def test_faulty_step_transitions_are_detected(patch: Any, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    patch(monkeypatch)
     for seed in range(20):
-        cluster = watched(WorkflowCluster(seed, is_calm=True))
+        cluster = observe_workflows(WorkflowCluster(seed, is_calm=True))
         cluster.registry.run_time_range_s = (1.0, 12.0)
         cluster.registry.lot_count = 3
 
         async def act(_: SimulatedCluster, cluster: WorkflowCluster = cluster) -> None:
-            for at, amendment in cluster.registry.make_day(50.0, 2.0, 20.0, 5):
-                await asyncio.sleep(max(0.0, at - virtual_now()))
+            for submit_at_s, amendment in cluster.registry.make_day(50.0, 2.0, 20.0, 5):
+                await asyncio.sleep(max(0.0, submit_at_s - virtual_now()))
                 cluster.spawn(cluster.submit_amendment(amendment))
 
         cluster.schedule_action(act)
         if any(rule in str(error) for error in cluster.run(length_s=80, job_count=2).rule_violations):
             return
-    pytest.fail("no seed caught it")
+    pytest.fail("no seed broke the rule")
