--- a/benchmarks/delivery_deadlines.py
+++ b/benchmarks/delivery_deadlines.py
@@ -17,16 +17,18 @@
 
 from roseweir.delivery_deadlines import controller
 from tests.simulation.cluster import SimulatedCluster, virtual_now
-from tests.test_delivery_deadlines import Landings, promised
+from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
 
 MORNING_S = 100.0
 
 
-class BenchmarkNight(Landings):
+class BenchmarkNight(DeadlineCluster):
     has_faults_all_night = False
 
     def __init__(self, seed: int, **more: Any) -> None:
-        super().__init__(seed, promised(time(0, 1, 40), margin=110), restart_delay_range_s=(0.2, 1.5), **more)
+        super().__init__(
+            seed, make_deadline_config(time(0, 1, 40), margin=110), restart_delay_range_s=(0.2, 1.5), **more
+        )
         self.filler_jobs = 60
         self.core_seconds = 0.0
 
@@ -62,14 +64,19 @@
     try:
         cluster = BenchmarkNight(seed)
         cluster.has_faults_all_night = has_faults
-        for act in (cluster.watch_viewer, cluster.night, cluster.inject_night_faults, cluster.measure_capacity):
+        for act in (
+            cluster.watch_viewer,
+            cluster.submit_night_work,
+            cluster.inject_night_faults,
+            cluster.measure_capacity,
+        ):
             cluster.schedule_action(act)
         cluster.run(length_s=MORNING_S + 2, job_count=1)
     finally:
         vars(controller)["urgent_job_slack"] = original_hurry
     if cluster.errors or cluster.rule_violations:
         raise SystemExit(f"mornings: seed {seed}: {(cluster.errors + cluster.rule_violations)[0]}")
-    kept, lots = cluster.kept(MORNING_S)
+    kept, lots = cluster.lots_delivered_by(MORNING_S)
     return kept, lots, cluster.lots_bound()
 
 
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -186,7 +186,7 @@
 # -- in the simulated world ---------------------------------------------------------------------
 
 
-def promised(by: time, **more: Any) -> OperatorConfig:
+def make_deadline_config(by: time, **more: Any) -> OperatorConfig:
     """The world's days begin at midnight."""
     found = workflow_config()
     found.delivery_deadline = DeadlineSettings(
@@ -201,7 +201,7 @@
     )
 
 
-class Landings(WorkflowCluster):
+class DeadlineCluster(WorkflowCluster):
     """An array of the same team fills the place before a landing that is promised for soon after."""
 
     def __init__(self, seed: int, operator_config: OperatorConfig, landing: int = 12, **more: Any) -> None:
@@ -211,7 +211,7 @@
         self.fillers = 10
         self.ends: dict[str, float] = {}
 
-    async def night(self, _: SimulatedCluster) -> None:
+    async def submit_night_work(self, _: SimulatedCluster) -> None:
         await asyncio.sleep(6)
         for n in range(self.fillers):
             # Of the team's own, and earlier in the queue.
@@ -229,7 +229,7 @@
         super().record_delivery(job)
         self.ends[job] = virtual_now()
 
-    def kept(self, due: float) -> tuple[int, int]:
+    def lots_delivered_by(self, due: float) -> tuple[int, int]:
         """Lots that were in the viewer by then, and all of those taken, as the workers know it."""
         taken = {last for last, (name, _) in self.revision_by_job.items() if name in self.accepted_at}
         lots = sum(len(self.lots_by_job[last]) for last in taken)
@@ -242,11 +242,11 @@
         with patch.context() as inner:
             if not hurries:
                 inner.setattr("roseweir.delivery_deadlines.controller.urgent_job_slack", lambda standings, chains: {})
-            cluster = observe_workflows(Landings(seed, promised(time(0, 1, 40), margin=110)))
+            cluster = observe_workflows(DeadlineCluster(seed, make_deadline_config(time(0, 1, 40), margin=110)))
             cluster.fillers = 60
-            cluster.schedule_action(cluster.night)
+            cluster.schedule_action(cluster.submit_night_work)
             check(cluster.run(length_s=102, job_count=1))
-            found = cluster.kept(100.0)
+            found = cluster.lots_delivered_by(100.0)
             kept, lots = kept + found[0], lots + found[1]
     return kept / lots
 
@@ -259,7 +259,9 @@
 @pytest.mark.parametrize("who", ["leader", "all", "state", "zone"])
 def test_no_failure_moves_forgets_or_doubles_a_promise(who: str) -> None:
     cluster = observe_workflows(
-        Landings(7810, promised(time(0, 2)), landing=8, restart_delay_range_s=(0.1, 1.0), max_clock_skew_s=0.5)
+        DeadlineCluster(
+            7810, make_deadline_config(time(0, 2)), landing=8, restart_delay_range_s=(0.1, 1.0), max_clock_skew_s=0.5
+        )
     )
     dues: dict[str, set[int]] = {}
     told: list[Any] = []
@@ -298,7 +300,7 @@
         told.append({s.workflow_id: s.state for s in desk.statuses.values()})
         told.append(desk.describe())
 
-    cluster.schedule_action(cluster.night)
+    cluster.schedule_action(cluster.submit_night_work)
     cluster.schedule_action(look_on)
     cluster.schedule_action(fail)
     cluster.schedule_action(end)
@@ -315,8 +317,12 @@
 @pytest.mark.parametrize("seed", range(7820, 7824))
 def test_rough_nights_break_no_rule_and_are_told_as_the_world_knows_them(seed: int) -> None:
     cluster = observe_workflows(
-        Landings(
-            seed, promised(time(0, 1, 30)), is_calm=False, faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS], scale=2
+        DeadlineCluster(
+            seed,
+            make_deadline_config(time(0, 1, 30)),
+            is_calm=False,
+            faults=[*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS],
+            scale=2,
         )
     )
     wrong: list[str] = []
@@ -331,7 +337,7 @@
                 if standing.state == MET and (over is None or over[0]["state"] != "done"):
                     wrong.append(f"{standing.workflow_id} told as kept before its durable end")
 
-    cluster.schedule_action(cluster.night)
+    cluster.schedule_action(cluster.submit_night_work)
     cluster.schedule_action(compare)
     check(cluster.run(length_s=110, job_count=5))
     assert wrong == []
@@ -340,7 +346,7 @@
 def test_nights_are_kept_durably_in_bounded_space_and_drawn(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.REPORT_CLOSE_DELAY_MS", 10_000)
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(2))
-    cluster = observe_workflows(Landings(7830, promised(time(0, 1)), landing=6, scale=2))
+    cluster = observe_workflows(DeadlineCluster(7830, make_deadline_config(time(0, 1)), landing=6, scale=2))
     told: list[Any] = []
 
     async def end(_: SimulatedCluster) -> None:
@@ -353,7 +359,7 @@
         told.append(desk.describe())
         cluster.is_over = True
 
-    cluster.schedule_action(cluster.night)
+    cluster.schedule_action(cluster.submit_night_work)
     cluster.schedule_action(end)
     check(cluster.run(length_s=120, job_count=1))
     assert told[0] and told[1]["nights"][0]["night"] == "2026-01-01"
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -40,7 +40,7 @@
 from tests.simulation.fault_combinations import FaultCombinationCluster, FaultSchedule, LongTaskCluster, is_caught
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster
-from tests.test_delivery_deadlines import Landings, promised
+from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
 from tests.test_eviction_days import make_eviction_cluster
 from tests.test_job_durability import ANSWERED, watched
 from tests.test_rebalancing import FragmentedCluster, make_rebalancing_config
@@ -539,8 +539,10 @@
 
 
 def with_promises(seed: int) -> SimulatedCluster:
-    cluster = observe_workflows(Landings(seed, promised(time(0, 1, 30)), is_calm=False, faults=MET, scale=2))
-    cluster.schedule_action(cluster.night)
+    cluster = observe_workflows(
+        DeadlineCluster(seed, make_deadline_config(time(0, 1, 30)), is_calm=False, faults=MET, scale=2)
+    )
+    cluster.schedule_action(cluster.submit_night_work)
     return cluster
 
 
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -50,7 +50,7 @@
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.linearizability import Action
 from tests.simulation.workflows import WorkflowCluster
-from tests.test_delivery_deadlines import Landings, promised
+from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
 from tests.test_eviction_days import make_eviction_cluster
 from tests.test_simulated_days import check
 
@@ -897,8 +897,8 @@
         cluster.schedule_action(cluster.watch_viewer)
         cluster.schedule_action(lambda _: some_amendments(cluster))
     else:
-        cluster = Landings(seed, promised(time(0, 1)), landing=6, restart_delay_range_s=(0.1, 1.0))
-        cluster.schedule_action(cluster.night)
+        cluster = DeadlineCluster(seed, make_deadline_config(time(0, 1)), landing=6, restart_delay_range_s=(0.1, 1.0))
+        cluster.schedule_action(cluster.submit_night_work)
     return cluster, loses_answers(cluster, what, 0.5)
 
 
