--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -1,4 +1,4 @@
-"""Promises of mornings: which instant, how they stand, whom they hurry, and that no failure moves or forgets one."""
+"""Delivery deadlines: due times, status, the order of urgent jobs, and due times that survive failures."""
 
 import asyncio
 import random
@@ -43,12 +43,12 @@
 TORONTO = Calendar(time_zone="America/Toronto", holidays={(None, 12, 25), (2026, 12, 28)})
 
 
-def ms(text: str, zone: str = "America/Toronto") -> int:
+def epoch_ms(text: str, zone: str = "America/Toronto") -> int:
     return round(datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone)).timestamp() * 1000)
 
 
 @pytest.mark.parametrize(
-    ("landed", "due", "more"),
+    ("accepted", "due", "policy"),
     [
         ("2026-12-01T22:00", "2026-12-02T08:00", {}),
         ("2026-12-02T07:59", "2026-12-02T08:00", {}),
@@ -58,82 +58,89 @@
         ("2026-12-02T22:59", "2026-12-03T08:00", {"cutoff_time": time(23)}),
         ("2026-12-02T23:01", "2026-12-04T08:00", {"cutoff_time": time(23)}),
         ("2026-12-04T20:00", "2026-12-07T08:00", {}),  # a weekend
-        ("2026-12-24T20:00", "2026-12-29T08:00", {}),  # a holiday, a weekend, and a holiday of this year
+        ("2026-12-24T20:00", "2026-12-29T08:00", {}),  # a yearly holiday, a weekend, and a holiday of 2026 alone
         ("2026-12-04T20:00", "2026-12-05T08:00", {"closed_weekdays": [6]}),
-        # The night in which the clocks go on, and the one in which they go back.
+        # The nights in which daylight saving time begins and ends.
         ("2026-03-07T23:00", "2026-03-08T08:00", {"closed_weekdays": []}),
         ("2026-10-31T23:00", "2026-11-01T08:00", {"closed_weekdays": []}),
     ],
 )
-def test_the_next_business_morning(landed: str, due: str, more: dict[str, Any]) -> None:
-    found = compute_due_ms(ms(landed), DeadlinePolicy(**more), TORONTO)
-    assert found == ms(due), datetime.fromtimestamp(found / 1000, UTC)
-    assert night_ending_date(found, TORONTO) == due[:10]
+def test_due_time_is_the_next_business_morning(accepted: str, due: str, policy: dict[str, Any]) -> None:
+    due_ms = compute_due_ms(epoch_ms(accepted), DeadlinePolicy(**policy), TORONTO)
+    assert due_ms == epoch_ms(due), datetime.fromtimestamp(due_ms / 1000, UTC)
+    assert night_ending_date(due_ms, TORONTO) == due[:10]
 
 
-def test_an_hour_that_is_skipped_or_comes_twice_is_one_instant() -> None:
+def test_due_time_across_daylight_saving_changes() -> None:
     zone = ZoneInfo("America/Toronto")
     skipped = local_instant(datetime(2026, 3, 8).date(), time(2, 30), zone)
     assert skipped.astimezone(zone).replace(tzinfo=None) == datetime(2026, 3, 8, 3, 0)
-    twice = local_instant(datetime(2026, 11, 1).date(), time(1, 30), zone)
-    assert twice == datetime(2026, 11, 1, 5, 30, tzinfo=UTC), "the first time"
+    repeated = local_instant(datetime(2026, 11, 1).date(), time(1, 30), zone)
+    assert repeated == datetime(2026, 11, 1, 5, 30, tzinfo=UTC), "the first of the two instants"
     for year in (2025, 2026, 2027):
         for day in range(365):
-            at = datetime(year, 1, 1) + timedelta(days=day)
-            landed = round(at.replace(tzinfo=zone).timestamp() * 1000) + 3600_000 * (day % 24)
-            due = compute_due_ms(landed, DeadlinePolicy(), TORONTO)
-            local = datetime.fromtimestamp(due / 1000, zone)
-            assert due > landed and (local.hour, local.minute) == (8, 0) and local.weekday() < 5
+            local_time = datetime(year, 1, 1) + timedelta(days=day)
+            accepted_ms = round(local_time.replace(tzinfo=zone).timestamp() * 1000) + 3600_000 * (day % 24)
+            due_ms = compute_due_ms(accepted_ms, DeadlinePolicy(), TORONTO)
+            due_local = datetime.fromtimestamp(due_ms / 1000, zone)
+            assert due_ms > accepted_ms and (due_local.hour, due_local.minute) == (8, 0) and due_local.weekday() < 5
 
 
-def test_settings_are_checked() -> None:
-    found = parse_operator_config(
+def test_invalid_deadline_settings_are_rejected() -> None:
+    settings = parse_operator_config(
         sexpdata.parse(
             '(calendar (time-zone "America/Toronto")) (promise (by "07:30") (closed "sunday")) (promise (team "t1"))'
         )
     ).delivery_deadline
     assert (
-        found is not None
-        and found.policy_for("t0") is found.policies[0]
-        and found.policy_for("t1") is found.policies[1]
+        settings is not None
+        and settings.policy_for("t0") is settings.policies[0]
+        and settings.policy_for("t1") is settings.policies[1]
     )
-    assert found.calendar.time_zone == "America/Toronto"
-    for bad in ('(by "25:00")', '(closed "someday")', "(quantile 1)", "(nothing)", '(by "08:00+01:00")'):
+    assert settings.calendar.time_zone == "America/Toronto"
+    for invalid in ('(by "25:00")', '(closed "someday")', "(quantile 1)", "(nothing)", '(by "08:00+01:00")'):
         with pytest.raises(SettingsError):
-            parse_operator_config(sexpdata.parse(f"(promise {bad})"))
+            parse_operator_config(sexpdata.parse(f"(promise {invalid})"))
     with pytest.raises(SettingsError):
         parse_operator_config(sexpdata.parse("(promise) (promise)"))
 
 
-def chain(due: int, *steps: WorkflowStep, lots: int = 2) -> Workflow:
-    return Workflow("am", 1, "t0", 0, 0, "", [f"lot-{n}" for n in range(lots)], list(steps), due_ms=due)
+def make_workflow(due_ms: int, *steps: WorkflowStep, lots: int = 2) -> Workflow:
+    return Workflow("am", 1, "t0", 0, 0, "", [f"lot-{number}" for number in range(lots)], list(steps), due_ms=due_ms)
 
 
-def three(
+def make_steps(
     outcomes: tuple[str, str, str] = ("", "", ""), released: tuple[int, int, int] = (1, 0, 0)
 ) -> list[WorkflowStep]:
     return [
         WorkflowStep(
-            f"j-{n}", "abc"[n], [n - 1] if n else [], [], outcomes[n], released[n], 5000 * (n + 1), is_delivery=n == 2
+            f"j-{number}",
+            "abc"[number],
+            [number - 1] if number else [],
+            [],
+            outcomes[number],
+            released[number],
+            5000 * (number + 1),
+            is_delivery=number == 2,
         )
-        for n in range(3)
+        for number in range(3)
     ]
 
 
-def test_how_a_promise_stands_and_that_nothing_is_told_before_its_durable_end() -> None:
-    times = StepDurations()
-    for value in (8, 10, 12, 10, 30):
-        for name in "abc":
-            times.add(name, value)
+def test_deadline_status_follows_critical_path_and_completion() -> None:
+    durations = StepDurations()
+    for duration_s in (8, 10, 12, 10, 30):
+        for job_class in "abc":
+            durations.add(job_class, duration_s)
 
-    def usual(step: WorkflowStep) -> float:
-        return times.quantile(step.job_class, 0.5) or 0.0
+    def median_duration_s(step: WorkflowStep) -> float:
+        return durations.quantile(step.job_class, 0.5) or 0.0
 
-    left_s, held_by = remaining_critical_path(chain(0, *three()), usual, 1)
-    assert left_s == pytest.approx(30.0, abs=0.01) and held_by == "a"
-    assert remaining_critical_path(chain(0, *three()), usual, 9001)[0] == pytest.approx(22.5), (
-        "late steps get a part again"
-    )
+    left_s, critical_job_class = remaining_critical_path(make_workflow(0, *make_steps()), median_duration_s, 1)
+    assert left_s == pytest.approx(30.0, abs=0.01) and critical_job_class == "a"
+    assert remaining_critical_path(make_workflow(0, *make_steps()), median_duration_s, 9001)[0] == pytest.approx(
+        22.5
+    ), "a step that exceeds its estimate gets a part of it again"
     states = [
         (100_000, 20_000, 1, ("", "", ""), ON_TRACK),
         (40_000, 20_000, 1, ("", "", ""), AT_RISK),
@@ -142,145 +149,183 @@
         (40_000, 0, 30_000, ("done", "done", "done"), MET),
         (14_000, 0, 30_000, ("done", "done", "done"), deadline_status.DELIVERED_LATE),
     ]
-    for due, margin, at, outcomes, state in states:
-        assert evaluate_deadline(chain(due, *three(outcomes)), usual, margin, at).state == state
-    fan = chain(
+    for due_ms, margin_ms, now_ms, outcomes, state in states:
+        assert (
+            evaluate_deadline(make_workflow(due_ms, *make_steps(outcomes)), median_duration_s, margin_ms, now_ms).state
+            == state
+        )
+    fan_out = make_workflow(
         20_000,
         WorkflowStep("j-1", "c", [], [0], "done", 1, 5_000, is_delivery=True),
         WorkflowStep("j-2", "c", [], [1], "done", 1, 25_000, is_delivery=True),
     )
-    assert delivered_lots(fan) == ["lot-0", "lot-1"] and delivered_lots(fan, 20_000) == ["lot-0"], "each lot by itself"
-    night = NightReport()
-    night.add(fan, "c", 30_000)
-    assert (night.due_lots, night.on_time_lots, night.late_lots) == (2, 1, 1) and NightReport.decode(
-        night.encode()
-    ) == night
+    assert delivered_lots(fan_out) == ["lot-0", "lot-1"] and delivered_lots(fan_out, 20_000) == ["lot-0"], (
+        "lots are counted one by one"
+    )
+    report = NightReport()
+    report.add(fan_out, "c", 30_000)
+    assert (report.due_lots, report.on_time_lots, report.late_lots) == (2, 1, 1) and NightReport.decode(
+        report.encode()
+    ) == report
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_hurry_moves_nobody_elses_place_and_what_cannot_be_kept_pushes_nobody(seed: int) -> None:
-    draw = random.Random(seed)
+def test_urgent_jobs_only_reorder_within_their_team_and_priority(seed: int) -> None:
+    rng = random.Random(seed)
     cluster_state = make_cluster_state()
-    for n in range(1, 60):
-        cluster_state.add_job(job(n, team=draw.choice(["t0", "t1"]), priority=draw.randint(1, 3), accepted_ms=n), n)
-    plain = build_queue(cluster_state, NOW)
-    chosen = draw.sample(plain, 15)
-    cluster_state.slack_ms_by_job = {run.spec.id: draw.randint(-50, 500) * 1000 for run in chosen}
-    hurried = build_queue(cluster_state, NOW)
-    kind = [(run.spec.team, run.spec.priority, run.is_within_quota) for run in plain]
-    assert [(run.spec.team, run.spec.priority, run.is_within_quota) for run in hurried] == kind
-    for group in set(kind):
-        runs = [run for run, k in zip(hurried, kind, strict=True) if k == group]
+    for number in range(1, 60):
+        cluster_state.add_job(
+            job(number, team=rng.choice(["t0", "t1"]), priority=rng.randint(1, 3), accepted_ms=number), number
+        )
+    queue_without_deadlines = build_queue(cluster_state, NOW)
+    urgent_runs = rng.sample(queue_without_deadlines, 15)
+    cluster_state.slack_ms_by_job = {run.spec.id: rng.randint(-50, 500) * 1000 for run in urgent_runs}
+    queue = build_queue(cluster_state, NOW)
+    groups = [(run.spec.team, run.spec.priority, run.is_within_quota) for run in queue_without_deadlines]
+    assert [(run.spec.team, run.spec.priority, run.is_within_quota) for run in queue] == groups
+    for group in set(groups):
+        runs = [run for run, run_group in zip(queue, groups, strict=True) if run_group == group]
         slack = [cluster_state.slack_ms_by_job.get(run.spec.id) for run in runs]
-        first = [s for s in slack if s is not None]
-        assert slack[: len(first)] == sorted(first)
-        rest = [run.spec.accepted_ms for run in runs if run.spec.id not in cluster_state.slack_ms_by_job]
-        assert rest == sorted(rest)
-    run = chosen[0]
+        urgent_slack = [value for value in slack if value is not None]
+        assert slack[: len(urgent_slack)] == sorted(urgent_slack)
+        other_accepted_ms = [run.spec.accepted_ms for run in runs if run.spec.id not in cluster_state.slack_ms_by_job]
+        assert other_accepted_ms == sorted(other_accepted_ms)
+    run = urgent_runs[0]
     cluster_state.slack_ms_by_job[run.spec.id] = 30_000
-    assert time_budget(cluster_state, run, seconds(0)) == seconds(18), "machines are asked for in that time"
-    lost = evaluate_deadline(chain(5_000, *three()), lambda step: 100.0, 0, 1)
-    assert lost.state == UNATTAINABLE and urgent_job_slack([lost], {"am": chain(5_000, *three())}) == {}
+    assert time_budget(cluster_state, run, seconds(0)) == seconds(18), "machines are rented within a part of the slack"
+    unattainable = evaluate_deadline(make_workflow(5_000, *make_steps()), lambda step: 100.0, 0, 1)
+    assert (
+        unattainable.state == UNATTAINABLE
+        and urgent_job_slack([unattainable], {"am": make_workflow(5_000, *make_steps())}) == {}
+    )
 
 
-# -- in the simulated world ---------------------------------------------------------------------
+# -- in the simulated cluster -------------------------------------------------------------------
 
 
-def make_deadline_config(by: time, **more: Any) -> OperatorConfig:
-    """The world's days begin at midnight."""
-    found = workflow_config()
-    found.delivery_deadline = DeadlineSettings(
-        policies=[DeadlinePolicy(due_time=by, closed_weekdays=[], risk_margin=seconds(more.pop("margin", 40)), **more)]
+def make_deadline_config(due_time: time, **policy_fields: Any) -> OperatorConfig:
+    """The simulated day begins at midnight, so `due_time` counts from the start of the run."""
+    config = workflow_config()
+    config.delivery_deadline = DeadlineSettings(
+        policies=[
+            DeadlinePolicy(
+                due_time=due_time,
+                closed_weekdays=[],
+                risk_margin=seconds(policy_fields.pop("margin", 40)),
+                **policy_fields,
+            )
+        ]
     )
-    return found
+    return config
 
 
-def desk_of(cluster: SimulatedCluster) -> DeadlineController | None:
+def deadline_controller_of(cluster: SimulatedCluster) -> DeadlineController | None:
     return next(
-        (n.service.leader_term.delivery_deadlines for n in cluster.nodes if n.service and n.service.leader_term), None
+        (
+            node.service.leader_term.delivery_deadlines
+            for node in cluster.nodes
+            if node.service and node.service.leader_term
+        ),
+        None,
     )
 
 
 class DeadlineCluster(WorkflowCluster):
-    """An array of the same team fills the place before a landing that is promised for soon after."""
+    """Arrays of the same team fill the capacity before amendments with an early delivery deadline are submitted."""
 
-    def __init__(self, seed: int, operator_config: OperatorConfig, landing: int = 12, **more: Any) -> None:
+    def __init__(self, seed: int, operator_config: OperatorConfig, amendment_count: int = 12, **more: Any) -> None:
         super().__init__(seed, operator_config, **({"is_calm": True, "scale": 1} | more))
         self.registry.run_time_range_s = (1.0, 2.0)
-        self.landing = landing
-        self.fillers = 10
-        self.ends: dict[str, float] = {}
+        self.amendment_count = amendment_count
+        self.filler_count = 10
+        self.delivered_at: dict[str, float] = {}
 
     async def submit_night_work(self, _: SimulatedCluster) -> None:
         await asyncio.sleep(6)
-        for n in range(self.fillers):
-            # Of the team's own, and earlier in the queue.
-            filler = self.registry.make_job(f"j-3{n:05d}", "lot-reproject", 40, guess_s=6.0)
+        for number in range(self.filler_count):
+            # Of the same team as the amendments, and ahead of them in the queue.
+            filler = self.registry.make_job(f"j-3{number:05d}", "lot-reproject", 40, guess_s=6.0)
             self.jobs[filler["name_id"]] = filler
             status, answer = await self.ask("POST", "/submissions", filler)
             self.check_answer(filler["name_id"], status, answer)
             if status in (200, 201):
                 self.accepted_jobs.add(filler["name_id"])
-        for _turn in range(self.landing):
+        for _turn in range(self.amendment_count):
             self.spawn(self.submit_amendment(self.registry.make_amendment(fan_out=False)))
             await asyncio.sleep(0.1)
 
     def record_delivery(self, job: str) -> None:
         super().record_delivery(job)
-        self.ends[job] = virtual_now()
-
-    def lots_delivered_by(self, due: float) -> tuple[int, int]:
-        """Lots that were in the viewer by then, and all of those taken, as the workers know it."""
-        taken = {last for last, (name, _) in self.revision_by_job.items() if name in self.accepted_at}
-        lots = sum(len(self.lots_by_job[last]) for last in taken)
-        return sum(len(self.lots_by_job[last]) for last in taken if self.ends.get(last, 1e9) <= due), lots
-
-
-def share(seeds: range, hurries: bool, patch: pytest.MonkeyPatch) -> float:
-    kept = lots = 0
+        self.delivered_at[job] = virtual_now()
+
+    def lots_delivered_by(self, due_s: float) -> tuple[int, int]:
+        """Counts the lots delivered by `due_s`, as the workers ended their tasks, and all accepted lots."""
+        delivery_jobs = {
+            delivery_job
+            for delivery_job, (amendment_id, _) in self.revision_by_job.items()
+            if amendment_id in self.accepted_at
+        }
+        lots = sum(len(self.lots_by_job[delivery_job]) for delivery_job in delivery_jobs)
+        return sum(
+            len(self.lots_by_job[delivery_job])
+            for delivery_job in delivery_jobs
+            if self.delivered_at.get(delivery_job, 1e9) <= due_s
+        ), lots
+
+
+def on_time_share(seeds: range, prioritizes_urgent: bool, monkeypatch: pytest.MonkeyPatch) -> float:
+    on_time = lots = 0
     for seed in seeds:
-        with patch.context() as inner:
-            if not hurries:
-                inner.setattr("roseweir.delivery_deadlines.controller.urgent_job_slack", lambda standings, chains: {})
+        with monkeypatch.context() as context:
+            if not prioritizes_urgent:
+                context.setattr(
+                    "roseweir.delivery_deadlines.controller.urgent_job_slack", lambda statuses, workflows: {}
+                )
             cluster = observe_workflows(DeadlineCluster(seed, make_deadline_config(time(0, 1, 40), margin=110)))
-            cluster.fillers = 60
+            cluster.filler_count = 60
             cluster.schedule_action(cluster.submit_night_work)
             check(cluster.run(length_s=102, job_count=1))
-            found = cluster.lots_delivered_by(100.0)
-            kept, lots = kept + found[0], lots + found[1]
-    return kept / lots
+            delivered = cluster.lots_delivered_by(100.0)
+            on_time, lots = on_time + delivered[0], lots + delivered[1]
+    return on_time / lots
 
 
-def test_more_promises_are_kept_than_by_plain_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain, hurried = (share(range(7800, 7803), each, monkeypatch) for each in (False, True))
-    assert hurried > plain + 0.15, (plain, hurried)
+def test_urgent_job_order_delivers_more_lots_on_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    without_priority, with_priority = (
+        on_time_share(range(7800, 7803), prioritizes_urgent, monkeypatch) for prioritizes_urgent in (False, True)
+    )
+    assert with_priority > without_priority + 0.15, (without_priority, with_priority)
 
 
-@pytest.mark.parametrize("who", ["leader", "all", "state", "zone"])
-def test_no_failure_moves_forgets_or_doubles_a_promise(who: str) -> None:
+@pytest.mark.parametrize("failing", ["leader", "all", "state", "zone"])
+def test_due_times_survive_failures_unchanged(failing: str) -> None:
     cluster = observe_workflows(
         DeadlineCluster(
-            7810, make_deadline_config(time(0, 2)), landing=8, restart_delay_range_s=(0.1, 1.0), max_clock_skew_s=0.5
+            7810,
+            make_deadline_config(time(0, 2)),
+            amendment_count=8,
+            restart_delay_range_s=(0.1, 1.0),
+            max_clock_skew_s=0.5,
         )
     )
-    dues: dict[str, set[int]] = {}
-    told: list[Any] = []
+    due_ms_by_workflow: dict[str, set[int]] = {}
+    results: list[Any] = []
 
-    async def look_on(_: SimulatedCluster) -> None:
+    async def record_due_times(_: SimulatedCluster) -> None:
         while True:
             await asyncio.sleep(0.1)
-            desk = desk_of(cluster)
-            for known in desk._workflows_with_deadline() if desk is not None else ():
-                dues.setdefault(known.id, set()).add(known.due_ms)
+            controller = deadline_controller_of(cluster)
+            for workflow in controller._workflows_with_deadline() if controller is not None else ():
+                due_ms_by_workflow.setdefault(workflow.id, set()).add(workflow.due_ms)
 
     async def fail(_: SimulatedCluster) -> None:
         await asyncio.sleep(12)
         for _turn in range(6):
-            if who == "leader":
+            if failing == "leader":
                 await cluster.restart_controller(cluster.current_leader())
-            elif who == "all":
+            elif failing == "all":
                 await asyncio.gather(*(cluster.restart_controller(node) for node in cluster.nodes))
-            elif who == "state":
+            elif failing == "state":
                 cluster.state.is_down = True
                 await asyncio.sleep(7)
                 cluster.state.end_outage()
@@ -292,30 +337,39 @@
 
     async def end(_: SimulatedCluster) -> None:
         await asyncio.sleep(118)
-        while desk_of(cluster) is None or not desk_of(cluster).is_loaded:  # type: ignore[union-attr]
+        while deadline_controller_of(cluster) is None or not deadline_controller_of(cluster).is_loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.2)
-        desk = desk_of(cluster)
-        assert desk is not None
-        desk._evaluate_deadlines()
-        told.append({s.workflow_id: s.state for s in desk.statuses.values()})
-        told.append(desk.describe())
+        controller = deadline_controller_of(cluster)
+        assert controller is not None
+        controller._evaluate_deadlines()
+        results.append({status.workflow_id: status.state for status in controller.statuses.values()})
+        results.append(controller.describe())
 
     cluster.schedule_action(cluster.submit_night_work)
-    cluster.schedule_action(look_on)
+    cluster.schedule_action(record_due_times)
     cluster.schedule_action(fail)
     cluster.schedule_action(end)
     check(cluster.run(length_s=125, job_count=1))
     midnight = round(datetime(2026, 1, 1, tzinfo=UTC).timestamp() * 1000)
-    assert set(dues) == set(cluster.accepted_at) and all(each == {midnight + 120_000} for each in dues.values())
-    kept = {cluster.revision_by_job[last][0] for last, at in cluster.ends.items() if at <= 117}
-    assert all(told[0].get(name) in (MET, deadline_status.SUPERSEDED) for name in kept & set(told[0])), told[0]
-    assert sum(night["promised"] for night in told[1]["nights"]) == sum(
-        len(a["lots"]) for a in cluster.sent_amendments.values()
+    assert set(due_ms_by_workflow) == set(cluster.accepted_at) and all(
+        due_ms == {midnight + 120_000} for due_ms in due_ms_by_workflow.values()
+    )
+    delivered_in_time = {
+        cluster.revision_by_job[delivery_job][0]
+        for delivery_job, delivered_at in cluster.delivered_at.items()
+        if delivered_at <= 117
+    }
+    assert all(
+        results[0].get(workflow_id) in (MET, deadline_status.SUPERSEDED)
+        for workflow_id in delivered_in_time & set(results[0])
+    ), results[0]
+    assert sum(report["promised"] for report in results[1]["nights"]) == sum(
+        len(amendment["lots"]) for amendment in cluster.sent_amendments.values()
     )
 
 
 @pytest.mark.parametrize("seed", range(7820, 7824))
-def test_rough_nights_break_no_rule_and_are_told_as_the_world_knows_them(seed: int) -> None:
+def test_deadline_is_never_met_before_completion_is_durable(seed: int) -> None:
     cluster = observe_workflows(
         DeadlineCluster(
             seed,
@@ -330,12 +384,12 @@
     async def compare(_: SimulatedCluster) -> None:
         while True:
             await asyncio.sleep(0.25)
-            desk = desk_of(cluster)
-            for standing in list(desk.statuses.values()) if desk is not None else ():
-                last = cluster.sent_amendments[standing.workflow_id]["steps"][-1]["job"]["name_id"]
-                over = cluster.state.keys.get(f"over/{last}")
-                if standing.state == MET and (over is None or over[0]["state"] != "done"):
-                    wrong.append(f"{standing.workflow_id} told as kept before its durable end")
+            controller = deadline_controller_of(cluster)
+            for status in list(controller.statuses.values()) if controller is not None else ():
+                delivery_job = cluster.sent_amendments[status.workflow_id]["steps"][-1]["job"]["name_id"]
+                completion = cluster.state.keys.get(f"over/{delivery_job}")
+                if status.state == MET and (completion is None or completion[0]["state"] != "done"):
+                    wrong.append(f"{status.workflow_id} has status met before its completion is durable")
 
     cluster.schedule_action(cluster.submit_night_work)
     cluster.schedule_action(compare)
@@ -343,27 +397,27 @@
     assert wrong == []
 
 
-def test_nights_are_kept_durably_in_bounded_space_and_drawn(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_night_reports_survive_failover_and_are_drawn(tmp_path: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.REPORT_CLOSE_DELAY_MS", 10_000)
     monkeypatch.setattr("roseweir.delivery_deadlines.controller.SAVE_INTERVAL", seconds(2))
-    cluster = observe_workflows(DeadlineCluster(7830, make_deadline_config(time(0, 1)), landing=6, scale=2))
-    told: list[Any] = []
+    cluster = observe_workflows(DeadlineCluster(7830, make_deadline_config(time(0, 1)), amendment_count=6, scale=2))
+    results: list[Any] = []
 
     async def end(_: SimulatedCluster) -> None:
         await asyncio.sleep(90)
-        told.append("promise/nights" in cluster.state.keys)
+        results.append("promise/nights" in cluster.state.keys)
         await cluster.restart_controller(cluster.current_leader())
         await asyncio.sleep(8)
-        desk = desk_of(cluster)
-        assert desk is not None
-        told.append(desk.describe())
+        controller = deadline_controller_of(cluster)
+        assert controller is not None
+        results.append(controller.describe())
         cluster.is_over = True
 
     cluster.schedule_action(cluster.submit_night_work)
     cluster.schedule_action(end)
     check(cluster.run(length_s=120, job_count=1))
-    assert told[0] and told[1]["nights"][0]["night"] == "2026-01-01"
-    night = told[1]["nights"][0]
-    assert night["kept"] + night["late"] + night["superseded"] == night["promised"] > 0
-    chart.draw_chart(told[1], tmp_path / "night.png")
+    assert results[0] and results[1]["nights"][0]["night"] == "2026-01-01"
+    report = results[1]["nights"][0]
+    assert report["kept"] + report["late"] + report["superseded"] == report["promised"] > 0
+    chart.draw_chart(results[1], tmp_path / "night.png")
     assert (tmp_path / "night.png").stat().st_size > 5000
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -897,7 +897,9 @@
         cluster.schedule_action(cluster.watch_viewer)
         cluster.schedule_action(lambda _: some_amendments(cluster))
     else:
-        cluster = DeadlineCluster(seed, make_deadline_config(time(0, 1)), landing=6, restart_delay_range_s=(0.1, 1.0))
+        cluster = DeadlineCluster(
+            seed, make_deadline_config(time(0, 1)), amendment_count=6, restart_delay_range_s=(0.1, 1.0)
+        )
         cluster.schedule_action(cluster.submit_night_work)
     return cluster, loses_answers(cluster, what, 0.5)
 
