--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -72,6 +72,7 @@
 
 
 def test_due_time_across_daylight_saving_changes() -> None:
+    """A local time that is skipped or occurs twice still maps to one instant."""
     zone = ZoneInfo("America/Toronto")
     skipped = local_instant(datetime(2026, 3, 8).date(), time(2, 30), zone)
     assert skipped.astimezone(zone).replace(tzinfo=None) == datetime(2026, 3, 8, 3, 0)
@@ -128,6 +129,7 @@
 
 
 def test_deadline_status_follows_critical_path_and_completion() -> None:
+    """No deadline counts as met before the durable completion of its delivery steps."""
     durations = StepDurations()
     for duration_s in (8, 10, 12, 10, 30):
         for job_class in "abc":
@@ -171,6 +173,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_urgent_jobs_only_reorder_within_their_team_and_priority(seed: int) -> None:
+    """Jobs of other teams or priorities keep their places, and an unattainable deadline makes no job urgent."""
     rng = random.Random(seed)
     cluster_state = make_cluster_state()
     for number in range(1, 60):
@@ -299,6 +302,7 @@
 
 @pytest.mark.parametrize("failing", ["leader", "all", "state", "zone"])
 def test_due_times_survive_failures_unchanged(failing: str) -> None:
+    """No failure changes a due time, loses one, or counts a workflow twice in the night reports."""
     cluster = observe_workflows(
         DeadlineCluster(
             7810,
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -108,6 +108,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_overlapping_drains_end_under_all_faults(seed: int) -> None:
+    """Acknowledged drains must not be lost, and each must end, completed or with the reason why not."""
     cluster = make_eviction_cluster(21_000 + seed, is_calm=False, faults=EXTENDED_FAULTS)
     cluster.schedule_action(lambda _: start_overlapping_drains(cluster))
     check(cluster.run(length_s=150, job_count=40))
@@ -310,6 +311,7 @@
 
 
 def test_drains_pause_during_a_key_value_store_outage() -> None:
+    """No task is evicted during the outage, and the drains continue afterwards."""
     cluster = make_budget_bound_cluster(22_200)
     stop_counts: list[int] = []
 
@@ -331,6 +333,7 @@
 
 @pytest.mark.parametrize("seed", range(22_301, 22_306))
 def test_partitioned_zone_exhausts_budgets_and_drains_wait(seed: int) -> None:
+    """Tasks lost in the partitioned zone count against the budgets of their teams, so no task is evicted meanwhile."""
     cluster = make_budget_bound_cluster(seed)
     stop_counts: list[int] = []
 
@@ -359,6 +362,7 @@
 
 @pytest.mark.parametrize("failure", ["die", "hang"])
 def test_drain_completes_when_machines_fail_during_eviction(failure: str) -> None:
+    """The drain neither waits for a failed machine forever nor forgets one that hangs."""
     cluster = make_eviction_cluster(22_400, scale=3)
     cluster.max_task_duration_s = 30.0
     ended_drains: list[dict[str, Any]] = []
@@ -420,6 +424,7 @@
 
 @pytest.mark.parametrize("failure", ["never boots", "refused"])
 def test_missing_machines_stay_bounded_without_replacements(failure: str) -> None:
+    """The drain then ends with the missing replacement as its reason."""
     cluster = make_eviction_cluster(22_600, scale=4)
     cluster.max_task_duration_s = 6.0
     remaining_counts: list[int] = []
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -232,6 +232,7 @@
 
 
 def test_tasks_count_as_down_after_failover_until_they_run() -> None:
+    """A new leader cannot know which tasks run, so each that may be down counts until a heartbeat shows it running."""
     cluster_state = make_cluster_state()
     worker = FakeWorker(cluster_state, "i-1")
     worker.send_heartbeat(NOW)
@@ -316,6 +317,7 @@
 
 
 def test_gang_is_evicted_whole_right_after_a_checkpoint() -> None:
+    """The eviction waits for a checkpoint, and needs capacity for the whole gang on other machines."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, f"i-{number}", "gpu") for number in range(4)]
     send_heartbeats(workers, NOW)
@@ -348,6 +350,7 @@
 
 
 def test_tasks_without_checkpoints_run_until_the_grace_ends() -> None:
+    """Tasks with a short remaining estimate are waited for too."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, "i-0"), FakeWorker(cluster_state, "i-1")]
     send_heartbeats(workers, NOW)
@@ -375,6 +378,7 @@
 
 
 def test_empty_machine_is_released_after_exits_are_cleared() -> None:
+    """When the drain that owns a cordon is removed, an overlapping drain takes the cordon over."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, "i-0"), FakeWorker(cluster_state, "i-1")]
     send_heartbeats(workers, NOW)
@@ -433,6 +437,7 @@
 
 
 def test_drain_waits_for_replacements_or_bounds_missing_machines() -> None:
+    """Machines are cordoned once replacements are ready; if none can be rented, `hole` bounds the missing share."""
     cluster_state = make_cluster_state()
     workers = [FakeWorker(cluster_state, f"i-{number:02d}") for number in range(20)]
     send_heartbeats(workers, NOW)
@@ -500,6 +505,7 @@
 
 
 def test_ineffective_replacement_reason_pauses_and_retries() -> None:
+    """A reason pauses when it selects too many machines of a type, or when the replacements are no better."""
     cluster_state, workers = make_aged_machines(20)
     machine_health = MachineHealth()
     auto_replacement = AutoReplacement(AutoReplacementSettings(slow=1.5, failing=2), machine_health)
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -211,6 +211,7 @@
 
 
 def test_two_competing_large_services_do_not_cause_repeated_moves() -> None:
+    """Two jobs that each need the other's capacity must not move the same replicas back and forth."""
     cluster_state, workers = make_machines(2)
     first, second = add_service(cluster_state, 1, 4.0), add_service(cluster_state, 2, 4.0)
     add_running_task(cluster_state, first, workers[0].machine)
@@ -234,6 +235,7 @@
 
 
 def test_cpu_only_replicas_move_from_gpu_to_cpu_machines() -> None:
+    """Replicas without GPUs must not use up the CPUs that the free GPUs of their machine need."""
     cluster_state, workers = make_machines(1, cpu_count=2)
     cluster_state.max_cpus_per_gpu = 10.0
     run = cluster_state.add_job(
@@ -263,6 +265,7 @@
 
 
 def test_gang_moves_whole_and_only_for_a_starving_job() -> None:
+    """A gang is moved only if moves of replicas do not suffice."""
     cluster_state, workers = make_machines(2)
     gang = cluster_state.add_job(
         job(
@@ -292,6 +295,7 @@
 
 
 def test_images_larger_than_every_cache_are_rejected() -> None:
+    """An image that fits in the cache of one machine type is placed there."""
     cluster_state, workers = make_machines(1, cpu_count=1)
     large_image_job = job(1, image="w", image_gb=80.0, cpus=2.0)
     assert (
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -49,6 +49,7 @@
 
 
 def test_invalid_amendment_is_rejected_before_any_request(tmp_path: Any, capsys: pytest.CaptureFixture[str]) -> None:
+    """The command line prints the reason in one line; no controller listens at the given address."""
     valid = SimulatedRegistry(1).make_amendment(["lot-1", "lot-2"])
 
     def valid_with(**overrides: Any) -> dict[str, Any]:
@@ -154,6 +155,7 @@
 
 
 def test_amendments_are_accepted_or_rejected_atomically() -> None:
+    """The steps of an accepted amendment are known as queued; a rejected one leaves none of its jobs behind."""
     cluster = observe_workflows(WorkflowCluster(7700, is_calm=True))
     answers: list[Any] = []
 
@@ -191,7 +193,8 @@
     assert set(cluster.workflow_states().values()) <= {"done"} or not cluster.workflow_states()
 
 
-def test_workflows_complete_without_waiting_steps_using_quota() -> None:
+def test_waiting_steps_use_no_quota_and_workflows_complete() -> None:
+    """The simulation checks that a step starts only after the durable completion of its dependencies."""
     cluster = observe_workflows(WorkflowCluster(7701, is_calm=True, scale=3))
     cluster.schedule_action(submit_amendments_at(25, 8, fan_out=True))
     states: list[dict[str, str]] = []
@@ -227,6 +230,7 @@
 @pytest.mark.parametrize("failure_point", FAILURE_POINTS)
 @pytest.mark.parametrize("failing", ["leader", "all", "at once", "state"])
 def test_workflow_resumes_after_a_failure_at_each_point(failure_point: str, failing: str) -> None:
+    """The workflow continues from the last step whose completion is durable, without repeating completed tasks."""
     restart_delay_s = (0.05, 0.2) if failing == "at once" else (1.0, 3.0)
     cluster = observe_workflows(WorkflowCluster(7720, is_calm=True, restart_delay_range_s=restart_delay_s))
     reached_points: list[str] = []
@@ -360,11 +364,12 @@
     assert len(cluster.accepted_at) > 70
 
 
-# -- halted, cancelled and stopped workflows ----------------------------------------------------
+# -- blocked, cancelled and stopped workflows ---------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(7760, 7768))
-def test_failing_step_halts_its_workflow_until_it_is_resumed(seed: int) -> None:
+def test_failing_step_blocks_its_workflow_until_it_is_resumed(seed: int) -> None:
+    """After 3 failed attempts no further one starts, also after a failover; the status gives the reason."""
     cluster = observe_workflows(WorkflowCluster(seed, workflow_config(max_attempts=3), is_calm=True))
     results: list[Any] = []
 
