--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -40,14 +40,13 @@
 from tests.simulation.fault_combinations import FaultCombinationCluster, FaultSchedule, LongTaskCluster, is_caught
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster
-from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as make_eviction_cluster
+from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
+from tests.test_eviction_days import make_eviction_cluster
 from tests.test_job_durability import MAX_UNANSWERED_S, schedule_polling_users
-from tests.test_rebalancing import Pieces
-from tests.test_rebalancing import tuning as rebalancing_config
+from tests.test_rebalancing import FragmentedCluster, make_rebalancing_config
 from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
 from tests.test_simulated_days import raise_first_failure
-from tests.test_workflows import watched as watch_workflows
+from tests.test_workflows import observe_workflows
 
 Patch = pytest.MonkeyPatch
 
@@ -535,7 +534,7 @@
 
 
 def cluster_with_workflows(seed: int) -> SimulatedCluster:
-    cluster = watch_workflows(WorkflowCluster(seed, faults=ALL_FAULTS, restart_delay_range_s=(0.1, 3.0)))
+    cluster = observe_workflows(WorkflowCluster(seed, faults=ALL_FAULTS, restart_delay_range_s=(0.1, 3.0)))
 
     async def act(_: SimulatedCluster) -> None:
         for submit_at, amendment in cluster.registry.make_day(70.0, 3.0, 20.0, 15):
@@ -547,20 +546,22 @@
 
 
 def cluster_with_drains(seed: int) -> SimulatedCluster:
-    return make_eviction_cluster(seed, older=20, calm=False, faults=ALL_FAULTS)
+    return make_eviction_cluster(seed, max_machine_age_s=20, without_random_faults=False, faults=ALL_FAULTS)
 
 
 def cluster_with_delivery_deadlines(seed: int) -> SimulatedCluster:
-    cluster = watch_workflows(
-        Landings(seed, promised(time(0, 1, 30)), without_random_faults=False, faults=ALL_FAULTS, scale=2)
+    cluster = observe_workflows(
+        DeadlineCluster(
+            seed, make_deadline_config(time(0, 1, 30)), without_random_faults=False, faults=ALL_FAULTS, scale=2
+        )
     )
-    cluster.schedule_action(cluster.night)
+    cluster.schedule_action(cluster.submit_night_work)
     return cluster
 
 
 def cluster_with_rebalancing(seed: int) -> SimulatedCluster:
-    cluster = Pieces(seed, rebalancing_config(0.3), 0.3, without_random_faults=False, faults=ALL_FAULTS)
-    cluster.schedule_action(cluster.story)
+    cluster = FragmentedCluster(seed, make_rebalancing_config(0.3), 0.3, without_random_faults=False, faults=ALL_FAULTS)
+    cluster.schedule_action(cluster.submit_services)
     return cluster
 
 
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -50,8 +50,8 @@
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.linearizability import Action
 from tests.simulation.workflows import WorkflowCluster
-from tests.test_delivery_deadlines import Landings, promised
-from tests.test_eviction_days import world_of as make_eviction_cluster
+from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
+from tests.test_eviction_days import make_eviction_cluster
 from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
@@ -930,8 +930,10 @@
         cluster.schedule_action(cluster.watch_viewer)
         cluster.schedule_action(lambda _: submit_ten_amendments(cluster))
     else:
-        cluster = Landings(seed, promised(time(0, 1)), landing=6, restart_delay_range_s=(0.1, 1.0))
-        cluster.schedule_action(cluster.night)
+        cluster = DeadlineCluster(
+            seed, make_deadline_config(time(0, 1)), amendment_count=6, restart_delay_range_s=(0.1, 1.0)
+        )
+        cluster.schedule_action(cluster.submit_night_work)
     return cluster, lose_answers(cluster, write_type, 0.5)
 
 
