--- a/roseweir/cloud/client.py
+++ b/roseweir/cloud/client.py
@@ -39,22 +39,22 @@
         return [entry.to_machine_type() for entry in value.machine_types]
 
     async def rent_machines(
-        self, request_id: str, offer: MachineOffer, count: int, may_act: Callable[[], bool]
+        self, request_id: str, offer: MachineOffer, count: int, is_lease_valid: Callable[[], bool]
     ) -> list[str]:
         """Rent up to `count` machines, at most `MAX_MACHINES_PER_RENTAL`; return the names of those obtained.
 
         Idempotent: a repeated call with the same `request_id` rents no further machines. Raises `NoCapacity` if the
-        cloud has none, `NotLeading` if `may_act` returns false after the wait for the rate limiter.
+        cloud has none, `NotLeading` if `is_lease_valid` returns false after the wait for the rate limiter.
         """
         body = wire.rental_request(
             request_id, offer.type_name, offer.zone, offer.is_spot, min(count, MAX_MACHINES_PER_RENTAL)
         )
-        return _decode(await self._call("POST", "/machines", body, may_act), wire.RentedMachines).machine_names
+        return _decode(await self._call("POST", "/machines", body, is_lease_valid), wire.RentedMachines).machine_names
 
-    async def release_machines(self, machine_names: list[str], may_act: Callable[[], bool]) -> None:
+    async def release_machines(self, machine_names: list[str], is_lease_valid: Callable[[], bool]) -> None:
         """Release the first `MAX_MACHINES_PER_RELEASE` of the named machines. Raises as `rent_machines` does."""
         body = wire.release_request(machine_names[:MAX_MACHINES_PER_RELEASE])
-        await self._call("POST", "/machines/release", body, may_act)
+        await self._call("POST", "/machines/release", body, is_lease_valid)
 
     async def list_machines(self) -> list[wire.ListedMachine]:
         """Read all pages of the cloud's list of rented machines. The list lags behind rentals and releases."""
@@ -69,12 +69,12 @@
             after = page.machines[-1].name
 
     async def _call(
-        self, method: str, path: str, body: object = None, may_act: Callable[[], bool] | None = None
+        self, method: str, path: str, body: object = None, is_lease_valid: Callable[[], bool] | None = None
     ) -> object:
         await self._rate_limiter.acquire()
         # The leader lease is checked last: it may have expired while the rate limiter delayed the call, or while the
         # process was paused.
-        if may_act is not None and not may_act():
+        if is_lease_valid is not None and not is_lease_valid():
             raise NotLeading
         reply = await self._send(method, path, body, timeout=REQUEST_TIMEOUT)
         if reply.status == 503 and b"no capacity" in reply.body:
--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -48,7 +48,7 @@
         self,
         cloud_client: CloudClient,
         cluster_state: ClusterState,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         connect: Connect,
         capacity_planners: Iterable[CapacityPlanner] = (),
     ) -> None:
@@ -58,9 +58,9 @@
         self.list_read_at = NEVER  # when the newest machine list that was received had been requested
         self.last_scheduling_pass = SchedulingPassResult()
         # Whether this node surely leads; if not, silent machines may send heartbeats to another leader.
-        self._may_act = may_act
+        self._is_lease_valid = is_lease_valid
         self._capacity_planners = list(capacity_planners)
-        self._rental = MachineRental(cloud_client, cluster_state, self.inventory, may_act)
+        self._rental = MachineRental(cloud_client, cluster_state, self.inventory, is_lease_valid)
         self._prober = MachineProber(cluster_state, connect)
         self._paused_until = NEVER
 
@@ -122,7 +122,7 @@
         await sleep(max(MIN_FIRST_DECISION_DELAY, self.cluster_state.settings.params.workers.heartbeat_interval))
         while True:
             now = monotonic_now()
-            if self._may_act() and now >= self._paused_until:
+            if self._is_lease_valid() and now >= self._paused_until:
                 retained = self._scale_out(group, now)
                 await self._scale_in(now, retained)
             await sleep(DECISION_INTERVAL)
@@ -130,7 +130,7 @@
     async def _probe_silent_machines(self, group: asyncio.TaskGroup) -> None:
         while True:
             await sleep(PROBE_CHECK_INTERVAL)
-            if self._may_act() and monotonic_now() >= self._paused_until:
+            if self._is_lease_valid() and monotonic_now() >= self._paused_until:
                 self._prober.start_probes(group)
 
     def _scale_out(self, group: asyncio.TaskGroup, now: datetime) -> dict[str, str]:
@@ -160,7 +160,7 @@
         if not machine_names:
             return
         try:
-            await self.cloud_client.release_machines(machine_names, self._may_act)
+            await self.cloud_client.release_machines(machine_names, self._is_lease_valid)
         except (StoreError, Unreachable, NoCapacity) as e:
             log.info("machine release failed: error=%s", e)
             return
--- a/roseweir/cloud/rental.py
+++ b/roseweir/cloud/rental.py
@@ -30,13 +30,13 @@
         cloud_client: CloudClient,
         cluster_state: ClusterState,
         inventory: MachineInventory,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
     ) -> None:
         self.cloud_client = cloud_client
         self.cluster_state = cluster_state
         self.refused_until: dict[MachineOffer, datetime] = {}
         self._inventory = inventory
-        self._may_act = may_act
+        self._is_lease_valid = is_lease_valid
         self._request_count = 0
         self._pending_offers: set[MachineOffer] = set()
 
@@ -76,7 +76,7 @@
             sent_at = monotonic_now()
             try:
                 machine_names = await self.cloud_client.rent_machines(
-                    request_id, offer, machine_request.count, self._may_act
+                    request_id, offer, machine_request.count, self._is_lease_valid
                 )
             except NoCapacity:
                 self.refuse(offer, monotonic_now() + OFFER_RETRY_INTERVAL)
--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -62,7 +62,7 @@
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
         leader_version: int,
-        may_write: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings
@@ -73,7 +73,7 @@
         self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning that ends the night
         self.statuses: dict[str, DeadlineStatus] = {}  # by workflow id
         self.is_loaded = False
-        self._may_write = may_write
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         self._measured_jobs: set[str] = set()
         workflow_controller.assign_due_ms = self.assign_due_ms
@@ -114,7 +114,7 @@
                 if not self.is_loaded:
                     await self._load()
                 self._evaluate_deadlines()
-                if monotonic_now() - last_saved >= SAVE_INTERVAL and self._may_write():
+                if monotonic_now() - last_saved >= SAVE_INTERVAL and self._is_lease_valid():
                     last_saved = monotonic_now()
                     await self._save()
             except LeadershipLost as e:
--- a/roseweir/dependencies/cancellation_writer.py
+++ b/roseweir/dependencies/cancellation_writer.py
@@ -43,7 +43,7 @@
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
         log_writer: LogWriter,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         """Create the writer of a term.
@@ -52,13 +52,13 @@
             cluster_state: Jobs are looked up in it.
             kv_store: Ends are written to it.
             log_writer: Holds the leader key's version, and applies the ends of jobs.
-            may_act: Returns whether this node's leader lease is valid.
+            is_lease_valid: Returns whether this node's leader lease is valid.
             step_down: Called with the reason when another node has taken the leader's key.
         """
         self.cluster_state = cluster_state
         self.kv_store = kv_store
         self.log_writer = log_writer
-        self._may_act = may_act
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         # Jobs whose ends have to be written, in this order (a dict used as an ordered set).
         self.pending: dict[str, None] = {}
@@ -81,7 +81,7 @@
                 self._requested.clear()
                 continue
             write_budget = await self._wait_for_write_budget()
-            if not self._may_act():
+            if not self._is_lease_valid():
                 await sleep(LEADERSHIP_RETRY_DELAY)
                 continue
             max_jobs = max(1, min(int(write_budget), self.kv_store.transaction_limits.max_txn_ops) // 2)
--- a/roseweir/dependencies/reconciler.py
+++ b/roseweir/dependencies/reconciler.py
@@ -63,7 +63,7 @@
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
         log_writer: LogWriter,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
         on_released: Callable[[JobRun], None] = lambda run: None,
     ) -> None:
@@ -73,7 +73,7 @@
             cluster_state: Jobs are held and released in it.
             kv_store: Ends and dependency lists are read from it.
             log_writer: Deletes the keys of dependency lists, and records ends of jobs cancelled with a dependency.
-            may_act: Returns whether this node's leader lease is valid.
+            is_lease_valid: Returns whether this node's leader lease is valid.
             step_down: Called with the reason when another node has taken the leader's key.
             on_released: Called with each job that is released.
         """
@@ -81,7 +81,7 @@
         self.kv_store = kv_store
         self.log_writer = log_writer
         self.graph = DependencyGraph()
-        self.cancellation_writer = CancellationWriter(cluster_state, kv_store, log_writer, may_act, step_down)
+        self.cancellation_writer = CancellationWriter(cluster_state, kv_store, log_writer, is_lease_valid, step_down)
         self._on_released = on_released
         # Final states of ended jobs as stored; the oldest entries are evicted.
         self._cached_final_states: OrderedDict[str, str] = OrderedDict()
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -84,7 +84,7 @@
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
         leader_version: int,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings or DrainSettings()
@@ -110,7 +110,7 @@
         self.cloud: CloudController | None = None
         # Moves replicas within the same disruption budgets; None without a rebalancer.
         self.rebalancer: Rebalancer | None = None
-        self._may_act = may_act
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         self._disruptions_saved_at = self._logged_at = now
         self._last_logged: dict[str, str] = {}
@@ -157,7 +157,7 @@
             await sleep(TICK_INTERVAL)
             if not self.is_active and self.rebalancer is not None and self.rebalancer.is_needed():
                 self._activate(StoredDrainState())
-            if self.is_active and self._may_act() and not self._is_saving:
+            if self.is_active and self._is_lease_valid() and not self._is_saving:
                 self._is_saving = True
                 try:
                     await self._tick()
@@ -198,7 +198,7 @@
             self.state_machine.roll_back(decision)
             raise
         else:
-            if not self._may_act():
+            if not self._is_lease_valid():
                 # Stored, but the leader lease has expired: the next leader resumes from the stored state.
                 self.state_machine.roll_back(decision)
                 return
@@ -382,7 +382,7 @@
             await sleep(seconds(0.02))
         self._is_saving = True
         try:
-            if not self._may_act():
+            if not self._is_lease_valid():
                 raise DrainUnavailable("this node may not lead any more")
             await self.store.save(values)
         except LeadershipLost as e:
--- a/roseweir/workflows/controller.py
+++ b/roseweir/workflows/controller.py
@@ -70,7 +70,7 @@
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
         leader_version: int,
-        may_write: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings
@@ -88,7 +88,7 @@
         self.watched_revision: Callable[[], int] = lambda: 0  # store revision up to which the ends of jobs are reported
         self.work_available = asyncio.Event()
         self.has_loaded_job_ends = False  # whether the ends since the pages were written have been read
-        self._may_write = may_write
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         now = monotonic_now()
         self._intake_limiter = TokenBucket.full(now, settings.max_amendments_per_window, settings.intake_window)
@@ -216,7 +216,7 @@
         while True:
             await wait_at_most(EVALUATION_INTERVAL, self.work_available.wait())
             self.work_available.clear()
-            if not self._may_write():
+            if not self._is_lease_valid():
                 await sleep(EVALUATION_INTERVAL)
                 continue
             try:
