--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -91,14 +91,14 @@
         self._signals = SchedulingSignals()
         placement_policy = FragmentationScorer()
         self.cluster_state = self._make_cluster_state(machine_types, placement_policy)
-        log_notifier = Notifier()
+        commit_notifier = Notifier()
         self.log_writer = LogWriter(
-            self.kv_store, self.cluster_state, leader_lease.leader_key_version, log_notifier, self._on_job_ended
+            self.kv_store, self.cluster_state, leader_lease.leader_key_version, commit_notifier, self._on_job_ended
         )
         self.worker_handlers = HeartbeatHandler(
             self.cluster_state,
             leader_lease,
-            log_notifier,
+            commit_notifier,
             self._signals.has_work,
             dependencies.connect,
             dependencies.may_hold_connection,
