--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -61,14 +61,14 @@
         workflow_controller: WorkflowController,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
+        leader_key_version: int,
         is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.workflow_controller = workflow_controller
         self.cluster_state = cluster_state
-        self.fenced_writer = FencedWriter(kv_store, leader_version, "promises")
+        self.fenced_writer = FencedWriter(kv_store, leader_key_version, "promises")
         self.step_durations = StepDurations()
         self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning that ends the night
         self.statuses: dict[str, DeadlineStatus] = {}  # by workflow id
--- a/roseweir/dependencies/cancellation_writer.py
+++ b/roseweir/dependencies/cancellation_writer.py
@@ -108,7 +108,7 @@
             self.pending.pop(job_id, None)
         if not runs:
             return
-        guards = [(LEADER_KEY, self.log_writer.leader_version)]
+        guards = [(LEADER_KEY, self.log_writer.leader_key_version)]
         operations = []
         for run in runs:
             job_id = run.spec.id
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -83,14 +83,14 @@
         settings: DrainSettings | None,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
+        leader_key_version: int,
         is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings or DrainSettings()
         self.is_configured = settings is not None
         self.cluster_state = cluster_state
-        self.store = DrainStore(kv_store, leader_version)
+        self.store = DrainStore(kv_store, leader_key_version)
         self.disruptions = DisruptionAccount(self.settings)
         self.machine_health = MachineHealth()
         now = monotonic_now()
--- a/roseweir/scheduler/batch_builder.py
+++ b/roseweir/scheduler/batch_builder.py
@@ -29,7 +29,7 @@
         self,
         kv_store: KeyValueStoreClient,
         cluster_state: ClusterState,
-        leader_version: int,
+        leader_key_version: int,
         segment_table: SegmentTable,
         delta_table: DeltaTable,
         refused_parts: RefusedParts,
@@ -39,14 +39,14 @@
         Args:
             kv_store: Provides the transaction limits.
             cluster_state: Source of new starts, completions and ends of jobs.
-            leader_version: Version of the leader's key, which guards every batch.
+            leader_key_version: Version of the leader's key, which guards every batch.
             segment_table: Segments of the log.
             delta_table: Deltas of the log.
             refused_parts: Decides whether a part may be added to a batch.
         """
         self.kv_store = kv_store
         self.cluster_state = cluster_state
-        self.leader_version = leader_version
+        self.leader_key_version = leader_key_version
         self.segment_table = segment_table
         self.delta_table = delta_table
         self.refused_parts = refused_parts
@@ -55,7 +55,7 @@
         """Return a batch of the new entries that fit; placements that do not fit stay planned."""
         self._apply_value_limit()
         max_operations = self.kv_store.transaction_limits.max_txn_ops
-        batch = LogBatch(compare_versions={LEADER_KEY: self.leader_version})
+        batch = LogBatch(compare_versions={LEADER_KEY: self.leader_key_version})
         planned_placements = [
             p
             for p in self.cluster_state.planned_placements
--- a/roseweir/scheduler/log_writer.py
+++ b/roseweir/scheduler/log_writer.py
@@ -56,7 +56,7 @@
     """Writes the cluster state's changes to the write-ahead log, and marks in the cluster state what is committed.
 
     Attributes:
-        leader_version: Version of the leader's key, which guards every transaction.
+        leader_key_version: Version of the leader's key, which guards every transaction.
         segment_table: Segments of the log.
         deltas: Deltas of the log, by number.
         work_available: Set when there may be something to write.
@@ -70,7 +70,7 @@
         self,
         kv_store: KeyValueStoreClient,
         cluster_state: ClusterState,
-        leader_version: int,
+        leader_key_version: int,
         commit_notifier: Notifier,
         on_job_ended: JobEndedCallback = ignore_job_end,
     ) -> None:
@@ -79,15 +79,15 @@
         Args:
             kv_store: Client of the store.
             cluster_state: Source of what is written.
-            leader_version: Version of the leader's key, which guards every transaction.
+            leader_key_version: Version of the leader's key, which guards every transaction.
             commit_notifier: Notified of machines with newly committed starts.
             on_job_ended: Called with a job's id and final state when its end is stored.
         """
         self.kv_store = kv_store
         self.cluster_state = cluster_state
-        self.leader_version = leader_version
+        self.leader_key_version = leader_key_version
         self._leader_writes = LeaderTransactions(
-            kv_store, leader_version, write_once_prefixes=(COMPLETED_JOB_PREFIX,), may_resend=True
+            kv_store, leader_key_version, write_once_prefixes=(COMPLETED_JOB_PREFIX,), may_resend=True
         )
         max_value_bytes = kv_store.transaction_limits.max_value_bytes
         self.segment_table = SegmentTable(max_value_bytes)
@@ -98,7 +98,7 @@
         self.urgent_work_available = asyncio.Event()
         self.orphaned_chunk_keys: set[str] = set()
         self._batch_builder = LogBatchBuilder(
-            kv_store, cluster_state, leader_version, self.segment_table, self._delta_table, self._refused_parts
+            kv_store, cluster_state, leader_key_version, self.segment_table, self._delta_table, self._refused_parts
         )
         self._compactor = LogCompactor(
             kv_store,
--- a/roseweir/service_levels/controller.py
+++ b/roseweir/service_levels/controller.py
@@ -63,14 +63,14 @@
         self,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
+        leader_key_version: int,
         step_down: Callable[[str], None],
         gather_rejected: GatherRejectedRequests,
     ) -> None:
         self.account = ServiceLevelAccount()
         self.cluster_state = cluster_state
         self.kv_store = kv_store
-        self._leader_version = leader_version
+        self._leader_key_version = leader_key_version
         self._step_down = step_down
         self._gather_rejected_requests = gather_rejected
         self._record_version = 0
@@ -184,7 +184,7 @@
         )
         self._saved_revision = self.watched_revision
         try:
-            guards = [(LEADER_KEY, self._leader_version), (ACCOUNT_KEY, self._record_version)]
+            guards = [(LEADER_KEY, self._leader_key_version), (ACCOUNT_KEY, self._record_version)]
             self._record_version = await self.kv_store.compare_and_swap(guards, [put(ACCOUNT_KEY, value)])
             return
         except CompareFailed as error:
--- a/roseweir/workflows/controller.py
+++ b/roseweir/workflows/controller.py
@@ -69,14 +69,14 @@
         settings: WorkflowSettings,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
+        leader_key_version: int,
         is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.cluster_state = cluster_state
         self.kv_store = kv_store
-        self.store = WorkflowStore(kv_store, leader_version)
+        self.store = WorkflowStore(kv_store, leader_key_version)
         self.workflows: dict[str, Workflow] = {}
         self.workflow_by_job: dict[str, Workflow] = {}  # by job id; unfinished steps only
         self.open_workflow_ids_by_lot: dict[str, set[str]] = {}  # ids of unfinished workflows
