--- a/roseweir/controller/cancellations.py
+++ b/roseweir/controller/cancellations.py
@@ -51,7 +51,7 @@
         answered its watch. Bound and proof: docs/design.md.
         """
         sent_at = monotonic_now()
-        cancellation_data_age = sent_at - self._worker_handlers.authority.cancellations_known_at
+        cancellation_data_age = sent_at - self._worker_handlers.authority.cancellations_complete_until
         if (
             cancellation_data_age < STORE_UNREACHABLE_TIMEOUT
             or sent_at - self._queried_at < CANCELLATION_QUERY_INTERVAL
--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -295,11 +295,11 @@
                 log.info("recovery failed: error=%s", error)
                 await sleep(RECOVERY_RETRY_INTERVAL)
                 continue
-            self.worker_handlers.authority.begin(sent_at)
+            self.worker_handlers.authority.record_recovery_read(sent_at)
             self.drain_controller.restore(drain_records)
             self.workflows.restore(workflow_records)
             self.dependency_reconciler.rebuild(revision)
-            self.service_levels.begin(revision)
+            self.service_levels.count_inherited_jobs(revision)
             if self.predictive_scaler is not None:
                 for run in self.cluster_state.jobs.values():
                     # Jobs that the scan returned with a later revision are delivered again by the first watch.
--- a/roseweir/service_levels/controller.py
+++ b/roseweir/service_levels/controller.py
@@ -81,7 +81,7 @@
 
     # -- failover -----------------------------------------------------------------------------
 
-    def begin(self, revision: int) -> None:
+    def count_inherited_jobs(self, revision: int) -> None:
         """Count the live jobs of the rebuilt cluster state; the watch on live jobs continues from `revision`."""
         self.watched_revision = revision
         for run in self.cluster_state.jobs.values():
--- a/roseweir/workers/answer_authority.py
+++ b/roseweir/workers/answer_authority.py
@@ -23,7 +23,7 @@
         self.leader_lease = leader_lease
         self.cancellations_read_at = NEVER
 
-    def begin(self, sent_at: datetime) -> None:
+    def record_recovery_read(self, sent_at: datetime) -> None:
         """Record that the initial state of this term was read by requests sent at `sent_at`."""
         self.cancellations_read_at = sent_at
 
@@ -32,8 +32,8 @@
         self.cancellations_read_at = max(self.cancellations_read_at, sent_at)
 
     @property
-    def cancellations_known_at(self) -> datetime:
-        """The time up to which every cancellation is known and no other controller was the leader."""
+    def cancellations_complete_until(self) -> datetime:
+        """Time up to which every accepted cancellation has been read, and no other controller was the leader."""
         return min(self.cancellations_read_at, self.leader_lease.confirmed_at)
 
     def may_answer(self, now: datetime) -> bool:
@@ -43,7 +43,7 @@
         still worked renewed workers' leases for longer than its successor assumed, and tasks ran twice.
         """
         return (
-            now - self.cancellations_known_at < self.cluster_state.stale_cancellation_window
+            now - self.cancellations_complete_until < self.cluster_state.stale_cancellation_window
             and not self.leader_lease.ended.is_set()
         )
 
