--- a/roseweir/membership/failure_detector.py
+++ b/roseweir/membership/failure_detector.py
@@ -20,7 +20,7 @@
 MIN_CONSECUTIVE_MISSES = 2
 
 
-class HeartbeatVerdict(Enum):
+class HeartbeatCheckResult(Enum):
     """What one check of the heartbeats shows."""
 
     HEALTHY = 0
@@ -42,7 +42,7 @@
 
     def evaluate(
         self, wait_started_at: datetime, now: datetime, overdue_workers: Mapping[str, str]
-    ) -> HeartbeatVerdict:
+    ) -> HeartbeatCheckResult:
         """Evaluate one check.
 
         High load delays the checks as well as the heartbeats, so only punctual checks count.
@@ -56,11 +56,11 @@
         if elapsed > HEARTBEAT_CHECK_INTERVAL + PROCESS_PAUSE_THRESHOLD:
             self.consecutive_misses = 0
             self.pause_duration = elapsed - HEARTBEAT_CHECK_INTERVAL
-            return HeartbeatVerdict.PROCESS_PAUSED
+            return HeartbeatCheckResult.PROCESS_PAUSED
         self.consecutive_misses = (
             self.consecutive_misses + 1 if overdue_workers and elapsed < HEARTBEAT_CHECK_INTERVAL * 2 else 0
         )
         if self.consecutive_misses < MIN_CONSECUTIVE_MISSES:
-            return HeartbeatVerdict.HEALTHY
+            return HeartbeatCheckResult.HEALTHY
         self.consecutive_misses = 0
-        return HeartbeatVerdict.HEARTBEATS_MISSED
+        return HeartbeatCheckResult.HEARTBEATS_MISSED
--- a/roseweir/membership/monitor.py
+++ b/roseweir/membership/monitor.py
@@ -12,7 +12,7 @@
 from roseweir.kv_store import KeyValueStoreClient
 from roseweir.leader_election.messages import HeartbeatId, PeerLeader
 from roseweir.leader_election.worker_reachability import ListMissedWorkers, ProbeResult, sample_workers
-from roseweir.membership.failure_detector import HEARTBEAT_CHECK_INTERVAL, HeartbeatMonitor, HeartbeatVerdict
+from roseweir.membership.failure_detector import HEARTBEAT_CHECK_INTERVAL, HeartbeatCheckResult, HeartbeatMonitor
 from roseweir.membership.messages import AcknowledgedCancellations
 from roseweir.membership.peers import PEER_TIMEOUT, PeerClients
 from roseweir.membership.store_reachability import StoreReachability
@@ -104,11 +104,11 @@
             wait_started_at = monotonic_now()
             await sleep(HEARTBEAT_CHECK_INTERVAL)
             overdue_addresses = {name: address for name, (address, _) in list_overdue_workers().items()}
-            verdict = heartbeat_monitor.evaluate(wait_started_at, monotonic_now(), overdue_addresses)
-            if verdict is HeartbeatVerdict.PROCESS_PAUSED:
+            check_result = heartbeat_monitor.evaluate(wait_started_at, monotonic_now(), overdue_addresses)
+            if check_result is HeartbeatCheckResult.PROCESS_PAUSED:
                 log.warning("process paused: pause_s=%.1f", heartbeat_monitor.pause_duration.total_seconds())
                 on_process_pause()
-            elif verdict is HeartbeatVerdict.HEARTBEATS_MISSED:
+            elif check_result is HeartbeatCheckResult.HEARTBEATS_MISSED:
                 await resign_if_better_connected_node(
                     sample_workers(overdue_addresses),
                     lambda: {name: heartbeat_id for name, (_, heartbeat_id) in list_overdue_workers().items()},
--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -59,21 +59,21 @@
         """Record that this node can reach the store, or that its peers can't either."""
         self.is_isolated_from_store, self.failing_since = False, NEVER
 
-    def evaluate_failing(self, peers: PeerReachability, *, is_later_term_seen: bool, now: datetime) -> bool:
+    def evaluate_isolation(self, peers: PeerReachability, *, is_later_term_reported: bool, now: datetime) -> bool:
         """Return whether only this node can't reach the store, while its requests to the store fail.
 
         Args:
             peers: The peers' answers.
-            is_later_term_seen: Whether a worker has reported a later term than any known here.
+            is_later_term_reported: Whether a worker has reported a later term than any known here.
             now: The current instant.
         """
-        if peers.answered_count == peers.queried_count and not peers.is_store_reachable and not is_later_term_seen:
+        if peers.answered_count == peers.queried_count and not peers.is_store_reachable and not is_later_term_reported:
             # An outage of the whole store: all peers answer that they can't reach it either.
             self.record_not_isolated()
             return False
         if self.failing_since == NEVER:
             self.failing_since = now
-        if self.is_isolated_from_store or peers.is_store_reachable or is_later_term_seen:
+        if self.is_isolated_from_store or peers.is_store_reachable or is_later_term_reported:
             self.is_isolated_from_store = True
             return True
         is_minority = (1 + peers.answered_count) * 2 <= 1 + peers.queried_count
--- a/roseweir/membership/store_reachability.py
+++ b/roseweir/membership/store_reachability.py
@@ -54,7 +54,7 @@
             if not self._kv_store.is_failing or await self.can_reach_store():
                 self._record_store_reachable()
             else:
-                await self._evaluate_failing()
+                await self._evaluate_isolation()
             if self.is_isolated_from_store != was_isolated:
                 log.info("store isolation changed: isolated_from_store=%s", self.is_isolated_from_store)
 
@@ -70,12 +70,12 @@
         self._isolation.record_not_isolated()
         self._max_worker_term = 0
 
-    async def _evaluate_failing(self) -> None:
+    async def _evaluate_isolation(self) -> None:
         statuses = await self._peers.fetch_store_reachability()
         peers = PeerReachability(
             queried_count=len(statuses),
             answered_count=sum(1 for status in statuses if status),
             is_store_reachable=200 in statuses,
         )
-        is_later_term_seen = self._max_worker_term > self.latest_known_term > 0
-        self._isolation.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=monotonic_now())
+        is_later_term_reported = self._max_worker_term > self.latest_known_term > 0
+        self._isolation.evaluate_isolation(peers, is_later_term_reported=is_later_term_reported, now=monotonic_now())
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -72,7 +72,7 @@
     The load balancer prefers them, as they have no load, unless they report themselves as failing.
     """
     if stays_healthy:
-        monkeypatch.setattr(StoreIsolationDetector, "evaluate_failing", lambda self, *args, **more: False)
+        monkeypatch.setattr(StoreIsolationDetector, "evaluate_isolation", lambda self, *args, **more: False)
     cluster = SimulatedCluster(7600, is_calm=True)
     pollers = schedule_polling_users(cluster, 25.0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
     find_better_connected_node,
     sample_workers,
 )
-from roseweir.membership.failure_detector import HEARTBEAT_CHECK_INTERVAL, HeartbeatMonitor, HeartbeatVerdict
+from roseweir.membership.failure_detector import HEARTBEAT_CHECK_INTERVAL, HeartbeatCheckResult, HeartbeatMonitor
 from roseweir.membership.peers import latest_leader
 from roseweir.membership.redirected_workers import RedirectedWorkers
 from roseweir.membership.store_isolation import (
@@ -32,7 +32,7 @@
         HEARTBEAT_CHECK_INTERVAL * 3,
         HEARTBEAT_CHECK_INTERVAL + PROCESS_PAUSE_THRESHOLD * 2,
     )
-    verdicts = [
+    check_results = [
         monitor.evaluate(NOW, NOW + elapsed, missed if all_missed else {})
         for elapsed, all_missed in [
             (on_time, True),
@@ -46,9 +46,9 @@
             (on_time, True),
         ]
     ]
-    assert verdicts == [HeartbeatVerdict.HEALTHY] * 3 + [HeartbeatVerdict.PROCESS_PAUSED] + [
-        HeartbeatVerdict.HEALTHY
-    ] * 3 + [HeartbeatVerdict.HEARTBEATS_MISSED, HeartbeatVerdict.HEALTHY]
+    assert check_results == [HeartbeatCheckResult.HEALTHY] * 3 + [HeartbeatCheckResult.PROCESS_PAUSED] + [
+        HeartbeatCheckResult.HEALTHY
+    ] * 3 + [HeartbeatCheckResult.HEARTBEATS_MISSED, HeartbeatCheckResult.HEALTHY]
 
 
 @pytest.mark.parametrize("controllers", [3, 5, 7])
@@ -101,12 +101,12 @@
 
 
 def _evaluate_for(
-    detector: StoreIsolationDetector, span_s: float, peers: PeerReachability, *, is_later_term_seen: bool = False
+    detector: StoreIsolationDetector, span_s: float, peers: PeerReachability, *, is_later_term_reported: bool = False
 ) -> bool:
-    """Returns the verdict after this time of evaluations of the same evidence every half second."""
+    """Returns the result after this time of evaluations of the same evidence every half second."""
     now = NOW
     while now <= NOW + seconds(span_s):
-        is_isolated = detector.evaluate_failing(peers, is_later_term_seen=is_later_term_seen, now=now)
+        is_isolated = detector.evaluate_isolation(peers, is_later_term_reported=is_later_term_reported, now=now)
         now += seconds(0.5)
     return is_isolated
 
@@ -117,7 +117,7 @@
     assert not _evaluate_for(StoreIsolationDetector(), 60, full_outage), "every peer reports the outage"
     assert _evaluate_for(StoreIsolationDetector(), 0, one_peer_served), "the store serves a peer"
     no_answer = PeerReachability(4, 0, False)
-    assert _evaluate_for(StoreIsolationDetector(), 0, no_answer, is_later_term_seen=True), (
+    assert _evaluate_for(StoreIsolationDetector(), 0, no_answer, is_later_term_reported=True), (
         "a worker reported a later term"
     )
     within, after = MAJORITY_UNREACHABLE_TIMEOUT.total_seconds() - 0.5, MAJORITY_UNREACHABLE_TIMEOUT.total_seconds()
