--- a/benchmarks/forecast.py
+++ b/benchmarks/forecast.py
@@ -43,7 +43,7 @@
     cluster_state.catalog = dict(provider.catalog)
     machine_types = list(provider.catalog.values())
     for number in range(machines):
-        machine = Machine(f"i-{number:06d}", machine_types[number % 4 == 0], "ab"[number % 2], False, known_since=now)
+        machine = Machine(f"i-{number:06d}", machine_types[number % 4 == 0], "ab"[number % 2], False, added_at=now)
         machine.last_heartbeat_at = machine.scaled_out_at = machine.idle_since = now
         machine.has_acknowledged_term = True
         cluster_state.machines[machine.name] = machine
--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -165,7 +165,7 @@
             log.info("machine release failed: error=%s", e)
             return
         for name in machine_names:
-            self.cluster_state.forget_machine(name, monotonic_now(), "released")
+            self.cluster_state.remove_machine(name, monotonic_now(), "released")
 
     def _mark_for_release(self, release: MachineRelease, now: datetime) -> None:
         machine, reason = release
--- a/roseweir/cloud/machine_inventory.py
+++ b/roseweir/cloud/machine_inventory.py
@@ -36,7 +36,7 @@
                 continue
             self._last_listed_at[entry.name] = now
             self._reconcile_machine(entry, machine_type, now)
-        self._forget_missing_machines(now)
+        self._remove_missing_machines(now)
 
     def add_rented(self, machine_name: str, offer: MachineOffer, rented_at: datetime, now: datetime) -> None:
         """Add a machine that was just rented, unless it has already been released."""
@@ -67,22 +67,22 @@
     def _add_booting(
         self, machine_name: str, machine_type: MachineType, zone: str, is_spot: bool, now: datetime
     ) -> Machine:
-        machine = Machine(machine_name, machine_type, zone, is_spot, known_since=now)
+        machine = Machine(machine_name, machine_type, zone, is_spot, added_at=now)
         machine.is_booting = True
         self.cluster_state.machines[machine_name] = machine
         return machine
 
-    def _forget_missing_machines(self, now: datetime) -> None:
+    def _remove_missing_machines(self, now: datetime) -> None:
         """Remove machines without tasks that have neither been listed nor sent a heartbeat for a long time."""
         cluster_state = self.cluster_state
         listing_lag = cluster_state.settings.params.cloud.listing_lag
         missing_timeout = listing_lag * UNLISTED_LAG_FACTOR + cluster_state.max_lease_duration
         for machine in list(cluster_state.machines.values()):
             last_seen_at = max(
-                self._last_listed_at.get(machine.name, machine.known_since),
+                self._last_listed_at.get(machine.name, machine.added_at),
                 machine.last_heartbeat_at,
                 cluster_state.term_started_at,
             )
             if now - last_seen_at > missing_timeout and not machine.placements:
-                cluster_state.forget_machine(machine.name, now, "not listed, no heartbeat")
+                cluster_state.remove_machine(machine.name, now, "not listed, no heartbeat")
                 self._last_listed_at.pop(machine.name, None)
--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -137,7 +137,7 @@
     # A machine that this leader learned of from the list may have booted long ago, and not have sent this leader a
     # heartbeat yet.
     boot_deadline = machine.machine_type.boot_duration * FAILED_BOOT_FACTOR * slowdown + FAILED_BOOT_GRACE
-    return now > max(machine.scaled_out_at + boot_deadline, machine.known_since + silence_limit)
+    return now > max(machine.scaled_out_at + boot_deadline, machine.added_at + silence_limit)
 
 
 def _loss_reason(
--- a/roseweir/forecast/capacity_plan.py
+++ b/roseweir/forecast/capacity_plan.py
@@ -174,7 +174,7 @@
         not machine.placements,
         machine.is_booting,
         _price(machine.machine_type, machine.is_spot),
-        machine.known_since,
+        machine.added_at,
         machine.name,
     )
 
--- a/roseweir/forecast/tools/replay.py
+++ b/roseweir/forecast/tools/replay.py
@@ -256,7 +256,7 @@
                 machine_type,
                 machine_request.zone,
                 machine_request.is_spot,
-                known_since=now,
+                added_at=now,
                 scaled_out_at=now,
                 is_autoscaled=True,
             )
@@ -289,7 +289,7 @@
 
     def _release_machine(self, machine: Machine, at: float) -> None:
         name = machine.name
-        self.cluster_state.forget_machine(name, self._monotonic_at(at), "released")
+        self.cluster_state.remove_machine(name, self._monotonic_at(at), "released")
         del self.cluster_state.released_machines[name]
         self._charge(machine, self._rented_at.pop(name), at)
         self._up_since.pop(name, None)
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -111,7 +111,7 @@
         return count, excluded_limits
 
     def log_blocked(self, now: datetime) -> None:
-        """Log how many decisions were blocked since the last call, and forget sources whose ban is over."""
+        """Log how many decisions were blocked since the last call, and drop sources whose ban is over."""
         for limit in self.by_tag.values():
             reported_count = self._reported_counts.get(limit.tag, 0)
             if limit.blocked_count > reported_count:
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -274,10 +274,10 @@
         run.delta_completions.clear()
         for placement in list(run.placements.values()):
             self.request_stop(placement, ZERO, now)
-        self._forget_finished_job(run)
+        self._remove_finished_job(run)
         self.needs_scheduling = True
 
-    def _forget_finished_job(self, run: JobRun) -> None:
+    def _remove_finished_job(self, run: JobRun) -> None:
         if run.final_state and not run.placements:
             self.jobs.pop(run.spec.id, None)
             self.needs_quota_update = True
@@ -333,7 +333,7 @@
         """Return the machine that an earlier leader's write-ahead log names; it is added unless it is present."""
         machine = self.machines.get(name)
         if machine is None:
-            machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, known_since=now)
+            machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, added_at=now)
         return machine
 
     def restore_placement(
@@ -383,7 +383,7 @@
         self.needs_scheduling = True
         if spec.job_type == GANG and not run.final_state:
             self._update_gang_after_loss(run, placement)
-        self._forget_finished_job(run)
+        self._remove_finished_job(run)
 
     def _update_gang_after_loss(self, run: JobRun, lost_placement: Placement) -> None:
         if not run.placements:
@@ -445,7 +445,7 @@
         machine.unknown_tasks.clear()
         machine.has_acknowledged_term = False
 
-    def forget_machine(self, name: str, now: datetime, reason: str) -> None:
+    def remove_machine(self, name: str, now: datetime, reason: str) -> None:
         """Remove a machine that was released or is gone, and keep its name so that late heartbeats do not add it."""
         machine = self.machines.get(name)
         if machine is not None:
--- a/roseweir/scheduler/heartbeat_reconciliation.py
+++ b/roseweir/scheduler/heartbeat_reconciliation.py
@@ -76,7 +76,7 @@
                 cluster_state.catalog[heartbeat.machine_type],
                 heartbeat.zone,
                 heartbeat.is_spot,
-                known_since=now,
+                added_at=now,
                 idle_since=now,
             )
             cluster_state.machines[heartbeat.machine_name] = machine
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -225,7 +225,7 @@
     suspected_since: datetime = NEVER  # since when our answers seem not to reach it, without proof that they do
     unreachable_since: datetime = NEVER  # since when our probes do not reach it either
     dropped_command_count: int = 0  # consecutive start commands that it did not receive
-    known_since: datetime = NEVER  # when it was added to this leader's cluster state
+    added_at: datetime = NEVER  # when it was added to this leader's cluster state
     scaled_out_at: datetime = NEVER
     is_booting: bool = False
     is_autoscaled: bool = False  # created by a leader of this service, rather than found already running
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -108,7 +108,7 @@
 
 
 def clear_command(task_id: str, attempt: int) -> dict[str, Any]:
-    """Return the command that lets a worker forget an attempt that has exited."""
+    """Return the command that lets a worker discard an attempt that has exited."""
     return {"verb": "clear", "parcel": task_id, "try": attempt}
 
 
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -411,7 +411,7 @@
         decide(steps, NOW + seconds(after))
         assert len(steps.cordons) <= 2
         for machine in steps.release_empty_machines(NOW + seconds(after)):
-            cluster_state.forget_machine(machine.name, NOW + seconds(after), "released")
+            cluster_state.remove_machine(machine.name, NOW + seconds(after), "released")
             gone.append(machine.name)
     assert len(gone) == 6
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -200,7 +200,7 @@
 def test_held_machines_are_kept_until_their_need_ends() -> None:
     cluster_state = make_cluster_state()
     for number in range(3):
-        machine = Machine(f"i-{number}", CPU, "a", False, known_since=NOW, scaled_out_at=NOW)
+        machine = Machine(f"i-{number}", CPU, "a", False, added_at=NOW, scaled_out_at=NOW)
         machine.idle_since = machine.last_heartbeat_at = NOW
         cluster_state.machines[machine.name] = machine
         cluster_state.obtained_instance_pools.add(("cpu", "a", False))
@@ -230,7 +230,7 @@
     cluster_state = make_cluster_state()
     for number in range(rng.randint(0, 12)):
         machine_type, zone = rng.choice([CPU, CPU, GPU]), rng.choice("ab")
-        machine = Machine(f"i-{number}", machine_type, zone, rng.random() < 0.4, known_since=NOW, scaled_out_at=NOW)
+        machine = Machine(f"i-{number}", machine_type, zone, rng.random() < 0.4, added_at=NOW, scaled_out_at=NOW)
         machine.is_booting, machine.is_marked_for_release = rng.random() < 0.3, rng.random() < 0.2
         machine.last_heartbeat_at, machine.has_acknowledged_term = NOW, not machine.is_booting
         cluster_state.machines[machine.name] = machine
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -221,7 +221,7 @@
         not job_run.placements
         and now - NOW <= cluster_state.max_lease_duration * 2 + cluster_state.stale_cancellation_window
     ), "replayed heartbeats keep a task for one lease at most"
-    cluster_state.forget_machine("i-1", now, "released")
+    cluster_state.remove_machine("i-1", now, "released")
     assert (
         HeartbeatReconciler(cluster_state).apply_heartbeat(worker.make_heartbeat(), now + seconds(600)) is None
         and "i-1" not in cluster_state.machines
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -340,7 +340,7 @@
 def add_booting_machine(
     cluster_state: ClusterState, name: str, since: datetime, machine_type: MachineType = CPU
 ) -> Machine:
-    machine = Machine(name, machine_type, "a", False, known_since=since)
+    machine = Machine(name, machine_type, "a", False, added_at=since)
     machine.is_booting = machine.is_autoscaled = True
     machine.scaled_out_at = since
     cluster_state.machines[name] = machine
@@ -395,7 +395,7 @@
     """Guards against a new leader releasing working machines at once because they were rented long ago (inc-1d61)."""
     cluster_state = make_cluster_state()
     machine = add_booting_machine(cluster_state, "i-1", NOW - seconds(900))
-    machine.is_autoscaled, machine.known_since = False, NOW
+    machine.is_autoscaled, machine.added_at = False, NOW
     assert plan_scale_in(cluster_state, SchedulingPassResult(), NOW + seconds(3)) == []
     assert [reason for _, reason in plan_scale_in(cluster_state, SchedulingPassResult(), NOW + seconds(20))] == [
         "never came up"
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -76,7 +76,7 @@
             run.uncommitted_completions.clear()
             if run.is_complete:
                 run.final_state = "done"
-                cluster_state._forget_finished_job(run)
+                cluster_state._remove_finished_job(run)
         run_scheduling_pass(cluster_state, now)
         commit_placements(cluster_state)
         if len(large_run.placements) == task_count:
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -546,7 +546,7 @@
 
 
 def keep_finished_jobs_in_memory(patch: Patch) -> None:
-    patch.setattr(ClusterState, "_forget_finished_job", lambda self, run: None)
+    patch.setattr(ClusterState, "_remove_finished_job", lambda self, run: None)
 
 
 def _write_more_keys_with_acceptances(patch: Patch, more_keys: Callable[[str], list[str]]) -> None:
