--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -177,7 +177,7 @@
 
     def _on_process_pause(self) -> None:
         """Discard state that may have changed while the process was paused."""
-        self.leader_election.forget_leader()
+        self.leader_election.discard_leader()
         if self.leader_term is not None:
             self.leader_term.cloud_controller.pause_for_heartbeats()
 
--- a/roseweir/leader_election/election.py
+++ b/roseweir/leader_election/election.py
@@ -122,7 +122,7 @@
         """Stop delaying this node's candidacy, because a worker's heartbeat has arrived."""
         self._worker_reachability.end_candidacy_delay()
 
-    def forget_leader(self) -> None:
+    def discard_leader(self) -> None:
         """Discard the leader's record after a pause of the process, since another node may lead by now.
 
         Otherwise workers might be redirected to a node that does not lead any more.
