--- a/roseweir/rebalancing/fragmentation.py
+++ b/roseweir/rebalancing/fragmentation.py
@@ -78,7 +78,7 @@
 def free_slots(machine: Machine, size: TaskSize) -> int:
     return min(
         int((free + 1e-6) / need)
-        for free, need in zip((machine.free_cpus, machine.free_gpus, machine.free_memory), size, strict=True)
+        for free, need in zip((machine.free_cpus, machine.free_gpus, machine.free_memory_gb), size, strict=True)
         if need > 0
     )
 
@@ -117,7 +117,7 @@
             free_totals = (
                 sum(m.free_cpus for m in same_type),
                 sum(m.free_gpus for m in same_type),
-                sum(m.free_memory for m in same_type),
+                sum(m.free_memory_gb for m in same_type),
             )
             pooled_slots = min(
                 int((available + 1e-6) / need) for available, need in zip(free_totals, size, strict=True) if need > 0
--- a/roseweir/rebalancing/fragmentation_scoring.py
+++ b/roseweir/rebalancing/fragmentation_scoring.py
@@ -67,7 +67,7 @@
             slots_after = min(
                 int((free - used + 1e-6) / need)
                 for free, used, need in zip(
-                    (machine.free_cpus, machine.free_gpus, machine.free_memory), task_size(spec), size, strict=True
+                    (machine.free_cpus, machine.free_gpus, machine.free_memory_gb), task_size(spec), size, strict=True
                 )
                 if need > 0
             )
--- a/roseweir/rebalancing/move_planning.py
+++ b/roseweir/rebalancing/move_planning.py
@@ -102,7 +102,7 @@
         return reserved_for is not None and spec.id not in reserved_for
 
     def free_slots(self, machine: Machine, spec: JobSpec) -> int:
-        cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory
+        cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
         for other in self.planned_tasks.get(machine.name, ()):
             cpus, gpus, memory = cpus - other.cpus, gpus - other.gpus, memory - other.memory_gb
         if spec.gpus <= 0 < machine.machine_type.gpus:
@@ -209,7 +209,7 @@
 
 def _plan_on_machine(context: PlanningContext, run: JobRun, machine: Machine, expires_at_ms: int) -> MovePlan | None:
     spec = run.spec
-    cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory
+    cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
     candidates: list[tuple[float, str, Placement]] = []
     moved_job_ids: set[str] = set()
     # A replica with as many GPUs would need a slot of the same size itself.
@@ -309,7 +309,7 @@
                 spec,
                 machine.free_cpus + freed_resources[0],
                 machine.free_gpus + freed_resources[1],
-                machine.free_memory + freed_resources[2],
+                machine.free_memory_gb + freed_resources[2],
             )
             if slots_after_move < 1 or not fits_elsewhere(first_task):
                 continue
@@ -397,7 +397,7 @@
         expected_ends.sort(key=lambda expected_end: expected_end[:2])
         planned_specs = context.planned_tasks.get(machine.name, ())
         cpus = machine.free_cpus - sum(planned.cpus for planned in planned_specs)
-        memory = machine.free_memory - sum(planned.memory_gb for planned in planned_specs)
+        memory = machine.free_memory_gb - sum(planned.memory_gb for planned in planned_specs)
         for end, _, ending_spec in expected_ends:
             cpus, memory = cpus + ending_spec.cpus, memory + ending_spec.memory_gb
             if cpus >= spec.cpus - 1e-6 and memory >= spec.memory_gb - 1e-6:
--- a/roseweir/scheduler/capacity_snapshot.py
+++ b/roseweir/scheduler/capacity_snapshot.py
@@ -54,7 +54,7 @@
     __slots__ = ("cpus", "gpus", "memory_gb")
 
     def __init__(self, machine: Machine) -> None:
-        self.cpus, self.gpus, self.memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory
+        self.cpus, self.gpus, self.memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
 
     def release(self, placement: Placement) -> None:
         """Add the task's resources to the free ones."""
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -312,7 +312,7 @@
         machine.change_count += 1
         machine.free_cpus -= spec.cpus
         machine.free_gpus -= spec.gpus
-        machine.free_memory -= spec.memory_gb
+        machine.free_memory_gb -= spec.memory_gb
         if spec.gpus <= 0:
             machine.cpu_only_cpus += spec.cpus
         else:
@@ -365,7 +365,7 @@
         machine.change_count += 1
         machine.free_cpus += spec.cpus
         machine.free_gpus += spec.gpus
-        machine.free_memory += spec.memory_gb
+        machine.free_memory_gb += spec.memory_gb
         if spec.gpus <= 0:
             machine.cpu_only_cpus -= spec.cpus
         else:
--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -148,7 +148,9 @@
             if missing_tasks <= 0:
                 return
             cpus, memory_gb = self.reserved_by_machine.get(machine.name, NO_RESERVED_ROOM)
-            reservable_tasks = max_fitting_tasks(spec, machine.free_cpus - cpus, 0.0, machine.free_memory - memory_gb)
+            reservable_tasks = max_fitting_tasks(
+                spec, machine.free_cpus - cpus, 0.0, machine.free_memory_gb - memory_gb
+            )
             reservable_tasks = min(reservable_tasks, missing_tasks)
             if reservable_tasks > 0:
                 self.reserved_by_machine[machine.name] = ReservedRoom(
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -232,7 +232,7 @@
     is_surge: bool = False  # scaled out to replace a machine that is drained
     free_cpus: float = 0.0
     free_gpus: float = 0.0
-    free_memory: float = 0.0
+    free_memory_gb: float = 0.0
     cpu_only_cpus: float = 0.0  # CPUs taken by tasks that need no GPU
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
     exits_to_clear: list[tuple[str, int, str]] = field(default_factory=list)  # to clear: task, attempt, cause
@@ -259,7 +259,7 @@
     def __post_init__(self) -> None:
         self.free_cpus = self.machine_type.cpus
         self.free_gpus = self.machine_type.gpus
-        self.free_memory = self.machine_type.memory_gb
+        self.free_memory_gb = self.machine_type.memory_gb
 
     @property
     def is_suspected(self) -> bool:
@@ -310,7 +310,7 @@
             free_cpus = min(
                 free_cpus, self.machine_type.cpus - self.machine_type.gpus * cpus_reserved_per_gpu - self.cpu_only_cpus
             )
-        return max_fitting_tasks(spec, free_cpus, self.free_gpus, self.free_memory - headroom[1])
+        return max_fitting_tasks(spec, free_cpus, self.free_gpus, self.free_memory_gb - headroom[1])
 
 
 def max_fitting_tasks(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -44,7 +44,7 @@
     )
     no_machine_has_room = True
     for machine in machines:
-        if machine.free_cpus < min_cpus or machine.free_gpus < min_gpus or machine.free_memory < min_memory_gb:
+        if machine.free_cpus < min_cpus or machine.free_gpus < min_gpus or machine.free_memory_gb < min_memory_gb:
             continue
         if not allows_machine(spec, machine) or reservations.task_capacity(machine, spec) <= 0:
             continue
