--- a/roseweir/controller/cancellations.py
+++ b/roseweir/controller/cancellations.py
@@ -32,13 +32,13 @@
         log_writer: LogWriter,
         *,
         leader_lease: LeaderLease,
-        worker_handlers: HeartbeatHandler,
+        heartbeat_handler: HeartbeatHandler,
         fetch_acknowledged: FetchAcknowledgedCancellations,
     ) -> None:
         self._cluster_state = cluster_state
         self._log_writer = log_writer
         self._leader_lease = leader_lease
-        self._worker_handlers = worker_handlers
+        self._heartbeat_handler = heartbeat_handler
         self._fetch_acknowledged = fetch_acknowledged
         self._queried_at = NEVER
 
@@ -51,7 +51,7 @@
         answered its watch. Bound and proof: docs/design.md.
         """
         sent_at = monotonic_now()
-        cancellation_data_age = sent_at - self._worker_handlers.authority.cancellations_complete_until
+        cancellation_data_age = sent_at - self._heartbeat_handler.authority.cancellations_complete_until
         if (
             cancellation_data_age < STORE_UNREACHABLE_TIMEOUT
             or sent_at - self._queried_at < CANCELLATION_QUERY_INTERVAL
@@ -71,7 +71,7 @@
             return
         for job_id in acknowledged.job_ids or ():
             self._cancel_job(job_id)
-        self._worker_handlers.authority.record_cancellations_read(sent_at)
+        self._heartbeat_handler.authority.record_cancellations_read(sent_at)
         self._leader_lease.confirm_leadership(sent_at)
 
     def _cancel_job(self, job_id: str) -> None:
--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -95,7 +95,7 @@
         self.log_writer = LogWriter(
             self.kv_store, self.cluster_state, leader_lease.leader_key_version, commit_notifier, self._on_job_ended
         )
-        self.worker_handlers = HeartbeatHandler(
+        self.heartbeat_handler = HeartbeatHandler(
             self.cluster_state,
             leader_lease,
             commit_notifier,
@@ -130,7 +130,7 @@
             leader_lease.end,
         )
         self.cloud_controller = self._make_cloud_controller()
-        self.drain_controller.cloud = self.cloud_controller
+        self.drain_controller.cloud_controller = self.cloud_controller
         self.rebalancer = self._make_rebalancer(placement_policy)
         self.drain_controller.rebalancer = self.rebalancer
         self.dependency_reconciler = DependencyReconciler(
@@ -223,7 +223,7 @@
             self.cluster_state,
             self.log_writer,
             leader_lease=self.leader_lease,
-            worker_handlers=self.worker_handlers,
+            heartbeat_handler=self.heartbeat_handler,
             fetch_acknowledged=self._dependencies.fetch_acknowledged_cancellations,
         )
         return LiveJobWatcher(
@@ -233,7 +233,7 @@
             dependency_reconciler=self.dependency_reconciler,
             service_levels=self.service_levels,
             predictive_scaler=self.predictive_scaler,
-            worker_handlers=self.worker_handlers,
+            heartbeat_handler=self.heartbeat_handler,
             peer_cancellations=peer_cancellations,
             signals=self._signals,
         )
@@ -266,7 +266,7 @@
             group.create_task(self._write_log())
             group.create_task(self._scheduling_loop.run())
             group.create_task(renew_limits(self.cluster_state))
-            group.create_task(self.worker_handlers.direct_commands.run())
+            group.create_task(self.heartbeat_handler.direct_commands.run())
             group.create_task(self.cloud_controller.run())
             group.create_task(self.drain_controller.run())
             group.create_task(self.service_levels.run())
@@ -295,7 +295,7 @@
                 log.info("recovery failed: error=%s", error)
                 await sleep(RECOVERY_RETRY_INTERVAL)
                 continue
-            self.worker_handlers.authority.record_recovery_read(sent_at)
+            self.heartbeat_handler.authority.record_recovery_read(sent_at)
             self.drain_controller.restore(drain_records)
             self.workflows.restore(workflow_records)
             self.dependency_reconciler.rebuild(revision)
--- a/roseweir/controller/leadership.py
+++ b/roseweir/controller/leadership.py
@@ -38,4 +38,4 @@
 
 def job_data_age_s(leader_term: LeaderTerm) -> float:
     """The age of the leader's data on submissions and cancellations, in seconds."""
-    return round((monotonic_now() - leader_term.worker_handlers.authority.cancellations_read_at).total_seconds(), 1)
+    return round((monotonic_now() - leader_term.heartbeat_handler.authority.cancellations_read_at).total_seconds(), 1)
--- a/roseweir/controller/live_jobs.py
+++ b/roseweir/controller/live_jobs.py
@@ -38,7 +38,7 @@
         dependency_reconciler: DependencyReconciler,
         service_levels: ServiceLevelController,
         predictive_scaler: "PredictiveScaler | None",
-        worker_handlers: HeartbeatHandler,
+        heartbeat_handler: HeartbeatHandler,
         peer_cancellations: PeerCancellations,
         signals: SchedulingSignals,
     ) -> None:
@@ -48,7 +48,7 @@
         self._dependency_reconciler = dependency_reconciler
         self._service_levels = service_levels
         self._predictive_scaler = predictive_scaler
-        self._worker_handlers = worker_handlers
+        self._heartbeat_handler = heartbeat_handler
         self._peer_cancellations = peer_cancellations
         self._signals = signals
         # Complete jobs whose live key was deleted before this leader's write of their end was confirmed. Either that
@@ -72,7 +72,7 @@
                 await self._peer_cancellations.apply()
                 await sleep(WATCH_RETRY_INTERVAL)
                 continue
-            self._worker_handlers.authority.record_cancellations_read(sent_at)
+            self._heartbeat_handler.authority.record_cancellations_read(sent_at)
             # The watch may succeed while the lease's renewals are answered too late to count, so peers are queried too.
             await self._peer_cancellations.apply()
 
--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -166,14 +166,14 @@
         leader_term = self.leadership.ready_term
         if leader_term is None:
             return
-        leader_search = leader_term.worker_handlers.leader_search
+        leader_search = leader_term.heartbeat_handler.leader_search
         leader_search.start(len(self.settings.peers) + 1, self.settings.params.workers.heartbeat_interval, now)
         if leader_search.has_found_leader(now):
             leader_term.leader_lease.end("workers sent to look for another leader have found one")
 
     def _on_leadership_confirmed(self) -> None:
         if self.leader_term is not None:
-            self.leader_term.worker_handlers.leader_search.stop()
+            self.leader_term.heartbeat_handler.leader_search.stop()
 
     def _on_process_pause(self) -> None:
         """Discard state that may have changed while the process was paused."""
--- a/roseweir/controller/public_api.py
+++ b/roseweir/controller/public_api.py
@@ -59,7 +59,7 @@
         leader_election.end_candidacy_delay()
         leader_term = self._leadership.ready_term
         if leader_term is not None:
-            return await leader_term.worker_handlers.handle_heartbeat(request)
+            return await leader_term.heartbeat_handler.handle_heartbeat(request)
         self._membership.record_redirected_worker(request.body)
         leader = leader_election.leader
         if leader is None or leader.name == self._leadership.node_name:
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -107,7 +107,7 @@
         self.ended_drains: dict[str, Drain] = {}
         self.is_active = False
         self.failure = ""  # the exception that stopped `run`
-        self.cloud: CloudController | None = None
+        self.cloud_controller: CloudController | None = None
         # Moves replicas within the same disruption budgets; None without a rebalancer.
         self.rebalancer: Rebalancer | None = None
         self._is_lease_valid = is_lease_valid
@@ -173,17 +173,22 @@
 
     async def _tick(self) -> None:
         now = monotonic_now()
-        cloud = self.cloud
-        if cloud is not None:
-            self.state_machine.has_machine_list = cloud.list_read_at > self.state_machine.started_at
-            waiting_needs_gpus = [run.spec.gpus > 0 for run, _ in cloud.last_scheduling_pass.unplaced]
-            self.surge_pool.update(waiting_needs_gpus, cloud.refused_until, now)
+        cloud_controller = self.cloud_controller
+        if cloud_controller is not None:
+            self.state_machine.has_machine_list = cloud_controller.list_read_at > self.state_machine.started_at
+            waiting_needs_gpus = [run.spec.gpus > 0 for run, _ in cloud_controller.last_scheduling_pass.unplaced]
+            self.surge_pool.update(waiting_needs_gpus, cloud_controller.refused_until, now)
         self.machine_health.remove_missing(self.cluster_state.machines)
         decision = self.state_machine.decide(now, clock.utc_now())
         rebalancing_values: dict[str, Any] = {}
-        if self.rebalancer is not None and cloud is not None and self.rebalancer.is_needed():
+        if self.rebalancer is not None and cloud_controller is not None and self.rebalancer.is_needed():
             rebalancing_values = self.rebalancer.propose_evictions(
-                decision, self.state_machine, cloud.last_scheduling_pass, cloud.refused_until, now, utc_now_ms()
+                decision,
+                self.state_machine,
+                cloud_controller.last_scheduling_pass,
+                cloud_controller.refused_until,
+                now,
+                utc_now_ms(),
             )
             rebalancing_values = {REBALANCING_KEY: self.store.fit_rebalancing(rebalancing_values)}
         try:
@@ -205,10 +210,10 @@
             self.state_machine.apply(decision, monotonic_now())
             self._log_decision(decision)
         released = self.state_machine.release_empty_machines(monotonic_now())
-        if released and cloud is not None:
+        if released and cloud_controller is not None:
             for machine in released:
-                # The cloud can offer the returned machine again, so an earlier refusal no longer holds.
-                cloud.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
+                # The cloud can offer the released machine again, so an earlier refusal no longer holds.
+                cloud_controller.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
             log.info("drains: empty machines released: %s", format_machine_names(released))
         self._log_progress(now)
 
@@ -302,7 +307,7 @@
         validate_request(request, self.cluster_state.catalog.keys(), self.cluster_state.settings.params.zones)
         if len(self.state_machine.drains) >= MAX_ACTIVE_DRAINS:
             raise DrainRejected(f"{MAX_ACTIVE_DRAINS} drains go on already, the most that may")
-        if self.cloud is None or self.cloud.list_read_at <= self.state_machine.started_at:
+        if self.cloud_controller is None or self.cloud_controller.list_read_at <= self.state_machine.started_at:
             raise DrainUnavailable("the list of machines has not been read since the take-over")
         drain = self._new_drain(request)
         now, now_wall_ms = monotonic_now(), utc_now_ms()
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -288,8 +288,8 @@
         leader_term = cluster.current_leader().service.leader_term  # type: ignore[union-attr]
         has_searched_and_returned.append(
             leader_term is not None
-            and bool(leader_term.worker_handlers.leader_search.redirected_at_by_worker)
-            and leader_term.worker_handlers.leader_search.has_worker_returned
+            and bool(leader_term.heartbeat_handler.leader_search.redirected_at_by_worker)
+            and leader_term.heartbeat_handler.leader_search.has_worker_returned
         )
         cluster.state.end_outage()
         for node in cluster.nodes:
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -128,7 +128,7 @@
 
     def start_term(self: LeaderTerm, *args: Any, **options: Any) -> None:
         original_init(self, *args, **options)
-        store_by_authority[self.worker_handlers.authority] = self.kv_store
+        store_by_authority[self.heartbeat_handler.authority] = self.kv_store
 
     original_init = LeaderTerm.__init__
     patch.setattr(LeaderTerm, "__init__", start_term)
