--- a/roseweir/controller/live_jobs.py
+++ b/roseweir/controller/live_jobs.py
@@ -130,7 +130,7 @@
     def _add_job(self, job_id: str, value: object, version: int, revision: int) -> None:
         run = self.cluster_state.add_stored_job(job_id, value, version)
         self._dependency_reconciler.add_job(run)
-        if self.cluster_state.headroom.is_urgent(run.spec):
+        if self.cluster_state.headroom.must_start_at_once(run.spec):
             self._signals.has_urgent_work.set()
         self._service_levels.account.add_job(run.spec)
         if self._predictive_scaler is not None and version <= revision:
--- a/roseweir/controller/scheduling_loop.py
+++ b/roseweir/controller/scheduling_loop.py
@@ -85,7 +85,10 @@
     def _signal_urgent_placements(self) -> None:
         """Wake the log writer at once, without waiting for a full batch, if a planned placement must start at once."""
         cluster_state = self._cluster_state
-        if any(cluster_state.headroom.is_urgent(placement.run.spec) for placement in cluster_state.planned_placements):
+        if any(
+            cluster_state.headroom.must_start_at_once(placement.run.spec)
+            for placement in cluster_state.planned_placements
+        ):
             self._log_writer.urgent_work_available.set()
 
     async def _wait_for_next_pass(self, min_pause: timedelta) -> None:
@@ -100,6 +103,6 @@
 
 def signal_job(signals: SchedulingSignals, cluster_state: ClusterState, run: JobRun) -> None:
     """Wake the scheduling loop for a job; a pass runs earlier if the job's tasks must start at once."""
-    if cluster_state.headroom.is_urgent(run.spec):
+    if cluster_state.headroom.must_start_at_once(run.spec):
         signals.has_urgent_work.set()
     signals.has_work.set()
--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -20,12 +20,12 @@
 from roseweir.settings import ServiceLevelObjective
 from roseweir.submissions.jobs import JobSpec, MachineType
 
-# How many jobs of each urgent class each zone keeps room for.
+# How many jobs of each immediate-start class each zone keeps room for.
 HEADROOM_JOBS_PER_ZONE = 1
 # The largest fraction of a zone's CPUs that is kept free.
 MAX_HEADROOM_CPU_FRACTION = 0.06
-# After this wait an urgent job may use CPUs reserved for GPU jobs of lower priority: replicas waited a minute in a zone
-# where only those CPUs were free.
+# After this wait a job that must start at once may use CPUs reserved for GPU jobs of lower priority: replicas waited a
+# minute in a zone where only those CPUs were free.
 GPU_RESERVE_WAIVED_AFTER = timedelta(seconds=5)
 
 
@@ -40,8 +40,8 @@
 
 
 @dataclass(slots=True)
-class UrgentClass:
-    """A class whose jobs must start at once, and the sizes of its jobs seen so far."""
+class ImmediateStartClass:
+    """A class whose jobs must start at once, and the sizes of its jobs in this term."""
 
     latest_spec: JobSpec
     max_tasks_per_zone: int = 0  # tasks that its largest job may have in one zone
@@ -56,10 +56,10 @@
 
 @dataclass(slots=True)
 class Headroom:
-    """The urgent classes, and the capacity kept free for them in the last pass, by machine name."""
+    """The immediate-start classes, and the capacity kept free for them in the last pass, by machine name."""
 
     start_time_objectives: dict[str, timedelta]
-    urgent_classes: dict[str, UrgentClass] = field(default_factory=dict)
+    immediate_start_classes: dict[str, ImmediateStartClass] = field(default_factory=dict)
     reserved_by_machine: dict[str, ReservedRoom] = field(default_factory=dict)
 
     @classmethod
@@ -74,7 +74,7 @@
         )
 
     def observe_job(self, spec: JobSpec, catalog: Iterable[MachineType]) -> None:
-        """Record a job: its class is urgent if no machine boots within its objective and the job needs no GPUs."""
+        """Record a job: its class must start at once if no machine boots within its objective and it needs no GPUs."""
         objective = self.start_time_objectives.get(spec.job_class)
         if (
             objective is None
@@ -82,51 +82,55 @@
             or objective >= min((t.boot_duration for t in catalog), default=objective)
         ):
             return
-        if spec.job_class in self.urgent_classes:
-            self.urgent_classes[spec.job_class].observe_job(spec)
+        if spec.job_class in self.immediate_start_classes:
+            self.immediate_start_classes[spec.job_class].observe_job(spec)
         else:
-            self.urgent_classes[spec.job_class] = UrgentClass(spec)
-            self.urgent_classes[spec.job_class].observe_job(spec)
+            self.immediate_start_classes[spec.job_class] = ImmediateStartClass(spec)
+            self.immediate_start_classes[spec.job_class].observe_job(spec)
 
-    def is_urgent(self, spec: JobSpec) -> bool:
-        """Whether the job's class must start at once."""
-        return spec.job_class in self.urgent_classes
+    def must_start_at_once(self, spec: JobSpec) -> bool:
+        """Whether the job is of an immediate-start class."""
+        return spec.job_class in self.immediate_start_classes
 
     def must_leave_headroom(self, run: JobRun) -> bool:
         """Whether the job must leave the headroom free: CPU-only, beyond its guarantee, and of lower priority."""
-        if run.is_within_quota or run.spec.gpus > 0 or run.spec.job_class in self.urgent_classes:
+        if run.is_within_quota or run.spec.gpus > 0 or run.spec.job_class in self.immediate_start_classes:
             return False
-        return any(run.priority > urgent_class.latest_spec.priority for urgent_class in self.urgent_classes.values())
+        return any(
+            run.priority > start_class.latest_spec.priority for start_class in self.immediate_start_classes.values()
+        )
 
     def may_waive_gpu_reserve(self, run: JobRun, highest_gpu_priority: int, now: datetime) -> bool:
-        """Whether the job may use CPUs reserved for GPU jobs. `highest_gpu_priority`: of all GPU jobs seen."""
-        if run.spec.job_class not in self.urgent_classes or run.priority >= highest_gpu_priority:
+        """Whether the job may use CPUs reserved for GPU jobs. `highest_gpu_priority`: of all GPU jobs in this term."""
+        if run.spec.job_class not in self.immediate_start_classes or run.priority >= highest_gpu_priority:
             return False
         return run.first_waited_at != NEVER and now - run.first_waited_at >= GPU_RESERVE_WAIVED_AFTER
 
-    def reserve(self, machines: Iterable[Machine], urgent_images: set[str]) -> dict[str, ReservedRoom]:
+    def reserve(self, machines: Iterable[Machine], low_latency_images: set[str]) -> dict[str, ReservedRoom]:
         """Choose again on which machines the headroom is kept, from what is free now.
 
         Args:
             machines: the machines that tasks may be started on.
-            urgent_images: images of low-latency classes; machines that hold most of them come first.
+            low_latency_images: images of low-latency classes; machines that hold most of them come first.
 
         Returns:
             What is kept free, by machine name; also in `reserved_by_machine`.
         """
         self.reserved_by_machine = {}
-        if not self.urgent_classes:
+        if not self.immediate_start_classes:
             return self.reserved_by_machine
         machines_by_zone: dict[str, list[Machine]] = {}
         for machine in machines:
             machines_by_zone.setdefault(machine.zone, []).append(machine)
-        for urgent_class in self.urgent_classes.values():
+        for start_class in self.immediate_start_classes.values():
             for zone_machines in machines_by_zone.values():
-                self._reserve_in_zone(urgent_class, zone_machines, urgent_images)
+                self._reserve_in_zone(start_class, zone_machines, low_latency_images)
         return self.reserved_by_machine
 
-    def _reserve_in_zone(self, urgent_class: UrgentClass, machines: list[Machine], urgent_images: set[str]) -> None:
-        spec = urgent_class.latest_spec
+    def _reserve_in_zone(
+        self, start_class: ImmediateStartClass, machines: list[Machine], low_latency_images: set[str]
+    ) -> None:
+        spec = start_class.latest_spec
         fitting_machines = [
             m
             for m in machines
@@ -136,10 +140,10 @@
         ]
         max_cpus = sum(m.machine_type.cpus for m in machines if m.machine_type.gpus <= 0) * MAX_HEADROOM_CPU_FRACTION
         missing_tasks = min(
-            urgent_class.max_tasks_per_zone * HEADROOM_JOBS_PER_ZONE, int(max_cpus / spec.cpus) if spec.cpus > 0 else 0
+            start_class.max_tasks_per_zone * HEADROOM_JOBS_PER_ZONE, int(max_cpus / spec.cpus) if spec.cpus > 0 else 0
         )
         ranked_machines = [
-            (-sum(image in urgent_images for image in m.image_cache), n, m)
+            (-sum(image in low_latency_images for image in m.image_cache), n, m)
             for n, m in enumerate(fitting_machines)
             if m.free_cpus > 0
         ]
--- a/roseweir/scheduler/preemption.py
+++ b/roseweir/scheduler/preemption.py
@@ -18,8 +18,8 @@
 
 # How long a job waits for room to become free before other tasks are preempted for it.
 PREEMPTION_DELAY = timedelta(seconds=1)
-# The same for jobs of urgent classes, whose headroom (`headroom.py`) was not enough.
-URGENT_PREEMPTION_DELAY = timedelta(milliseconds=300)
+# The same for jobs of immediate-start classes, whose headroom (`headroom.py`) was not enough.
+IMMEDIATE_START_PREEMPTION_DELAY = timedelta(milliseconds=300)
 # How long a machine stays reserved for the job that tasks on it were preempted for.
 MACHINE_RESERVATION_DURATION = timedelta(seconds=15)
 # The interval between two searches for tasks to preempt.
@@ -144,22 +144,23 @@
     )
 
 
-def preempt_for_urgent_job(
+def preempt_for_immediate_start(
     snapshot: CapacitySnapshot, run: JobRun, missing_tasks: int, reservations: CapacityReservations
 ) -> None:
-    """Preempt lower-priority tasks if the headroom was not enough for an urgent job, least lost work first.
+    """Preempt lower-priority tasks if the headroom was not enough for a job that must start at once.
 
-    Nothing is reserved: the freed room goes to the first job in the queue, which is this one or one ahead of it.
+    The tasks with the least lost work come first. Nothing is reserved: the freed room goes to the first job in the
+    queue, which is this one or one ahead of it.
     """
     cluster_state, now = snapshot.cluster_state, snapshot.now
     if (
-        now - run.first_waited_at < URGENT_PREEMPTION_DELAY
+        now - run.first_waited_at < IMMEDIATE_START_PREEMPTION_DELAY
         or now - run.last_preemption_search_at < PREEMPTION_RETRY_INTERVAL
     ):
         return
     run.last_preemption_search_at = now
     zone_limits = {zone: max_tasks_in_zone(run, zone) for zone in {m.zone for m in snapshot.machines}}
-    for slot in _find_slots_for_urgent_job(snapshot, run, missing_tasks, zone_limits, reservations):
+    for slot in _find_slots_for_immediate_start(snapshot, run, missing_tasks, zone_limits, reservations):
         if missing_tasks <= 0:
             break
         if zone_limits[slot.machine.zone] <= 0:
@@ -168,7 +169,7 @@
         missing_tasks -= 1
         for victim in slot.victims:
             log.info(
-                "preempting task for urgent job: task=%s machine=%s job=%s",
+                "preempting task for job that must start at once: task=%s machine=%s job=%s",
                 victim.task_name,
                 slot.machine.name,
                 run.spec.id,
@@ -179,7 +180,7 @@
             snapshot.invalidate_after_preemption()
 
 
-def _find_slots_for_urgent_job(
+def _find_slots_for_immediate_start(
     snapshot: CapacitySnapshot,
     run: JobRun,
     missing_tasks: int,
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -1,4 +1,4 @@
-"""Capacity that a job must leave to others: CPUs for GPUs, headroom for urgent jobs, machines reserved for one job."""
+"""Capacity that a job must leave to others: CPUs for GPUs, headroom for immediate starts, and reserved machines."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -21,7 +21,7 @@
     cpus_per_gpu: dict[str, float]
     headroom_by_machine: dict[str, ReservedRoom] | None = None  # None: not reserved yet in this pass
     must_leave_headroom: bool = False  # the current job must not use the headroom
-    waives_gpu_reserve: bool = False  # an urgent job that has waited, of higher priority than all GPU jobs
+    waives_gpu_reserve: bool = False  # the current job may use the CPUs for GPUs (`Headroom.may_waive_gpu_reserve`)
 
     @property
     def access_level(self) -> int:
--- a/roseweir/scheduler/scheduling_pass.py
+++ b/roseweir/scheduler/scheduling_pass.py
@@ -17,7 +17,7 @@
 from roseweir.scheduler.gang_placement import place_gang
 from roseweir.scheduler.machine_eligibility import schedulable_machines
 from roseweir.scheduler.model import JobRun, Machine
-from roseweir.scheduler.preemption import expire_failed_preemptions, preempt_for_urgent_job, reserve_or_preempt
+from roseweir.scheduler.preemption import expire_failed_preemptions, preempt_for_immediate_start, reserve_or_preempt
 from roseweir.scheduler.queue_order import build_queue
 from roseweir.scheduler.quota import mark_within_quota, startup_limit_source, tasks_within_team_limit
 from roseweir.scheduler.reservations import CapacityReservations, reserved_cpus_per_gpu
@@ -160,8 +160,8 @@
     def _make_room(self, run: JobRun, missing_tasks: int) -> None:
         if run.spec.gpus > 0:
             reserve_or_preempt(self.snapshot, run, missing_tasks, self.reserved_from)
-        elif self.cluster_state.headroom.is_urgent(run.spec):
-            preempt_for_urgent_job(self.snapshot, run, missing_tasks, self.reservations)
+        elif self.cluster_state.headroom.must_start_at_once(run.spec):
+            preempt_for_immediate_start(self.snapshot, run, missing_tasks, self.reservations)
 
 
 def run_scheduling_pass(cluster_state: ClusterState, now: datetime) -> SchedulingPassResult:
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -96,7 +96,7 @@
             image_cost,
             capacity_left + policy.lifetime_mismatch(machine, spec) * 0.5,
         )
-    if snapshot.cluster_state.headroom.is_urgent(spec):
+    if snapshot.cluster_state.headroom.must_start_at_once(spec):
         # The image ranks first: a fetch takes longer than the job may wait to start.
         return (image_cost, wastes_gpus, uses_non_spot, low_latency_image_penalty, capacity_left)
     return (wastes_gpus, uses_non_spot, low_latency_image_penalty, image_cost, capacity_left)
