--- a/benchmarks/delivery_deadlines.py
+++ b/benchmarks/delivery_deadlines.py
@@ -1,4 +1,4 @@
-"""Delivery deadlines met with and without priority for urgent jobs, compared to what capacity allows.
+"""Delivery deadlines met with and without priority for steps at risk, compared to what capacity allows.
 
     python3 -m benchmarks.delivery_deadlines [--seeds 4]
 
@@ -57,10 +57,10 @@
         return min(1.0, self.core_seconds / max(required_core_seconds, 1e-9))
 
 
-def run_night(seed: int, prioritises_urgent: bool, has_faults: bool) -> tuple[int, int, float]:
-    original_urgent_job_slack = vars(controller)["urgent_job_slack"]
-    if not prioritises_urgent:
-        vars(controller)["urgent_job_slack"] = lambda statuses, workflows: {}
+def run_night(seed: int, prioritises_steps_at_risk: bool, has_faults: bool) -> tuple[int, int, float]:
+    original_slack_of_steps_at_risk = vars(controller)["slack_of_steps_at_risk"]
+    if not prioritises_steps_at_risk:
+        vars(controller)["slack_of_steps_at_risk"] = lambda statuses, workflows: {}
     try:
         cluster = BenchmarkNight(seed)
         cluster.has_faults_all_night = has_faults
@@ -68,7 +68,7 @@
             cluster.schedule_action(act)
         cluster.run(length_s=MORNING_S + 2, job_count=1)
     finally:
-        vars(controller)["urgent_job_slack"] = original_urgent_job_slack
+        vars(controller)["slack_of_steps_at_risk"] = original_slack_of_steps_at_risk
     if cluster.errors or cluster.rule_violations:
         raise SystemExit(f"mornings: seed {seed}: {(cluster.errors + cluster.rule_violations)[0]}")
     kept, lots = cluster.kept(MORNING_S)
@@ -81,10 +81,12 @@
     args = parser.parse_args()
     for has_faults in (False, True):
         row: dict[str, Any] = {"troubled": has_faults, "seeds": args.seeds}
-        for prioritises_urgent in (False, True):
-            nights = [run_night(8100 + seed, prioritises_urgent, has_faults) for seed in range(args.seeds)]
+        for prioritises_steps_at_risk in (False, True):
+            nights = [run_night(8100 + seed, prioritises_steps_at_risk, has_faults) for seed in range(args.seeds)]
             lots = sum(night[1] for night in nights)
-            row["hurried" if prioritises_urgent else "plain"] = round(sum(night[0] for night in nights) / lots, 2)
+            row["hurried" if prioritises_steps_at_risk else "plain"] = round(
+                sum(night[0] for night in nights) / lots, 2
+            )
             row["bound"] = round(sum(night[2] for night in nights) / len(nights), 2)
             row["lots"] = lots
         print(msgspec.json.encode(row).decode(), flush=True)
--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -1,4 +1,4 @@
-"""Deadline controller of the leader: assigns and tracks delivery deadlines, and makes workflows at risk urgent.
+"""Deadline controller of the leader: assigns and tracks delivery deadlines, and puts workflows at risk first.
 
 The due time is part of the workflow's record, which is durable before the amendment is acknowledged. Everything else is
 derived from workflows, except the reports of past nights and the measured durations of steps by class: these are stored
@@ -21,7 +21,7 @@
     UNATTAINABLE,
     DeadlineStatus,
     evaluate_deadline,
-    urgent_job_slack,
+    slack_of_steps_at_risk,
 )
 from roseweir.delivery_deadlines.errors import NightRecordUnreadable
 from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
@@ -179,7 +179,7 @@
         for workflow in self._workflows_with_deadline():
             if not workflow.is_ended or workflow.id not in self.statuses:
                 self._update_status(workflow, now_ms)
-        slack_by_job = urgent_job_slack(
+        slack_by_job = slack_of_steps_at_risk(
             (s for s in self.statuses.values() if s.state == AT_RISK), self.workflow_controller.workflows
         )
         self.cluster_state.set_slack("promises", slack_by_job)
--- a/roseweir/delivery_deadlines/deadline_status.py
+++ b/roseweir/delivery_deadlines/deadline_status.py
@@ -87,10 +87,10 @@
     )
 
 
-def urgent_job_slack(statuses: Iterable[DeadlineStatus], workflows: Mapping[str, Workflow]) -> dict[str, int]:
-    """Return the slack, in milliseconds by job id, of the urgent jobs: released steps of workflows at risk.
+def slack_of_steps_at_risk(statuses: Iterable[DeadlineStatus], workflows: Mapping[str, Workflow]) -> dict[str, int]:
+    """Return the slack, in milliseconds by job id, of the released steps of workflows at risk.
 
-    Urgent jobs are scheduled first among their team's jobs. Workflows that can no longer be on time are left out, as
+    These jobs are scheduled first among their team's jobs. Workflows that can no longer be on time are left out, as
     they must not delay those that can, and so are workflows that are on track.
     """
     slack_by_job: dict[str, int] = {}
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -22,7 +22,7 @@
     ON_TRACK,
     UNATTAINABLE,
     evaluate_deadline,
-    urgent_job_slack,
+    slack_of_steps_at_risk,
 )
 from roseweir.delivery_deadlines.due_time import compute_due_ms, local_instant, night_ending_date
 from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
@@ -180,7 +180,7 @@
     cluster_state.slack_ms_by_job[run.spec.id] = 30_000
     assert time_budget(cluster_state, run, seconds(0)) == seconds(18), "machines are asked for in that time"
     lost = evaluate_deadline(chain(5_000, *three()), lambda step: 100.0, 0, 1)
-    assert lost.state == UNATTAINABLE and urgent_job_slack([lost], {"am": chain(5_000, *three())}) == {}
+    assert lost.state == UNATTAINABLE and slack_of_steps_at_risk([lost], {"am": chain(5_000, *three())}) == {}
 
 
 # -- in the simulated world ---------------------------------------------------------------------
@@ -241,7 +241,9 @@
     for seed in seeds:
         with patch.context() as inner:
             if not hurries:
-                inner.setattr("roseweir.delivery_deadlines.controller.urgent_job_slack", lambda standings, chains: {})
+                inner.setattr(
+                    "roseweir.delivery_deadlines.controller.slack_of_steps_at_risk", lambda standings, chains: {}
+                )
             cluster = watched(Landings(seed, promised(time(0, 1, 40), margin=110)))
             cluster.fillers = 60
             cluster.schedule_action(cluster.night)
