--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -104,14 +104,14 @@
             dependencies.may_hold_connection,
         )
         self.predictive_scaler = self._make_predictive_scaler()
-        self.service_levels = ServiceLevelController(
+        self.service_level_controller = ServiceLevelController(
             self.cluster_state,
             self.kv_store,
             leader_lease.leader_key_version,
             leader_lease.end,
             dependencies.gather_rejections,
         )
-        self.workflows = WorkflowController(
+        self.workflow_controller = WorkflowController(
             operator_config.workflow or WorkflowSettings(),
             self.cluster_state,
             self.kv_store,
@@ -119,8 +119,8 @@
             leader_lease.is_valid,
             leader_lease.end,
         )
-        self.workflows.watched_revision = lambda: self.service_levels.watched_revision
-        self.delivery_deadlines = self._make_delivery_deadlines()
+        self.workflow_controller.watched_revision = lambda: self.service_level_controller.watched_revision
+        self.deadline_controller = self._make_deadline_controller()
         self.drain_controller = DrainController(
             operator_config.drain,
             self.cluster_state,
@@ -181,7 +181,7 @@
             self.leader_lease.end,
         )
 
-    def _make_delivery_deadlines(self) -> "DeadlineController | None":
+    def _make_deadline_controller(self) -> "DeadlineController | None":
         settings = self._dependencies.operator_config.delivery_deadline
         if settings is None:
             return None
@@ -189,7 +189,7 @@
 
         return delivery_deadline_controller.DeadlineController(
             settings,
-            self.workflows,
+            self.workflow_controller,
             self.cluster_state,
             self.kv_store,
             self.leader_lease.leader_key_version,
@@ -231,7 +231,7 @@
             self.cluster_state,
             log_writer=self.log_writer,
             dependency_reconciler=self.dependency_reconciler,
-            service_levels=self.service_levels,
+            service_level_controller=self.service_level_controller,
             predictive_scaler=self.predictive_scaler,
             heartbeat_handler=self.heartbeat_handler,
             peer_cancellations=peer_cancellations,
@@ -242,8 +242,8 @@
 
     def _on_job_ended(self, job_id: str, state: str) -> None:
         """Handle a job's end, which the store has recorded."""
-        self.service_levels.account.record_outcome(job_id, state)
-        self.workflows.record_job_end(job_id, state)
+        self.service_level_controller.account.record_outcome(job_id, state)
+        self.workflow_controller.record_job_end(job_id, state)
         self.dependency_reconciler.record_end(job_id, state)
 
     def _on_dependencies_met(self, run: JobRun) -> None:
@@ -269,11 +269,11 @@
             group.create_task(self.heartbeat_handler.direct_commands.run())
             group.create_task(self.cloud_controller.run())
             group.create_task(self.drain_controller.run())
-            group.create_task(self.service_levels.run())
-            group.create_task(self.workflows.run())
+            group.create_task(self.service_level_controller.run())
+            group.create_task(self.workflow_controller.run())
             group.create_task(self.dependency_reconciler.run())
-            if self.delivery_deadlines is not None:
-                group.create_task(self.delivery_deadlines.run())
+            if self.deadline_controller is not None:
+                group.create_task(self.deadline_controller.run())
             if self.predictive_scaler is not None:
                 group.create_task(self.predictive_scaler.run())
 
@@ -288,7 +288,7 @@
             try:
                 # These reads come before the log writer's recovery, which cannot be repeated if one of them fails.
                 drain_records, workflow_records = await gather_pair(
-                    self.drain_controller.read_records(), self.workflows.read_entries()
+                    self.drain_controller.read_records(), self.workflow_controller.read_entries()
                 )
                 revision = await self.log_writer.recover()
             except (StoreError, Unreachable) as error:
@@ -297,9 +297,9 @@
                 continue
             self.heartbeat_handler.authority.record_recovery_read(sent_at)
             self.drain_controller.restore(drain_records)
-            self.workflows.restore(workflow_records)
+            self.workflow_controller.restore(workflow_records)
             self.dependency_reconciler.rebuild(revision)
-            self.service_levels.count_inherited_jobs(revision)
+            self.service_level_controller.count_inherited_jobs(revision)
             if self.predictive_scaler is not None:
                 for run in self.cluster_state.jobs.values():
                     # Jobs that the scan returned with a later revision are delivered again by the first watch.
--- a/roseweir/controller/live_jobs.py
+++ b/roseweir/controller/live_jobs.py
@@ -36,7 +36,7 @@
         *,
         log_writer: LogWriter,
         dependency_reconciler: DependencyReconciler,
-        service_levels: ServiceLevelController,
+        service_level_controller: ServiceLevelController,
         predictive_scaler: "PredictiveScaler | None",
         heartbeat_handler: HeartbeatHandler,
         peer_cancellations: PeerCancellations,
@@ -46,7 +46,7 @@
         self.cluster_state = cluster_state
         self.log_writer = log_writer
         self._dependency_reconciler = dependency_reconciler
-        self._service_levels = service_levels
+        self._service_level_controller = service_level_controller
         self._predictive_scaler = predictive_scaler
         self._heartbeat_handler = heartbeat_handler
         self._peer_cancellations = peer_cancellations
@@ -87,7 +87,7 @@
             for event in events:
                 self._apply_live_job(event.key.removeprefix(LIVE_JOB_PREFIX), event.value, event.version, event.version)
         await self._confirm_completions(unconfirmed)
-        self._service_levels.watched_revision = self._revision
+        self._service_level_controller.watched_revision = self._revision
         if self._predictive_scaler is not None:
             self._predictive_scaler.record_watch_progress(
                 self._revision, sent_at, includes_ends=watch_result is not None
@@ -111,9 +111,9 @@
                 if self._predictive_scaler is not None:
                     self._predictive_scaler.record_ended_job(job_id)
                 await self.log_writer.refresh_job_end(job_id)
-        for job_id in self._service_levels.account.live_jobs.keys() - present_job_ids:
-            self._service_levels.account.confirm_end(job_id)
-        self._service_levels.account.gap_count += 1  # jobs that were added and ended in between are missed
+        for job_id in self._service_level_controller.account.live_jobs.keys() - present_job_ids:
+            self._service_level_controller.account.confirm_end(job_id)
+        self._service_level_controller.account.gap_count += 1  # jobs that were added and ended in between are missed
         return revision
 
     def _apply_live_job(self, job_id: str, value: object, version: int, revision: int) -> None:
@@ -132,7 +132,7 @@
         self._dependency_reconciler.add_job(run)
         if self.cluster_state.headroom.must_start_at_once(run.spec):
             self._signals.has_urgent_work.set()
-        self._service_levels.account.add_job(run.spec)
+        self._service_level_controller.account.add_job(run.spec)
         if self._predictive_scaler is not None and version <= revision:
             self._predictive_scaler.record_accepted_job(run, version)
 
@@ -145,7 +145,7 @@
         elif run is not None:
             # Only this leader's write of the job's end, or a user's cancellation, deletes a live key.
             self.log_writer.record_job_end(job_id, completed_job(run.spec, "cancelled"))
-        self._service_levels.account.confirm_end(job_id)
+        self._service_level_controller.account.confirm_end(job_id)
 
     def _stop_unconfirmed_completion(self, job_id: str, run: JobRun) -> None:
         """Stop a complete job, and read its final state from the store later.
--- a/roseweir/controller/peer_api.py
+++ b/roseweir/controller/peer_api.py
@@ -37,9 +37,9 @@
 
 LEADER_ROUTES = {
     "/drains": LeaderRoute(lambda leader_term: leader_term.drain_controller, drain_api.handle_request),
-    "/chains": LeaderRoute(lambda leader_term: leader_term.workflows, workflow_handlers.handle_request),
+    "/chains": LeaderRoute(lambda leader_term: leader_term.workflow_controller, workflow_handlers.handle_request),
     "/promises": LeaderRoute(
-        lambda leader_term: leader_term.delivery_deadlines, delivery_deadline_handlers.handle_request
+        lambda leader_term: leader_term.deadline_controller, delivery_deadline_handlers.handle_request
     ),
 }
 
--- a/roseweir/controller/status.py
+++ b/roseweir/controller/status.py
@@ -64,7 +64,7 @@
             return None
         return (
             self._leadership.describe_node()
-            | leader_term.service_levels.describe()
+            | leader_term.service_level_controller.describe()
             | {"as_of_s": job_data_age_s(leader_term)}
         )
 
@@ -111,11 +111,11 @@
     if leader_term.predictive_scaler is not None:
         summary |= leader_term.predictive_scaler.summary()
     summary |= leader_term.drain_controller.summary()
-    summary |= leader_term.service_levels.summary()
-    summary |= leader_term.workflows.summary()
+    summary |= leader_term.service_level_controller.summary()
+    summary |= leader_term.workflow_controller.summary()
     summary |= leader_term.dependency_reconciler.summary()
-    if leader_term.delivery_deadlines is not None:
-        summary |= leader_term.delivery_deadlines.summary()
+    if leader_term.deadline_controller is not None:
+        summary |= leader_term.deadline_controller.summary()
     if leader_term.rebalancer is not None and leader_term.drain_controller.is_active:
         summary |= leader_term.rebalancer.summary()
     return summary
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -119,5 +119,5 @@
         for node in self.nodes:
             leader_term = None if node.service is None else node.service.leader_term
             if leader_term is not None and leader_term.is_ready:
-                return {name: workflow.state for name, workflow in leader_term.workflows.workflows.items()}
+                return {name: workflow.state for name, workflow in leader_term.workflow_controller.workflows.items()}
         return {}
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -197,7 +197,7 @@
 
 def desk_of(cluster: SimulatedCluster) -> DeadlineController | None:
     return next(
-        (n.service.leader_term.delivery_deadlines for n in cluster.nodes if n.service and n.service.leader_term), None
+        (n.service.leader_term.deadline_controller for n in cluster.nodes if n.service and n.service.leader_term), None
     )
 
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -38,7 +38,7 @@
     for node in cluster.nodes:
         leader_term = None if node.service is None else node.service.leader_term
         if leader_term is not None and leader_term.is_ready:
-            levels = leader_term.service_levels.account.service_levels(leader_term.cluster_state.jobs)
+            levels = leader_term.service_level_controller.account.service_levels(leader_term.cluster_state.jobs)
             return {
                 row: (level.accepted, level.done, level.cancelled) for row, level in levels.items() if level.accepted
             }
@@ -69,7 +69,7 @@
         service = cluster.current_leader().service
         if service is not None and service.leader_term is not None and service.leader_term.is_ready:
             started_jobs = {job_id for job_id, _, _ in cluster.started_attempts}
-            account = service.leader_term.service_levels.account
+            account = service.leader_term.service_level_controller.account
             account.update_started(service.leader_term.cluster_state.jobs, 0)
             teams = sum_by_team(account.service_levels(service.leader_term.cluster_state.jobs))
             for team, level in teams.items():
@@ -104,7 +104,7 @@
         await asyncio.sleep(12)
         service = cluster.current_leader().service
         assert service is not None and service.leader_term is not None
-        account = service.leader_term.service_levels.account
+        account = service.leader_term.service_level_controller.account
         levels_by_class.append(sum_by_class(account.service_levels(service.leader_term.cluster_state.jobs)))
 
     cluster.schedule_action(flood)
