--- a/roseweir/drain/eviction_state_machine.py
+++ b/roseweir/drain/eviction_state_machine.py
@@ -7,7 +7,7 @@
 - *cordoned*: no new tasks start; tasks that are expected to end soon are waited for.
 - *moving*: tasks that can save a checkpoint, or that still run after the grace period, are requested to stop: gangs as
   a whole, service replicas one at a time and only if there is room elsewhere.
-- *leaving*: the machine is empty and is returned to the cloud. The surge pool plans its replacement.
+- *leaving*: the machine is empty and is released. The surge pool plans its replacement.
 
 A stop is reserved in the disruption account when it is decided, then stored, and only then carried out. Failures only
 delay a drain: a machine without a current heartbeat gets no stop requests, machines in an unresponsive zone are not
--- a/roseweir/scheduler/starvation.py
+++ b/roseweir/scheduler/starvation.py
@@ -61,7 +61,7 @@
 
 
 class JobSizeHistogram:
-    """Counts the jobs that this leader has seen by class and by size in `total_resource_units`."""
+    """Counts the jobs of this leader's term by class and by size in `total_resource_units`."""
 
     def __init__(self) -> None:
         self._count_by_size: dict[str, dict[float, int]] = {}
--- a/roseweir/settings.py
+++ b/roseweir/settings.py
@@ -120,7 +120,7 @@
         return seconds(self.cancel_timeout_s)
 
 
-# The record of a machine that runs 30 different jobs has to fit into one value.
+# The write-ahead log's entry of a machine that runs 30 different jobs has to fit into one value.
 MIN_VALUE_KIB = 2
 # A job's end and a leader election take two operations in one transaction, and a batch adds a delta to these.
 MIN_TXN_OPS = 4
--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -31,7 +31,7 @@
 
 BEST_EFFORT_RETRY_AFTER = timedelta(seconds=3)
 # The share of the key-value store's write rate that acceptances for best-effort teams may use. The rest is left to
-# records of task starts and completions; completions of best-effort jobs may be delayed behind records of starts.
+# the write-ahead log of task starts and completions; completions of best-effort jobs may be delayed behind starts.
 BEST_EFFORT_WRITE_SHARE = 0.4
 # Largest burst of these writes, in seconds of their rate.
 BEST_EFFORT_BURST_SECONDS = 10.0
@@ -102,7 +102,7 @@
     def _check_best_effort_share(self, spec: JobSpec) -> None:
         """Raise SubmissionRejected if the job exceeds the share of writes of best-effort teams.
 
-        A burst of their jobs must leave enough writes for the records of all teams' task starts and completions.
+        A burst of their jobs must leave enough writes for the write-ahead log of all teams' starts and completions.
         """
         if self._is_best_effort(spec) and not self._best_effort_rate_limiter.try_acquire():
             raise SubmissionRejected(429, "more jobs than this team may submit at once", BEST_EFFORT_RETRY_AFTER)
