--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -89,7 +89,7 @@
 
 def plan_scale_in(
     cluster_state: ClusterState,
-    scheduling_pass: SchedulingPassResult,
+    last_pass: SchedulingPassResult,
     now: datetime,
     retained: Container[str] = frozenset(),
 ) -> list[MachineRelease]:
@@ -99,7 +99,7 @@
     """
     _update_responsive_zones(cluster_state, _silence_by_zone(cluster_state, now), now)
     slowdown = boot_slowdown(cluster_state, now)
-    waiting_specs = [run.spec for run, _ in scheduling_pass.unplaced]
+    waiting_specs = [run.spec for run, _ in last_pass.unplaced]
     idle_limits = {machine_type.name: idle_timeout(machine_type) for machine_type in cluster_state.catalog.values()}
     silence_limit = silence_timeout(cluster_state)
     releases: list[MachineRelease] = []
--- a/roseweir/cloud/scale_out.py
+++ b/roseweir/cloud/scale_out.py
@@ -77,7 +77,7 @@
 
 def plan_scale_out(
     cluster_state: ClusterState,
-    scheduling_pass: SchedulingPassResult,
+    last_pass: SchedulingPassResult,
     refused_until: dict[MachineOffer, datetime],
     wall_ms: int,
     now: datetime,
@@ -90,7 +90,7 @@
     for is_gpu_pool in (True, False):
         waiting_runs = [
             (run, unplaced_count)
-            for run, unplaced_count in scheduling_pass.unplaced
+            for run, unplaced_count in last_pass.unplaced
             if (run.spec.gpus > 0) == is_gpu_pool and not run.final_state
         ]
         if not waiting_runs:
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -68,7 +68,7 @@
         decision: Decision,
         state_machine: EvictionStateMachine,
         last_pass: SchedulingPassResult,
-        refused_offers: dict[MachineOffer, datetime],
+        refused_until: dict[MachineOffer, datetime],
         now: datetime,
         wall_ms: int,
     ) -> dict[str, Any]:
@@ -280,7 +280,7 @@
     # -- used by the cloud controller ---------------------------------------------------------
 
     def plan_replacements(
-        self, other_requests: list[MachineRequest], refused_offers: dict[MachineOffer, datetime], now: datetime
+        self, other_requests: list[MachineRequest], refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
         """Return replacements to rent, and ready ones (with the reason) that must not be released as idle."""
         if not self.is_active or not self.state_machine.is_settled(now):
@@ -291,7 +291,7 @@
             for name in names
         }
         return self.surge_pool.plan_rentals(
-            self.state_machine.due_machines, refused_offers, other_requests, now
+            self.state_machine.due_machines, refused_until, other_requests, now
         ), reserved
 
     # -- operators ----------------------------------------------------------------------------
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -70,12 +70,12 @@
     # -- events -------------------------------------------------------------------------------
 
     def update(
-        self, waiting_needs_gpus: Iterable[bool], refused_offers: dict[MachineOffer, datetime], now: datetime
+        self, waiting_needs_gpus: Iterable[bool], refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> None:
         """Update from the latest scheduling pass: for each job that was not placed, whether it needs GPUs."""
         for needs_gpus in waiting_needs_gpus:
             self._last_waiting[needs_gpus] = now
-        for offer, until in refused_offers.items():
+        for offer, until in refused_until.items():
             if until > now:
                 self.sold_out_until[offer] = now + SOLD_OUT_DURATION
         machines = self.cluster_state.machines
@@ -218,7 +218,7 @@
     def plan_rentals(
         self,
         due_machines: dict[str, list[Machine]],
-        refused_offers: dict[MachineOffer, datetime],
+        refused_until: dict[MachineOffer, datetime],
         other_requests: list[MachineRequest],
         now: datetime,
     ) -> list[MachineRequest]:
@@ -246,7 +246,7 @@
             for offer in self._candidate_offers(machine_type, machines, is_spot):
                 if missing_count <= 0 or len(machine_requests) >= max_calls:
                     break
-                if offer in taken_offers or refused_offers.get(offer, now) > now or image_fetches.get(offer[1], 1) <= 0:
+                if offer in taken_offers or refused_until.get(offer, now) > now or image_fetches.get(offer[1], 1) <= 0:
                     continue
                 count = min(
                     missing_count, MAX_MACHINES_PER_REQUEST, image_fetches.get(offer[1], MAX_MACHINES_PER_REQUEST)
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -78,7 +78,7 @@
         decision: Decision,
         state_machine: EvictionStateMachine,
         last_pass: SchedulingPassResult,
-        refused_offers: dict[MachineOffer, datetime],
+        refused_until: dict[MachineOffer, datetime],
         now: datetime,
         wall_ms: int,
     ) -> dict[str, Any]:
@@ -92,7 +92,7 @@
         cooldown_ms = round(self.settings.again.total_seconds() * 1000)
         self.moved_at_ms = {name: at for name, at in self.moved_at_ms.items() if wall_ms - at < cooldown_ms}
         if state_machine.is_settled(now):
-            self._add_plans(state_machine, machines, last_pass, refused_offers, now, wall_ms)
+            self._add_plans(state_machine, machines, last_pass, refused_until, now, wall_ms)
             self._evict_replicas(decision, state_machine, machines, now, wall_ms)
         self._update_reservations()
         while len(self.moved_at_ms) > MAX_MOVED_REPLICAS:
@@ -149,7 +149,7 @@
         state_machine: EvictionStateMachine,
         machines: list[Machine],
         last_pass: SchedulingPassResult,
-        refused_offers: dict[MachineOffer, datetime],
+        refused_until: dict[MachineOffer, datetime],
         now: datetime,
         wall_ms: int,
     ) -> None:
@@ -197,7 +197,7 @@
             if cheaper_to_rent(
                 plan.cost,
                 machine_type,
-                not self._is_sold_out(run, machine_type.name, refused_offers, now),
+                not self._is_sold_out(run, machine_type.name, refused_until, now),
                 waiting_time_so_far,
             ):
                 self.wait_reason = f"{run.spec.id}: a machine is cheaper rented than made clear"
@@ -223,7 +223,7 @@
             context.reservations[plan.machine] = {plan.for_job_id}
 
     def _is_sold_out(
-        self, run: JobRun, machine_type: str, refused_offers: dict[MachineOffer, datetime], now: datetime
+        self, run: JobRun, machine_type: str, refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> bool:
         catalog_entry = self.cluster_state.catalog.get(machine_type)
         if catalog_entry is None:
@@ -233,7 +233,7 @@
             for zone in catalog_entry.zones
             for spot in ((True, False) if run.spec.allows_spot else (False,))
         ]
-        return all(refused_offers.get(offer, now) > now for offer in offers)
+        return all(refused_until.get(offer, now) > now for offer in offers)
 
     def _planning_context(self, machines: list[Machine], now: datetime) -> PlanningContext:
         planned_tasks: dict[str, list[JobSpec]] = {}
