--- a/roseweir/forecast/capacity_plan.py
+++ b/roseweir/forecast/capacity_plan.py
@@ -111,19 +111,19 @@
     unclaimed_counts = {machine_request: machine_request.count for machine_request in machine_requests}
     # GPU pools first: GPU machines cost more and are fewer, and their spare CPUs can serve the CPU pools.
     for need in sorted(needs, key=lambda n: (not n.pool.gpus, repr(n.pool))):
-        job_spec = representative_job(need)
+        spec = representative_job(need)
         missing_units = need.units
         idle_machines = 0
         # Computed once for each type, since there are hundreds of machines.
         units_by_type = {
-            machine_type.name: _units_per_machine(cluster_state, job_spec, machine_type)
+            machine_type.name: _units_per_machine(cluster_state, spec, machine_type)
             for machine_type in cluster_state.catalog.values()
-            if job_spec.fits_machine_type(machine_type)
+            if spec.fits_machine_type(machine_type)
         }
         gpu_wasting_types = {
             type_name
             for type_name in units_by_type
-            if _wastes_gpus(cluster_state, job_spec, cluster_state.catalog[type_name])
+            if _wastes_gpus(cluster_state, spec, cluster_state.catalog[type_name])
         }
         for machine in usable_machines:
             if missing_units <= 1e-6:
@@ -132,7 +132,7 @@
             if (
                 machine.name in claimed_machines[need.pool.gpus]
                 or units_by_type.get(type_name, 0.0) <= 0
-                or not allows_machine(job_spec, machine)
+                or not allows_machine(spec, machine)
             ):
                 continue
             if type_name in gpu_wasting_types and machine.name not in claimed_machines[True]:
@@ -147,15 +147,15 @@
                     capacity_plan.kept_machines[machine.name] = f"{need.pool}: {need.reason}"
                     capacity_plan.price_per_hour += _price(machine.machine_type, machine.is_spot)
                     capacity_plan.machine_count += 1
-        missing_units = _deduct_reactive_requests(cluster_state, job_spec, missing_units, unclaimed_counts)
+        missing_units = _deduct_reactive_requests(cluster_state, spec, missing_units, unclaimed_counts)
         available_units = need.units - max(0.0, missing_units)
         ordered_units, ordered_machines = 0.0, 0
         if missing_units > 1e-6:
             for machine_request in _scale_out(
-                cluster_state, job_spec, missing_units, refused_until, all_requests, capacity_plan, settings, now
+                cluster_state, spec, missing_units, refused_until, all_requests, capacity_plan, settings, now
             ):
                 ordered_units += machine_request.count * _units_per_machine(
-                    cluster_state, job_spec, cluster_state.catalog[machine_request.type_name]
+                    cluster_state, spec, cluster_state.catalog[machine_request.type_name]
                 )
                 ordered_machines += machine_request.count
                 capacity_plan.machine_requests.append(machine_request)
@@ -183,17 +183,17 @@
     return machine_type.spot_price if is_spot else machine_type.price
 
 
-def _units_per_machine(cluster_state: ClusterState, job_spec: JobSpec, machine_type: MachineType) -> float:
+def _units_per_machine(cluster_state: ClusterState, spec: JobSpec, machine_type: MachineType) -> float:
     """Units that the tasks fitting on an empty machine of this type use."""
     return Machine("", machine_type, "", False).count_fitting_tasks(
-        job_spec, cluster_state.max_cpus_per_gpu
-    ) * units_per_task(job_spec)
+        spec, cluster_state.max_cpus_per_gpu
+    ) * units_per_task(spec)
 
 
-def _wastes_gpus(cluster_state: ClusterState, job_spec: JobSpec, machine_type: MachineType) -> bool:
+def _wastes_gpus(cluster_state: ClusterState, spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether the type has GPUs and the job needs none and fits a type without."""
-    return job_spec.gpus <= 0 < machine_type.gpus and any(
-        job_spec.fits_machine_type(k) for k in cluster_state.catalog.values() if k.gpus <= 0
+    return spec.gpus <= 0 < machine_type.gpus and any(
+        spec.fits_machine_type(k) for k in cluster_state.catalog.values() if k.gpus <= 0
     )
 
 
@@ -206,18 +206,18 @@
 
 
 def _deduct_reactive_requests(
-    cluster_state: ClusterState, job_spec: JobSpec, missing_units: float, unclaimed_counts: dict[MachineRequest, int]
+    cluster_state: ClusterState, spec: JobSpec, missing_units: float, unclaimed_counts: dict[MachineRequest, int]
 ) -> float:
     """The missing units, less those of the reactive requests made in the same decision."""
     for machine_request in unclaimed_counts:
         machine_type = cluster_state.catalog[machine_request.type_name]
         if (
-            (machine_request.is_spot and not job_spec.allows_spot)
-            or not job_spec.fits_machine_type(machine_type)
-            or job_spec.zone not in (None, machine_request.zone)
+            (machine_request.is_spot and not spec.allows_spot)
+            or not spec.fits_machine_type(machine_type)
+            or spec.zone not in (None, machine_request.zone)
         ):
             continue
-        units_per_machine = _units_per_machine(cluster_state, job_spec, machine_type)
+        units_per_machine = _units_per_machine(cluster_state, spec, machine_type)
         while missing_units > 1e-6 and unclaimed_counts[machine_request] > 0 and units_per_machine > 0:
             unclaimed_counts[machine_request] -= 1
             missing_units -= units_per_machine
@@ -226,7 +226,7 @@
 
 def _scale_out(
     cluster_state: ClusterState,
-    job_spec: JobSpec,
+    spec: JobSpec,
     missing_units: float,
     refused_until: dict[MachineOffer, datetime],
     all_requests: list[MachineRequest],
@@ -235,7 +235,7 @@
     now: datetime,
 ) -> list[MachineRequest]:
     requests_with_new = list(all_requests)
-    choose_offers(cluster_state, job_spec, missing_units, refused_until, requests_with_new, now)
+    choose_offers(cluster_state, spec, missing_units, refused_until, requests_with_new, now)
     machine_requests: list[MachineRequest] = []
     for machine_request in requests_with_new[len(all_requests) :]:
         price = _price(cluster_state.catalog[machine_request.type_name], machine_request.is_spot)
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -44,46 +44,44 @@
 
         These are all units that its team's limit allows, or fewer if fewer are enough to meet the job's deadline.
         """
-        job_spec, cluster_state = run.spec, self.cluster_state
+        spec, cluster_state = run.spec, self.cluster_state
         max_tasks = (
-            job_spec.task_count
-            if job_spec.is_admitted_as_unit
-            else min(job_spec.task_count, max(1, max_concurrent_tasks(cluster_state, job_spec)))
+            spec.task_count
+            if spec.is_admitted_as_unit
+            else min(spec.task_count, max(1, max_concurrent_tasks(cluster_state, spec)))
         )
-        estimate_s = max(1.0, cluster_state.estimate_runtime(job_spec).total_seconds())
-        unit_seconds = job_spec.task_count * units_per_task(job_spec) * estimate_s
-        concurrent_units = max_tasks * units_per_task(job_spec)
-        if job_spec.deadline_s is not None and not job_spec.is_admitted_as_unit:
+        estimate_s = max(1.0, cluster_state.estimate_runtime(spec).total_seconds())
+        unit_seconds = spec.task_count * units_per_task(spec) * estimate_s
+        concurrent_units = max_tasks * units_per_task(spec)
+        if spec.deadline_s is not None and not spec.is_admitted_as_unit:
             remaining_s = max(estimate_s, time_budget(cluster_state, run, ZERO).total_seconds())
-            concurrent_units = min(concurrent_units, max(units_per_task(job_spec), unit_seconds / remaining_s))
+            concurrent_units = min(concurrent_units, max(units_per_task(spec), unit_seconds / remaining_s))
         duration_s = (
             math.inf
-            if job_spec.job_type == SERVICE
+            if spec.job_type == SERVICE
             else unit_seconds / concurrent_units
             if concurrent_units > 0
             else estimate_s
         )
-        key = SeriesKey(self._pool(job_spec), job_spec.job_class, job_spec.team)
-        shape = TaskShape(job_spec.cpus, job_spec.gpus, job_spec.memory_gb, job_spec.image_gb)
+        key = SeriesKey(self._pool(spec), spec.job_class, spec.team)
+        shape = TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.image_gb)
         # The clock of the node that accepted the job may be ahead of this one; the instant must not lie in the future.
-        accepted_at = min(job_spec.accepted_ms / 1000, now)
-        return Demand(
-            job_spec.id, key, shape, accepted_at, duration_s, concurrent_units, unit_seconds, job_spec.task_count
-        )
+        accepted_at = min(spec.accepted_ms / 1000, now)
+        return Demand(spec.id, key, shape, accepted_at, duration_s, concurrent_units, unit_seconds, spec.task_count)
 
-    def _pool(self, job_spec: JobSpec) -> Pool:
+    def _pool(self, spec: JobSpec) -> Pool:
         fitting_types = [
             machine_type.name
             for machine_type in self.cluster_state.catalog.values()
-            if job_spec.fits_machine_type(machine_type)
+            if spec.fits_machine_type(machine_type)
         ]
         candidate_types = [
             machine_type.name
             for machine_type in self.cluster_state.catalog.values()
-            if (machine_type.gpus > 0) == (job_spec.gpus > 0)
+            if (machine_type.gpus > 0) == (spec.gpus > 0)
         ]
         allowed_types = None if set(fitting_types) >= set(candidate_types) else tuple(sorted(fitting_types))
-        return Pool(job_spec.gpus > 0, allowed_types, job_spec.zone, job_spec.allows_spot)
+        return Pool(spec.gpus > 0, allowed_types, spec.zone, spec.allows_spot)
 
     def lead_times_s(self, now: float) -> dict[Pool, float]:
         """How long before it is needed a machine has to be requested, by pool."""
@@ -91,10 +89,10 @@
         refusal_lead_s = min(MAX_EXTRA_LEAD_S, EXTRA_LEAD_PER_REFUSAL_S * len(self._refusal_times))
         lead_times_s: dict[Pool, float] = {}
         for pool, shape in self.forecaster.task_shapes().items():
-            job_spec = representative_job(CapacityNeed(pool, shape, 0.0, now, ""))
+            spec = representative_job(CapacityNeed(pool, shape, 0.0, now, ""))
             lead_times_s[pool] = (
                 lead_time_s(
-                    job_spec,
+                    spec,
                     shape.image_gb,
                     self.cluster_state.catalog,
                     self.history.boot_ratios,
--- a/roseweir/limits/limit.py
+++ b/roseweir/limits/limit.py
@@ -29,7 +29,7 @@
 class TaskStart:
     """A job about to start `task_count` of its tasks on one machine."""
 
-    job: JobSpec
+    spec: JobSpec
     machine: MachineView | None
     task_count: int
 
@@ -42,7 +42,7 @@
 class StartupLimit:
     """A token bucket with an expiry, and the rule for the jobs and machines that it limits.
 
-    `matches(job, None)` checks the job alone: False means that no machine can match.
+    `matches(spec, None)` checks the job alone: False means that no machine can match.
     With `is_job_only`, the rule ignores the machine.
     """
 
--- a/roseweir/limits/rules.py
+++ b/roseweir/limits/rules.py
@@ -28,7 +28,7 @@
             StartupLimit(
                 tag=fetch_tag(zone),
                 matches=_uncached_fetch_rule(zone),
-                cost=lambda start: start.job.image_gb,
+                cost=lambda start: start.spec.image_gb,
                 bucket=TokenBucket.full(
                     now,
                     capacity,
@@ -45,12 +45,12 @@
 
 
 def _uncached_fetch_rule(zone: str) -> LimitRule:
-    def matches(job: JobSpec, machine: MachineView | None) -> bool:
-        if not job.image or job.image_gb <= 0:
+    def matches(spec: JobSpec, machine: MachineView | None) -> bool:
+        if not spec.image or spec.image_gb <= 0:
             return False
         if machine is None:
-            return job.zone is None or job.zone == zone
-        return machine.zone == zone and not machine.has_image(job.image)
+            return spec.zone is None or spec.zone == zone
+        return machine.zone == zone and not machine.has_image(spec.image)
 
     return matches
 
@@ -68,9 +68,9 @@
     limits.install_or_renew(
         StartupLimit(
             tag=restart_tag(job_id),
-            matches=lambda job, machine: job.id == job_id,
+            matches=lambda spec, machine: spec.id == job_id,
             cost=lambda start: (
-                start.task_count / start.job.task_count if start.job.job_type == GANG else float(start.task_count)
+                start.task_count / start.spec.task_count if start.spec.job_type == GANG else float(start.task_count)
             ),
             bucket=TokenBucket.full(now, 1.0, limit_settings.restart_window),
             expires_at=now + limit_settings.lease,
@@ -101,10 +101,10 @@
 
 
 def _class_limit_rule(class_limit: ClassLimit) -> LimitRule:
-    def matches(job: JobSpec, machine: MachineView | None) -> bool:
-        if class_limit.job_class is not None and job.job_class != class_limit.job_class:
+    def matches(spec: JobSpec, machine: MachineView | None) -> bool:
+        if class_limit.job_class is not None and spec.job_class != class_limit.job_class:
             return False
-        if class_limit.team is not None and job.team != class_limit.team:
+        if class_limit.team is not None and spec.team != class_limit.team:
             return False
         if machine is None:
             return True
--- a/roseweir/limits/startup_limits.py
+++ b/roseweir/limits/startup_limits.py
@@ -61,7 +61,7 @@
         for limit in self.by_tag.values():
             if limit.expires_at <= now:
                 continue
-            matching = [s for s in starts if limit.matches(s.job, s.machine)]
+            matching = [s for s in starts if limit.matches(s.spec, s.machine)]
             if not matching:
                 continue
             cost = sum(max(0.0, limit.cost(s)) for s in matching)
@@ -91,7 +91,7 @@
             if last_blocked_at is not None and now - last_blocked_at < self.ban_window and limit.expires_at > now:
                 yield limit
 
-    def adjust_request(self, job: JobSpec, source: str, count: int, now: datetime) -> tuple[int, list[StartupLimit]]:
+    def adjust_request(self, spec: JobSpec, source: str, count: int, now: datetime) -> tuple[int, list[StartupLimit]]:
         """Shrink a placement request of a blocked source.
 
         Returns how many tasks may be placed, and the limits whose machines are to be left out.
@@ -99,10 +99,10 @@
         excluded_limits: list[StartupLimit] = []
         for limit in self.limits_blocking(source, now):
             # Checked against the job alone: if that does not match, no machine can.
-            if not limit.matches(job, None):
+            if not limit.matches(spec, None):
                 continue
             if limit.is_job_only:
-                cost_per_task = limit.cost(TaskStart(job, None, 1))
+                cost_per_task = limit.cost(TaskStart(spec, None, 1))
                 if cost_per_task > 0:
                     payable_cost = limit.bucket.payable_within(self.lookahead, now)
                     count = min(count, max(0, floor(payable_cost / cost_per_task + TOKEN_TOLERANCE)))
