--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -16,7 +16,7 @@
 from roseweir.drain.auto_replacement import AutoReplacement
 from roseweir.drain.disruption_budget import DisruptionAccount
 from roseweir.drain.eviction_state_machine import Decision, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.machine_health import MachineHealth
 from roseweir.drain.model import (
     MAX_ACTIVE_DRAINS,
@@ -146,7 +146,7 @@
                 self.cluster_state.jobs.values(), stored.placement_progress, now
             )
             self.disruptions.restore_rate_windows(stored.rate_windows, now, utc_now_ms())
-            self.cluster_state.lifecycle_listener = DrainLifecycleObserver(
+            self.cluster_state.lifecycle_listener = DrainLifecycleListener(
                 self.cluster_state, self.disruptions, self.machine_health
             )
 
--- a/roseweir/drain/lifecycle_observer.py
+++ b/roseweir/drain/lifecycle_listener.py
@@ -11,7 +11,7 @@
 from roseweir.workers import messages as wire
 
 
-class DrainLifecycleObserver:
+class DrainLifecycleListener:
     def __init__(
         self, cluster_state: ClusterState, disruptions: DisruptionAccount, machine_health: MachineHealth
     ) -> None:
@@ -19,18 +19,18 @@
         self.disruptions = disruptions
         self.machine_health = machine_health
 
-    def stopped(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
+    def on_task_stopped(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
         run = placement.run
         if not run.final_state:
             lost_s = 0.0 if run.spec.checkpoint_interval_s > 0 else lost_work_s(placement, now)
             self.disruptions.mark_down(run, [placement.index], cause, now, lost_s)
 
-    def lost(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
+    def on_task_lost(self, placement: Placement, cause: DowntimeCause, now: datetime) -> None:
         run = placement.run
         if not run.final_state and not run.is_completed(placement.index):
             self.disruptions.mark_down(run, [placement.index], cause, now, lost_work_s(placement, now))
 
-    def running(self, placement: Placement) -> None:
+    def on_task_running(self, placement: Placement) -> None:
         run = placement.run
         if run.spec.job_type == GANG and not self._is_gang_running(run):
             return
@@ -42,22 +42,22 @@
             p.state == wire.RUNNING and p.stop_requested_at is None for p in run.placements.values()
         )
 
-    def completed(self, run: JobRun, index: int) -> None:
+    def on_task_completed(self, run: JobRun, index: int) -> None:
         self.disruptions.mark_up(run, [index])
 
-    def job_ended(self, run: JobRun) -> None:
+    def on_job_ended(self, run: JobRun) -> None:
         self.disruptions.mark_up(run)
 
-    def runtime_measured(self, placement: Placement, runtime: timedelta) -> None:
+    def on_runtime_measured(self, placement: Placement, runtime: timedelta) -> None:
         typical_duration = self.cluster_state.estimate_runtime(placement.run.spec)
         if typical_duration > timedelta(0):
             self.machine_health.record_run(placement.machine, runtime / typical_duration)
 
-    def task_failed(self, machine: Machine, run: JobRun, now: datetime) -> None:
+    def on_task_failed(self, machine: Machine, run: JobRun, now: datetime) -> None:
         self.machine_health.record_failure(machine, run, now)
 
-    def lease_expired(self, machine: Machine, now: datetime) -> None:
+    def on_lease_expired(self, machine: Machine, now: datetime) -> None:
         self.machine_health.record_lease_expiry(machine, now)
 
-    def spot_reclaimed(self, machine: Machine, now: datetime) -> None:
+    def on_spot_reclaimed(self, machine: Machine, now: datetime) -> None:
         self.machine_health.record_spot_reclaim(machine, now)
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -268,7 +268,7 @@
             return
         run.final_state = completed_job.state
         if self.lifecycle_listener is not None:
-            self.lifecycle_listener.job_ended(run)
+            self.lifecycle_listener.on_job_ended(run)
         self.needs_quota_update = True
         run.uncommitted_completions.clear()
         run.delta_completions.clear()
@@ -359,7 +359,7 @@
             and placement.phase in POSSIBLY_STARTED_PHASES
             and placement.stop_requested_at is None
         ):
-            self.lifecycle_listener.lost(placement, cause, now)
+            self.lifecycle_listener.on_task_lost(placement, cause, now)
         del run.placements[placement.index]
         del machine.placements[(spec.id, placement.index)]
         machine.change_count += 1
@@ -406,7 +406,7 @@
             self.remove_placement(placement, now)
             return
         if self.lifecycle_listener is not None and placement.stop_requested_at is None:
-            self.lifecycle_listener.stopped(placement, cause, now)
+            self.lifecycle_listener.on_task_stopped(placement, cause, now)
         if placement.stop_requested_at is None or grace < placement.stop_grace:
             placement.stop_requested_at = placement.stop_requested_at or now
             placement.stop_grace = grace
--- a/roseweir/scheduler/heartbeat_reconciliation.py
+++ b/roseweir/scheduler/heartbeat_reconciliation.py
@@ -131,7 +131,7 @@
             if placement.phase in (PlacementPhase.SENT, PlacementPhase.CONFIRMED):
                 self.cluster_state.remove_placement(placement, now)
         if self.cluster_state.lifecycle_listener is not None and machine.incarnation > 0:
-            self.cluster_state.lifecycle_listener.lease_expired(machine, now)
+            self.cluster_state.lifecycle_listener.on_lease_expired(machine, now)
         machine.incarnation = heartbeat.incarnation
         machine.heartbeat_sequence = 0
         machine.last_answered_heartbeat = (0, 0)
@@ -187,7 +187,7 @@
                     heartbeat.reclaim_notice_s,
                 )
                 if cluster_state.lifecycle_listener is not None:
-                    cluster_state.lifecycle_listener.spot_reclaimed(machine, now)
+                    cluster_state.lifecycle_listener.on_spot_reclaimed(machine, now)
             machine.spot_reclaim_at = now + seconds(heartbeat.reclaim_notice_s)
             cluster_state.needs_scheduling = True
         machine.exits_to_clear.clear()
@@ -292,7 +292,7 @@
                 and placement.stop_requested_at is None
                 and cluster_state.lifecycle_listener is not None
             ):
-                cluster_state.lifecycle_listener.running(placement)
+                cluster_state.lifecycle_listener.on_task_running(placement)
         if task_report.state != wire.FETCHING_IMAGE and spec.image:
             if spec.image not in machine.image_cache:
                 cluster_state.dirty_machines.add(machine.name)
--- a/roseweir/scheduler/machine_fault_detection.py
+++ b/roseweir/scheduler/machine_fault_detection.py
@@ -52,7 +52,7 @@
     else:
         machine.failed_job_ids.add(run.spec.id)
         if cluster_state.lifecycle_listener is not None:
-            cluster_state.lifecycle_listener.task_failed(machine, run, now)
+            cluster_state.lifecycle_listener.on_task_failed(machine, run, now)
         machine.unhealthy_until = max(machine.unhealthy_until, now + FAILURE_QUARANTINE)
         is_machine_at_fault = (run.completed_count > 0 and run.failure_count >= 2) or (
             is_stable_elsewhere and _failed_at_start(placement, now)
--- a/roseweir/scheduler/task_exits.py
+++ b/roseweir/scheduler/task_exits.py
@@ -87,7 +87,7 @@
 def _mark_completed(cluster_state: ClusterState, run: JobRun, index: int) -> None:
     if not run.final_state and run.mark_completed(index):
         if cluster_state.lifecycle_listener is not None:
-            cluster_state.lifecycle_listener.completed(run, index)
+            cluster_state.lifecycle_listener.on_task_completed(run, index)
         run.uncommitted_completions.add(index)
         cluster_state.dirty_jobs.add(run.spec.id)
 
@@ -98,7 +98,7 @@
         return
     detect_slow_machines(cluster_state, placement, now - placement.running_since, now)
     if cluster_state.lifecycle_listener is not None:
-        cluster_state.lifecycle_listener.runtime_measured(placement, now - placement.running_since)
+        cluster_state.lifecycle_listener.on_runtime_measured(placement, now - placement.running_since)
     runtime_ratio = (now - placement.running_since) / spec.estimated_duration
     if 0.05 < runtime_ratio < 20:
         previous_ratio = cluster_state.runtime_ratios.get(spec.job_class, 1.0)
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -11,7 +11,7 @@
 from roseweir.drain.controller import DrainController
 from roseweir.drain.disruption_budget import DisruptionAccount
 from roseweir.drain.eviction_state_machine import EvictionState, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.settings import AutoReplacementSettings, DisruptionBudget, DrainSettings
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.lifecycle_events import DowntimeCause
@@ -134,7 +134,7 @@
 
 
 def count_no_losses(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(DrainLifecycleObserver, "lost", lambda *args: None)
+    patch.setattr(DrainLifecycleListener, "on_task_lost", lambda *args: None)
 
 
 def count_gangs_as_one(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -21,7 +21,7 @@
 from roseweir.drain.cli import expand_start_shorthand
 from roseweir.drain.disruption_budget import BudgetUsage, DisruptionAccount
 from roseweir.drain.eviction_state_machine import Decision, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.machine_health import MachineHealth
 from roseweir.drain.model import (
     MAX_ACTIVE_DRAINS,
@@ -235,7 +235,7 @@
     # The ledger knows that it had come to task 6, the last one; 7 was never started.
     account.assume_down_after_failover([run], {run.spec.id: 7}, NOW)
     assert sorted(account.down_tasks[run.spec.id]) == [0, 1, 3, 4, 5, 6]
-    cluster_state.lifecycle_listener = DrainLifecycleObserver(cluster_state, account, MachineHealth())
+    cluster_state.lifecycle_listener = DrainLifecycleListener(cluster_state, account, MachineHealth())
     for index in (0, 1, 5):
         hand.tasks[f"j-000001/{index}", 7] = task_report(f"j-000001/{index}", 7)
     hand.send_heartbeat(NOW)
@@ -280,7 +280,7 @@
     pool = SurgePool(cluster_state, settings.hole, NOW)
     steps = EvictionStateMachine(settings, cluster_state, account, pool, None, NOW - seconds(60))
     steps.has_machine_list = True
-    cluster_state.lifecycle_listener = DrainLifecycleObserver(cluster_state, account, MachineHealth())
+    cluster_state.lifecycle_listener = DrainLifecycleListener(cluster_state, account, MachineHealth())
     ask = DrainRequest("x", machines=[hands[0].name], replace=False)
     steps.drains["x"] = Drain(ask, MS, MS + 10_000_000, settings.grace.total_seconds(), "")
     cluster_state.zone_responsive_since = {"a": NOW, "b": NOW}
