--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -35,7 +35,7 @@
 
 
 # Arguments: the requests so far, until when each offer counts as refused, and the current instant. Returns additional
-# requests, and the names of idle machines to retain, with reasons.
+# requests, and the names of idle machines to keep, with reasons.
 CapacityPlanner = Callable[
     [list[MachineRequest], dict[MachineOffer, datetime], datetime], tuple[list[MachineRequest], dict[str, str]]
 ]
@@ -57,7 +57,7 @@
         self.inventory = MachineInventory(cluster_state)
         self.list_read_at = NEVER  # when the newest machine list that was received had been requested
         self.last_scheduling_pass = SchedulingPassResult()
-        # Whether this node surely leads; if not, silent machines may send heartbeats to another leader.
+        # Without a valid lease, silent machines may send heartbeats to another leader.
         self._is_lease_valid = is_lease_valid
         self._capacity_planners = list(capacity_planners)
         self._rental = MachineRental(cloud_client, cluster_state, self.inventory, is_lease_valid)
@@ -70,7 +70,7 @@
         return self._rental.refused_until
 
     def allow_offer(self, offer: MachineOffer) -> None:
-        """Forget that an offer was refused, since a machine of that offer has just been released."""
+        """Discard the refusal of an offer, since a machine of that offer has just been released."""
         self._rental.allow(offer)
 
     def record_scheduling_pass(self, result: SchedulingPassResult) -> None:
@@ -123,8 +123,8 @@
         while True:
             now = monotonic_now()
             if self._is_lease_valid() and now >= self._paused_until:
-                retained = self._scale_out(group, now)
-                await self._scale_in(now, retained)
+                kept_machines = self._scale_out(group, now)
+                await self._scale_in(now, kept_machines)
             await sleep(DECISION_INTERVAL)
 
     async def _probe_silent_machines(self, group: asyncio.TaskGroup) -> None:
@@ -134,23 +134,23 @@
                 self._prober.start_probes(group)
 
     def _scale_out(self, group: asyncio.TaskGroup, now: datetime) -> dict[str, str]:
-        """Start the rentals that are needed now; return the names of idle machines to retain, with reasons."""
+        """Start the rentals that are needed now; return the names of idle machines to keep, with reasons."""
         machine_requests, are_cpu_offers_exhausted = plan_scale_out(
             self.cluster_state, self.last_scheduling_pass, self.refused_until, utc_now_ms(), now
         )
         if are_cpu_offers_exhausted:
             self.cluster_state.overflow_until = now + OVERFLOW_DURATION
-        retained: dict[str, str] = {}
+        kept_machines: dict[str, str] = {}
         for plan_capacity in self._capacity_planners:
-            additional_requests, additional_retained = plan_capacity(machine_requests, self.refused_until, now)
+            additional_requests, additional_kept_machines = plan_capacity(machine_requests, self.refused_until, now)
             machine_requests += additional_requests
-            retained |= additional_retained
+            kept_machines |= additional_kept_machines
         self._rental.start_rentals(machine_requests, group)
-        return retained
+        return kept_machines
 
-    async def _scale_in(self, now: datetime, retained: Container[str]) -> None:
+    async def _scale_in(self, now: datetime, kept_machines: Container[str]) -> None:
         """Mark machines for release, and release those that run nothing or are lost."""
-        planned = plan_scale_in(self.cluster_state, self.last_scheduling_pass, now, retained)
+        planned = plan_scale_in(self.cluster_state, self.last_scheduling_pass, now, kept_machines)
         releases = planned[:MAX_MACHINES_PER_RELEASE]
         for release in releases:
             self._mark_for_release(release, now)
--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -91,9 +91,9 @@
     cluster_state: ClusterState,
     last_pass: SchedulingPassResult,
     now: datetime,
-    retained: Container[str] = frozenset(),
+    kept_machines: Container[str] = frozenset(),
 ) -> list[MachineRelease]:
-    """Return the machines to release, with reasons. Idle machines named in `retained` are kept for expected work.
+    """Return the machines to release, with reasons. Idle machines named in `kept_machines` are kept for expected work.
 
     Also updates since when each zone has been responsive (`cluster_state.zone_responsive_since`).
     """
@@ -113,7 +113,7 @@
             reason = ReleaseReason.BOOT_FAILED if has_failed else None
         else:
             reason = _loss_reason(cluster_state, machine, silence_limit, now)
-            if reason is None and machine.name not in retained:
+            if reason is None and machine.name not in kept_machines:
                 reason = _idle_reason(cluster_state, machine, waiting_specs, idle_limits[type_name], now)
         if reason is not None:
             releases.append(MachineRelease(machine, reason))
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -43,7 +43,7 @@
 
 def keep_unreachable_machines(patch: pytest.MonkeyPatch) -> None:
     """Releases no machines: releasing unreachable ones would hide the faults of two variants below."""
-    patch.setattr(cloud_controller, "plan_scale_in", lambda cluster_state, last_pass, now, retained: [])
+    patch.setattr(cloud_controller, "plan_scale_in", lambda cluster_state, last_pass, now, kept_machines: [])
 
 
 def no_fencing(patch: pytest.MonkeyPatch) -> None:
