--- a/roseweir/cloud/controller.py
+++ b/roseweir/cloud/controller.py
@@ -35,7 +35,7 @@
 
 
 # Arguments: the requests so far, until when each offer counts as refused, and the current instant. Returns additional
-# requests, and the names of idle machines to retain, with reasons.
+# requests, and the names of idle machines to keep, with reasons.
 CapacityPlanner = Callable[
     [list[MachineRequest], dict[MachineOffer, datetime], datetime], tuple[list[MachineRequest], dict[str, str]]
 ]
@@ -48,7 +48,7 @@
         self,
         cloud_client: CloudClient,
         cluster_state: ClusterState,
-        may_act: Callable[[], bool],
+        is_lease_valid: Callable[[], bool],
         connect: Connect,
         capacity_planners: Iterable[CapacityPlanner] = (),
     ) -> None:
@@ -57,10 +57,10 @@
         self.inventory = MachineInventory(cluster_state)
         self.list_read_at = NEVER  # when the newest machine list that was received had been requested
         self.last_scheduling_pass = SchedulingPassResult()
-        # Whether this node surely leads; if not, silent machines may send heartbeats to another leader.
-        self._may_act = may_act
+        # Without a valid lease, silent machines may send heartbeats to another leader.
+        self._is_lease_valid = is_lease_valid
         self._capacity_planners = list(capacity_planners)
-        self._rental = MachineRental(cloud_client, cluster_state, self.inventory, may_act)
+        self._rental = MachineRental(cloud_client, cluster_state, self.inventory, is_lease_valid)
         self._prober = MachineProber(cluster_state, connect)
         self._paused_until = NEVER
 
@@ -70,7 +70,7 @@
         return self._rental.refused_until
 
     def allow_offer(self, offer: MachineOffer) -> None:
-        """Forget that an offer was refused, since a machine of that offer has just been released."""
+        """Discard the refusal of an offer, since a machine of that offer has just been released."""
         self._rental.allow(offer)
 
     def record_scheduling_pass(self, result: SchedulingPassResult) -> None:
@@ -122,35 +122,35 @@
         await sleep(max(MIN_FIRST_DECISION_DELAY, self.cluster_state.settings.params.workers.heartbeat_interval))
         while True:
             now = monotonic_now()
-            if self._may_act() and now >= self._paused_until:
-                retained = self._scale_out(group, now)
-                await self._scale_in(now, retained)
+            if self._is_lease_valid() and now >= self._paused_until:
+                kept_machines = self._scale_out(group, now)
+                await self._scale_in(now, kept_machines)
             await sleep(DECISION_INTERVAL)
 
     async def _probe_silent_machines(self, group: asyncio.TaskGroup) -> None:
         while True:
             await sleep(PROBE_CHECK_INTERVAL)
-            if self._may_act() and monotonic_now() >= self._paused_until:
+            if self._is_lease_valid() and monotonic_now() >= self._paused_until:
                 self._prober.start_probes(group)
 
     def _scale_out(self, group: asyncio.TaskGroup, now: datetime) -> dict[str, str]:
-        """Start the rentals that are needed now; return the names of idle machines to retain, with reasons."""
+        """Start the rentals that are needed now; return the names of idle machines to keep, with reasons."""
         machine_requests, are_cpu_offers_exhausted = plan_scale_out(
             self.cluster_state, self.last_scheduling_pass, self.refused_until, utc_now_ms(), now
         )
         if are_cpu_offers_exhausted:
             self.cluster_state.overflow_until = now + OVERFLOW_DURATION
-        retained: dict[str, str] = {}
+        kept_machines: dict[str, str] = {}
         for plan_capacity in self._capacity_planners:
-            additional_requests, additional_retained = plan_capacity(machine_requests, self.refused_until, now)
+            additional_requests, additional_kept_machines = plan_capacity(machine_requests, self.refused_until, now)
             machine_requests += additional_requests
-            retained |= additional_retained
+            kept_machines |= additional_kept_machines
         self._rental.start_rentals(machine_requests, group)
-        return retained
+        return kept_machines
 
-    async def _scale_in(self, now: datetime, retained: Container[str]) -> None:
+    async def _scale_in(self, now: datetime, kept_machines: Container[str]) -> None:
         """Mark machines for release, and release those that run nothing or are lost."""
-        planned = plan_scale_in(self.cluster_state, self.last_scheduling_pass, now, retained)
+        planned = plan_scale_in(self.cluster_state, self.last_scheduling_pass, now, kept_machines)
         releases = planned[:MAX_MACHINES_PER_RELEASE]
         for release in releases:
             self._mark_for_release(release, now)
@@ -160,12 +160,12 @@
         if not machine_names:
             return
         try:
-            await self.cloud_client.release_machines(machine_names, self._may_act)
+            await self.cloud_client.release_machines(machine_names, self._is_lease_valid)
         except (StoreError, Unreachable, NoCapacity) as e:
             log.info("machine release failed: error=%s", e)
             return
         for name in machine_names:
-            self.cluster_state.forget_machine(name, monotonic_now(), "released")
+            self.cluster_state.remove_machine(name, monotonic_now(), "released")
 
     def _mark_for_release(self, release: MachineRelease, now: datetime) -> None:
         machine, reason = release
--- a/roseweir/cloud/scale_in.py
+++ b/roseweir/cloud/scale_in.py
@@ -89,17 +89,17 @@
 
 def plan_scale_in(
     cluster_state: ClusterState,
-    scheduling_pass: SchedulingPassResult,
+    last_pass: SchedulingPassResult,
     now: datetime,
-    retained: Container[str] = frozenset(),
+    kept_machines: Container[str] = frozenset(),
 ) -> list[MachineRelease]:
-    """Return the machines to release, with reasons. Idle machines named in `retained` are kept for expected work.
+    """Return the machines to release, with reasons. Idle machines named in `kept_machines` are kept for expected work.
 
     Also updates since when each zone has been responsive (`cluster_state.zone_responsive_since`).
     """
     _update_responsive_zones(cluster_state, _silence_by_zone(cluster_state, now), now)
     slowdown = boot_slowdown(cluster_state, now)
-    waiting_specs = [run.spec for run, _ in scheduling_pass.unplaced]
+    waiting_specs = [run.spec for run, _ in last_pass.unplaced]
     idle_limits = {machine_type.name: idle_timeout(machine_type) for machine_type in cluster_state.catalog.values()}
     silence_limit = silence_timeout(cluster_state)
     releases: list[MachineRelease] = []
@@ -113,7 +113,7 @@
             reason = ReleaseReason.BOOT_FAILED if has_failed else None
         else:
             reason = _loss_reason(cluster_state, machine, silence_limit, now)
-            if reason is None and machine.name not in retained:
+            if reason is None and machine.name not in kept_machines:
                 reason = _idle_reason(cluster_state, machine, waiting_specs, idle_limits[type_name], now)
         if reason is not None:
             releases.append(MachineRelease(machine, reason))
@@ -137,7 +137,7 @@
     # A machine that this leader learned of from the list may have booted long ago, and not have sent this leader a
     # heartbeat yet.
     boot_deadline = machine.machine_type.boot_duration * FAILED_BOOT_FACTOR * slowdown + FAILED_BOOT_GRACE
-    return now > max(machine.scaled_out_at + boot_deadline, machine.known_since + silence_limit)
+    return now > max(machine.scaled_out_at + boot_deadline, machine.added_at + silence_limit)
 
 
 def _loss_reason(
--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -91,27 +91,27 @@
         self._signals = SchedulingSignals()
         placement_policy = FragmentationScorer()
         self.cluster_state = self._make_cluster_state(machine_types, placement_policy)
-        log_notifier = Notifier()
+        commit_notifier = Notifier()
         self.log_writer = LogWriter(
-            self.kv_store, self.cluster_state, leader_lease.leader_key_version, log_notifier, self._on_job_ended
+            self.kv_store, self.cluster_state, leader_lease.leader_key_version, commit_notifier, self._on_job_ended
         )
-        self.worker_handlers = HeartbeatHandler(
+        self.heartbeat_handler = HeartbeatHandler(
             self.cluster_state,
             leader_lease,
-            log_notifier,
+            commit_notifier,
             self._signals.has_work,
             dependencies.connect,
             dependencies.may_hold_connection,
         )
         self.predictive_scaler = self._make_predictive_scaler()
-        self.service_levels = ServiceLevelController(
+        self.service_level_controller = ServiceLevelController(
             self.cluster_state,
             self.kv_store,
             leader_lease.leader_key_version,
             leader_lease.end,
             dependencies.gather_rejections,
         )
-        self.workflows = WorkflowController(
+        self.workflow_controller = WorkflowController(
             operator_config.workflow or WorkflowSettings(),
             self.cluster_state,
             self.kv_store,
@@ -119,8 +119,8 @@
             leader_lease.is_valid,
             leader_lease.end,
         )
-        self.workflows.watched_revision = lambda: self.service_levels.watched_revision
-        self.delivery_deadlines = self._make_delivery_deadlines()
+        self.workflow_controller.watched_revision = lambda: self.service_level_controller.watched_revision
+        self.deadline_controller = self._make_deadline_controller()
         self.drain_controller = DrainController(
             operator_config.drain,
             self.cluster_state,
@@ -130,7 +130,7 @@
             leader_lease.end,
         )
         self.cloud_controller = self._make_cloud_controller()
-        self.drain_controller.cloud = self.cloud_controller
+        self.drain_controller.cloud_controller = self.cloud_controller
         self.rebalancer = self._make_rebalancer(placement_policy)
         self.drain_controller.rebalancer = self.rebalancer
         self.dependency_reconciler = DependencyReconciler(
@@ -181,7 +181,7 @@
             self.leader_lease.end,
         )
 
-    def _make_delivery_deadlines(self) -> "DeadlineController | None":
+    def _make_deadline_controller(self) -> "DeadlineController | None":
         settings = self._dependencies.operator_config.delivery_deadline
         if settings is None:
             return None
@@ -189,7 +189,7 @@
 
         return delivery_deadline_controller.DeadlineController(
             settings,
-            self.workflows,
+            self.workflow_controller,
             self.cluster_state,
             self.kv_store,
             self.leader_lease.leader_key_version,
@@ -223,7 +223,7 @@
             self.cluster_state,
             self.log_writer,
             leader_lease=self.leader_lease,
-            worker_handlers=self.worker_handlers,
+            heartbeat_handler=self.heartbeat_handler,
             fetch_acknowledged=self._dependencies.fetch_acknowledged_cancellations,
         )
         return LiveJobWatcher(
@@ -231,9 +231,9 @@
             self.cluster_state,
             log_writer=self.log_writer,
             dependency_reconciler=self.dependency_reconciler,
-            service_levels=self.service_levels,
+            service_level_controller=self.service_level_controller,
             predictive_scaler=self.predictive_scaler,
-            worker_handlers=self.worker_handlers,
+            heartbeat_handler=self.heartbeat_handler,
             peer_cancellations=peer_cancellations,
             signals=self._signals,
         )
@@ -242,8 +242,8 @@
 
     def _on_job_ended(self, job_id: str, state: str) -> None:
         """Handle a job's end, which the store has recorded."""
-        self.service_levels.account.record_outcome(job_id, state)
-        self.workflows.record_job_end(job_id, state)
+        self.service_level_controller.account.record_outcome(job_id, state)
+        self.workflow_controller.record_job_end(job_id, state)
         self.dependency_reconciler.record_end(job_id, state)
 
     def _on_dependencies_met(self, run: JobRun) -> None:
@@ -266,14 +266,14 @@
             group.create_task(self._write_log())
             group.create_task(self._scheduling_loop.run())
             group.create_task(renew_limits(self.cluster_state))
-            group.create_task(self.worker_handlers.direct_commands.run())
+            group.create_task(self.heartbeat_handler.direct_commands.run())
             group.create_task(self.cloud_controller.run())
             group.create_task(self.drain_controller.run())
-            group.create_task(self.service_levels.run())
-            group.create_task(self.workflows.run())
+            group.create_task(self.service_level_controller.run())
+            group.create_task(self.workflow_controller.run())
             group.create_task(self.dependency_reconciler.run())
-            if self.delivery_deadlines is not None:
-                group.create_task(self.delivery_deadlines.run())
+            if self.deadline_controller is not None:
+                group.create_task(self.deadline_controller.run())
             if self.predictive_scaler is not None:
                 group.create_task(self.predictive_scaler.run())
 
@@ -288,18 +288,18 @@
             try:
                 # These reads come before the log writer's recovery, which cannot be repeated if one of them fails.
                 drain_records, workflow_records = await gather_pair(
-                    self.drain_controller.read_records(), self.workflows.read_entries()
+                    self.drain_controller.read_records(), self.workflow_controller.read_entries()
                 )
                 revision = await self.log_writer.recover()
             except (StoreError, Unreachable) as error:
                 log.info("recovery failed: error=%s", error)
                 await sleep(RECOVERY_RETRY_INTERVAL)
                 continue
-            self.worker_handlers.authority.begin(sent_at)
+            self.heartbeat_handler.authority.record_recovery_read(sent_at)
             self.drain_controller.restore(drain_records)
-            self.workflows.restore(workflow_records)
+            self.workflow_controller.restore(workflow_records)
             self.dependency_reconciler.rebuild(revision)
-            self.service_levels.begin(revision)
+            self.service_level_controller.count_inherited_jobs(revision)
             if self.predictive_scaler is not None:
                 for run in self.cluster_state.jobs.values():
                     # Jobs that the scan returned with a later revision are delivered again by the first watch.
--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -1,4 +1,4 @@
-"""Deadline controller of the leader: assigns and tracks delivery deadlines, and makes workflows at risk urgent.
+"""Deadline controller of the leader: assigns and tracks delivery deadlines, and puts workflows at risk first.
 
 The due time is part of the workflow's record, which is durable before the amendment is acknowledged. Everything else is
 derived from workflows, except the reports of past nights and the measured durations of steps by class: these are stored
@@ -21,7 +21,7 @@
     UNATTAINABLE,
     DeadlineStatus,
     evaluate_deadline,
-    urgent_job_slack,
+    slack_of_steps_at_risk,
 )
 from roseweir.delivery_deadlines.errors import NightRecordUnreadable
 from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
@@ -61,19 +61,19 @@
         workflow_controller: WorkflowController,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
-        may_write: Callable[[], bool],
+        leader_key_version: int,
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.workflow_controller = workflow_controller
         self.cluster_state = cluster_state
-        self.fenced_writer = FencedWriter(kv_store, leader_version, "promises")
+        self.fenced_writer = FencedWriter(kv_store, leader_key_version, "promises")
         self.step_durations = StepDurations()
         self.closed_reports: dict[str, NightReport] = {}  # by the date of the morning that ends the night
         self.statuses: dict[str, DeadlineStatus] = {}  # by workflow id
         self.is_loaded = False
-        self._may_write = may_write
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         self._measured_jobs: set[str] = set()
         workflow_controller.assign_due_ms = self.assign_due_ms
@@ -114,7 +114,7 @@
                 if not self.is_loaded:
                     await self._load()
                 self._evaluate_deadlines()
-                if monotonic_now() - last_saved >= SAVE_INTERVAL and self._may_write():
+                if monotonic_now() - last_saved >= SAVE_INTERVAL and self._is_lease_valid():
                     last_saved = monotonic_now()
                     await self._save()
             except LeadershipLost as e:
@@ -179,7 +179,7 @@
         for workflow in self._workflows_with_deadline():
             if not workflow.is_ended or workflow.id not in self.statuses:
                 self._update_status(workflow, now_ms)
-        slack_by_job = urgent_job_slack(
+        slack_by_job = slack_of_steps_at_risk(
             (s for s in self.statuses.values() if s.state == AT_RISK), self.workflow_controller.workflows
         )
         self.cluster_state.set_slack("promises", slack_by_job)
--- a/roseweir/drain/controller.py
+++ b/roseweir/drain/controller.py
@@ -16,7 +16,7 @@
 from roseweir.drain.auto_replacement import AutoReplacement
 from roseweir.drain.disruption_budget import DisruptionAccount
 from roseweir.drain.eviction_state_machine import Decision, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.machine_health import MachineHealth
 from roseweir.drain.model import (
     MAX_ACTIVE_DRAINS,
@@ -68,7 +68,7 @@
         decision: Decision,
         state_machine: EvictionStateMachine,
         last_pass: SchedulingPassResult,
-        refused_offers: dict[MachineOffer, datetime],
+        refused_until: dict[MachineOffer, datetime],
         now: datetime,
         wall_ms: int,
     ) -> dict[str, Any]:
@@ -83,14 +83,14 @@
         settings: DrainSettings | None,
         cluster_state: ClusterState,
         kv_store: KeyValueStoreClient,
-        leader_version: int,
-        may_act: Callable[[], bool],
+        leader_key_version: int,
+        is_lease_valid: Callable[[], bool],
         step_down: Callable[[str], None],
     ) -> None:
         self.settings = settings or DrainSettings()
         self.is_configured = settings is not None
         self.cluster_state = cluster_state
-        self.store = DrainStore(kv_store, leader_version)
+        self.store = DrainStore(kv_store, leader_key_version)
         self.disruptions = DisruptionAccount(self.settings)
         self.machine_health = MachineHealth()
         now = monotonic_now()
@@ -107,10 +107,10 @@
         self.ended_drains: dict[str, Drain] = {}
         self.is_active = False
         self.failure = ""  # the exception that stopped `run`
-        self.cloud: CloudController | None = None
+        self.cloud_controller: CloudController | None = None
         # Moves replicas within the same disruption budgets; None without a rebalancer.
         self.rebalancer: Rebalancer | None = None
-        self._may_act = may_act
+        self._is_lease_valid = is_lease_valid
         self._step_down = step_down
         self._disruptions_saved_at = self._logged_at = now
         self._last_logged: dict[str, str] = {}
@@ -146,7 +146,7 @@
                 self.cluster_state.jobs.values(), stored.placement_progress, now
             )
             self.disruptions.restore_rate_windows(stored.rate_windows, now, utc_now_ms())
-            self.cluster_state.lifecycle_listener = DrainLifecycleObserver(
+            self.cluster_state.lifecycle_listener = DrainLifecycleListener(
                 self.cluster_state, self.disruptions, self.machine_health
             )
 
@@ -157,7 +157,7 @@
             await sleep(TICK_INTERVAL)
             if not self.is_active and self.rebalancer is not None and self.rebalancer.is_needed():
                 self._activate(StoredDrainState())
-            if self.is_active and self._may_act() and not self._is_saving:
+            if self.is_active and self._is_lease_valid() and not self._is_saving:
                 self._is_saving = True
                 try:
                     await self._tick()
@@ -173,17 +173,22 @@
 
     async def _tick(self) -> None:
         now = monotonic_now()
-        cloud = self.cloud
-        if cloud is not None:
-            self.state_machine.has_machine_list = cloud.list_read_at > self.state_machine.started_at
-            waiting_needs_gpus = [run.spec.gpus > 0 for run, _ in cloud.last_scheduling_pass.unplaced]
-            self.surge_pool.update(waiting_needs_gpus, cloud.refused_until, now)
+        cloud_controller = self.cloud_controller
+        if cloud_controller is not None:
+            self.state_machine.has_machine_list = cloud_controller.list_read_at > self.state_machine.started_at
+            waiting_needs_gpus = [run.spec.gpus > 0 for run, _ in cloud_controller.last_scheduling_pass.unplaced]
+            self.surge_pool.update(waiting_needs_gpus, cloud_controller.refused_until, now)
         self.machine_health.remove_missing(self.cluster_state.machines)
         decision = self.state_machine.decide(now, clock.utc_now())
         rebalancing_values: dict[str, Any] = {}
-        if self.rebalancer is not None and cloud is not None and self.rebalancer.is_needed():
+        if self.rebalancer is not None and cloud_controller is not None and self.rebalancer.is_needed():
             rebalancing_values = self.rebalancer.propose_evictions(
-                decision, self.state_machine, cloud.last_scheduling_pass, cloud.refused_until, now, utc_now_ms()
+                decision,
+                self.state_machine,
+                cloud_controller.last_scheduling_pass,
+                cloud_controller.refused_until,
+                now,
+                utc_now_ms(),
             )
             rebalancing_values = {REBALANCING_KEY: self.store.fit_rebalancing(rebalancing_values)}
         try:
@@ -198,17 +203,17 @@
             self.state_machine.roll_back(decision)
             raise
         else:
-            if not self._may_act():
+            if not self._is_lease_valid():
                 # Stored, but the leader lease has expired: the next leader resumes from the stored state.
                 self.state_machine.roll_back(decision)
                 return
             self.state_machine.apply(decision, monotonic_now())
             self._log_decision(decision)
         released = self.state_machine.release_empty_machines(monotonic_now())
-        if released and cloud is not None:
+        if released and cloud_controller is not None:
             for machine in released:
-                # The cloud can offer the returned machine again, so an earlier refusal no longer holds.
-                cloud.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
+                # The cloud can offer the released machine again, so an earlier refusal no longer holds.
+                cloud_controller.allow_offer(MachineOffer(machine.machine_type.name, machine.zone, machine.is_spot))
             log.info("drains: empty machines released: %s", format_machine_names(released))
         self._log_progress(now)
 
@@ -275,7 +280,7 @@
     # -- used by the cloud controller ---------------------------------------------------------
 
     def plan_replacements(
-        self, other_requests: list[MachineRequest], refused_offers: dict[MachineOffer, datetime], now: datetime
+        self, other_requests: list[MachineRequest], refused_until: dict[MachineOffer, datetime], now: datetime
     ) -> tuple[list[MachineRequest], dict[str, str]]:
         """Return replacements to rent, and ready ones (with the reason) that must not be released as idle."""
         if not self.is_active or not self.state_machine.is_settled(now):
@@ -286,7 +291,7 @@
             for name in names
         }
         return self.surge_pool.plan_rentals(
-            self.state_machine.due_machines, refused_offers, other_requests, now
+            self.state_machine.due_machines, refused_until, other_requests, now
         ), reserved
 
     # -- operators ----------------------------------------------------------------------------
@@ -302,7 +307,7 @@
         validate_request(request, self.cluster_state.catalog.keys(), self.cluster_state.settings.params.zones)
         if len(self.state_machine.drains) >= MAX_ACTIVE_DRAINS:
             raise DrainRejected(f"{MAX_ACTIVE_DRAINS} drains go on already, the most that may")
-        if self.cloud is None or self.cloud.list_read_at <= self.state_machine.started_at:
+        if self.cloud_controller is None or self.cloud_controller.list_read_at <= self.state_machine.started_at:
             raise DrainUnavailable("the list of machines has not been read since the take-over")
         drain = self._new_drain(request)
         now, now_wall_ms = monotonic_now(), utc_now_ms()
@@ -382,7 +387,7 @@
             await sleep(seconds(0.02))
         self._is_saving = True
         try:
-            if not self._may_act():
+            if not self._is_lease_valid():
                 raise DrainUnavailable("this node may not lead any more")
             await self.store.save(values)
         except LeadershipLost as e:
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -268,16 +268,16 @@
             return
         run.final_state = completed_job.state
         if self.lifecycle_listener is not None:
-            self.lifecycle_listener.job_ended(run)
+            self.lifecycle_listener.on_job_ended(run)
         self.needs_quota_update = True
         run.uncommitted_completions.clear()
         run.delta_completions.clear()
         for placement in list(run.placements.values()):
             self.request_stop(placement, ZERO, now)
-        self._forget_finished_job(run)
+        self._remove_finished_job(run)
         self.needs_scheduling = True
 
-    def _forget_finished_job(self, run: JobRun) -> None:
+    def _remove_finished_job(self, run: JobRun) -> None:
         if run.final_state and not run.placements:
             self.jobs.pop(run.spec.id, None)
             self.needs_quota_update = True
@@ -312,7 +312,7 @@
         machine.change_count += 1
         machine.free_cpus -= spec.cpus
         machine.free_gpus -= spec.gpus
-        machine.free_memory -= spec.memory_gb
+        machine.free_memory_gb -= spec.memory_gb
         if spec.gpus <= 0:
             machine.cpu_only_cpus += spec.cpus
         else:
@@ -333,7 +333,7 @@
         """Return the machine that an earlier leader's write-ahead log names; it is added unless it is present."""
         machine = self.machines.get(name)
         if machine is None:
-            machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, known_since=now)
+            machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, added_at=now)
         return machine
 
     def restore_placement(
@@ -359,13 +359,13 @@
             and placement.phase in POSSIBLY_STARTED_PHASES
             and placement.stop_requested_at is None
         ):
-            self.lifecycle_listener.lost(placement, cause, now)
+            self.lifecycle_listener.on_task_lost(placement, cause, now)
         del run.placements[placement.index]
         del machine.placements[(spec.id, placement.index)]
         machine.change_count += 1
         machine.free_cpus += spec.cpus
         machine.free_gpus += spec.gpus
-        machine.free_memory += spec.memory_gb
+        machine.free_memory_gb += spec.memory_gb
         if spec.gpus <= 0:
             machine.cpu_only_cpus -= spec.cpus
         else:
@@ -383,7 +383,7 @@
         self.needs_scheduling = True
         if spec.job_type == GANG and not run.final_state:
             self._update_gang_after_loss(run, placement)
-        self._forget_finished_job(run)
+        self._remove_finished_job(run)
 
     def _update_gang_after_loss(self, run: JobRun, lost_placement: Placement) -> None:
         if not run.placements:
@@ -406,7 +406,7 @@
             self.remove_placement(placement, now)
             return
         if self.lifecycle_listener is not None and placement.stop_requested_at is None:
-            self.lifecycle_listener.stopped(placement, cause, now)
+            self.lifecycle_listener.on_task_stopped(placement, cause, now)
         if placement.stop_requested_at is None or grace < placement.stop_grace:
             placement.stop_requested_at = placement.stop_requested_at or now
             placement.stop_grace = grace
@@ -445,7 +445,7 @@
         machine.unknown_tasks.clear()
         machine.has_acknowledged_term = False
 
-    def forget_machine(self, name: str, now: datetime, reason: str) -> None:
+    def remove_machine(self, name: str, now: datetime, reason: str) -> None:
         """Remove a machine that was released or is gone, and keep its name so that late heartbeats do not add it."""
         machine = self.machines.get(name)
         if machine is not None:
--- a/roseweir/scheduler/task_placement.py
+++ b/roseweir/scheduler/task_placement.py
@@ -44,7 +44,7 @@
     )
     no_machine_has_room = True
     for machine in machines:
-        if machine.free_cpus < min_cpus or machine.free_gpus < min_gpus or machine.free_memory < min_memory_gb:
+        if machine.free_cpus < min_cpus or machine.free_gpus < min_gpus or machine.free_memory_gb < min_memory_gb:
             continue
         if not allows_machine(spec, machine) or reservations.task_capacity(machine, spec) <= 0:
             continue
@@ -96,7 +96,7 @@
             image_cost,
             capacity_left + policy.lifetime_mismatch(machine, spec) * 0.5,
         )
-    if snapshot.cluster_state.headroom.is_urgent(spec):
+    if snapshot.cluster_state.headroom.must_start_at_once(spec):
         # The image ranks first: a fetch takes longer than the job may wait to start.
         return (image_cost, wastes_gpus, uses_non_spot, low_latency_image_penalty, capacity_left)
     return (wastes_gpus, uses_non_spot, low_latency_image_penalty, image_cost, capacity_left)
--- a/tests/simulation/workflows.py
+++ b/tests/simulation/workflows.py
@@ -119,5 +119,5 @@
         for controller in self.controllers:
             leader_term = None if controller.service is None else controller.service.leader_term
             if leader_term is not None and leader_term.is_ready:
-                return {name: workflow.state for name, workflow in leader_term.workflows.workflows.items()}
+                return {name: workflow.state for name, workflow in leader_term.workflow_controller.workflows.items()}
         return {}
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -22,7 +22,7 @@
     ON_TRACK,
     UNATTAINABLE,
     evaluate_deadline,
-    urgent_job_slack,
+    slack_of_steps_at_risk,
 )
 from roseweir.delivery_deadlines.due_time import compute_due_ms, local_instant, night_ending_date
 from roseweir.delivery_deadlines.lot_deliveries import delivered_lots
@@ -199,7 +199,7 @@
     unattainable = evaluate_deadline(make_workflow(5_000, *make_steps()), lambda step: 100.0, 0, 1)
     assert (
         unattainable.state == UNATTAINABLE
-        and urgent_job_slack([unattainable], {"am": make_workflow(5_000, *make_steps())}) == {}
+        and slack_of_steps_at_risk([unattainable], {"am": make_workflow(5_000, *make_steps())}) == {}
     )
 
 
@@ -225,7 +225,7 @@
 def deadline_controller_of(cluster: SimulatedCluster) -> DeadlineController | None:
     return next(
         (
-            node.service.leader_term.delivery_deadlines
+            node.service.leader_term.deadline_controller
             for node in cluster.controllers
             if node.service and node.service.leader_term
         ),
@@ -282,7 +282,7 @@
         with monkeypatch.context() as context:
             if not prioritizes_urgent:
                 context.setattr(
-                    "roseweir.delivery_deadlines.controller.urgent_job_slack", lambda statuses, workflows: {}
+                    "roseweir.delivery_deadlines.controller.slack_of_steps_at_risk", lambda statuses, workflows: {}
                 )
             cluster = observe_workflows(DeadlineCluster(seed, make_deadline_config(time(0, 1, 40), margin=110)))
             cluster.filler_count = 60
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -14,7 +14,7 @@
 from roseweir.drain.controller import DrainController
 from roseweir.drain.disruption_budget import DisruptionAccount
 from roseweir.drain.eviction_state_machine import EvictionState, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.settings import AutoReplacementSettings, DisruptionBudget, DrainSettings
 from roseweir.operator_config import OperatorConfig
 from roseweir.scheduler.lifecycle_events import DowntimeCause
@@ -154,7 +154,7 @@
 
 
 def ignore_lost_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DrainLifecycleObserver, "lost", lambda *args: None)
+    monkeypatch.setattr(DrainLifecycleListener, "on_task_lost", lambda *args: None)
 
 
 def ignore_evicted_gangs(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_eviction_decisions.py
+++ b/tests/test_eviction_decisions.py
@@ -21,7 +21,7 @@
 from roseweir.drain.cli import expand_start_shorthand
 from roseweir.drain.disruption_budget import BudgetUsage, DisruptionAccount
 from roseweir.drain.eviction_state_machine import Decision, EvictionStateMachine
-from roseweir.drain.lifecycle_observer import DrainLifecycleObserver
+from roseweir.drain.lifecycle_listener import DrainLifecycleListener
 from roseweir.drain.machine_health import MachineHealth
 from roseweir.drain.model import (
     MAX_ACTIVE_DRAINS,
@@ -244,7 +244,7 @@
     # The stored bound of placed indices is 7: tasks 0 to 6 may have been started, task 7 was not.
     account.assume_down_after_failover([run], {run.spec.id: 7}, NOW)
     assert sorted(account.down_tasks[run.spec.id]) == [0, 1, 3, 4, 5, 6]
-    cluster_state.lifecycle_listener = DrainLifecycleObserver(cluster_state, account, MachineHealth())
+    cluster_state.lifecycle_listener = DrainLifecycleListener(cluster_state, account, MachineHealth())
     for index in (0, 1, 5):
         worker.tasks[f"j-000001/{index}", 7] = running_task_status(f"j-000001/{index}", 7)
     worker.send_heartbeat(NOW)
@@ -289,7 +289,7 @@
     pool = SurgePool(cluster_state, settings.hole, NOW)
     state_machine = EvictionStateMachine(settings, cluster_state, account, pool, None, NOW - seconds(60))
     state_machine.has_machine_list = True
-    cluster_state.lifecycle_listener = DrainLifecycleObserver(cluster_state, account, MachineHealth())
+    cluster_state.lifecycle_listener = DrainLifecycleListener(cluster_state, account, MachineHealth())
     request = DrainRequest("x", machines=[workers[0].name], replace=False)
     state_machine.drains["x"] = Drain(request, UTC_NOW_MS, UTC_NOW_MS + 10_000_000, settings.grace.total_seconds(), "")
     cluster_state.zone_responsive_since = {"a": NOW, "b": NOW}
@@ -431,7 +431,7 @@
         decide(state_machine, NOW + seconds(elapsed_s))
         assert len(state_machine.cordons) <= 2
         for machine in state_machine.release_empty_machines(NOW + seconds(elapsed_s)):
-            cluster_state.forget_machine(machine.name, NOW + seconds(elapsed_s), "released")
+            cluster_state.remove_machine(machine.name, NOW + seconds(elapsed_s), "released")
             released.append(machine.name)
     assert len(released) == 6
 
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -221,7 +221,7 @@
         not job_run.placements
         and now - NOW <= cluster_state.max_lease_duration * 2 + cluster_state.stale_cancellation_window
     ), "replayed heartbeats keep a task for one lease at most"
-    cluster_state.forget_machine("i-1", now, "released")
+    cluster_state.remove_machine("i-1", now, "released")
     assert (
         HeartbeatReconciler(cluster_state).apply_heartbeat(worker.make_heartbeat(), now + seconds(600)) is None
         and "i-1" not in cluster_state.machines
@@ -288,8 +288,8 @@
         leader_term = cluster.current_leader().service.leader_term  # type: ignore[union-attr]
         has_searched_and_returned.append(
             leader_term is not None
-            and bool(leader_term.worker_handlers.leader_search.redirected_at_by_worker)
-            and leader_term.worker_handlers.leader_search.has_worker_returned
+            and bool(leader_term.heartbeat_handler.leader_search.redirected_at_by_worker)
+            and leader_term.heartbeat_handler.leader_search.has_worker_returned
         )
         cluster.kv_store.end_outage()
         for node in cluster.controllers:
