--- a/roseweir/service_levels/accounting.py
+++ b/roseweir/service_levels/accounting.py
@@ -38,7 +38,7 @@
     team_and_class: TeamAndClass
     is_started: bool = False
     outcome: str = ""  # done or cancelled; empty: not known yet
-    size_bucket: int | None = None  # bucket of its size; None: it ended before this leader's term
+    size_bucket: int | None = None  # None: an earlier version recorded its end, without its size
     accepted_ms: int = 0
     wait_s: float = 0.0  # seconds from its acceptance until its start, or until now
     is_inherited: bool = False  # from an earlier leader
--- a/roseweir/service_levels/controller.py
+++ b/roseweir/service_levels/controller.py
@@ -103,7 +103,8 @@
     async def _read_record(self) -> "LoadResult":
         """Read the stored account, and the ends since it was stored."""
         entry = await self.kv_store.get(ACCOUNT_KEY)
-        # Without a stored account all ends are read from the store's history, unless it does not reach back that far.
+        # Without a stored account, the ends are read from the store's first change on. If the store no longer keeps its
+        # first changes, `ends` is None and the gap is counted.
         through = 0 if entry is None else int(entry.value.get("through", 0))
         changes = await self.kv_store.watch(COMPLETED_JOB_PREFIX, through, ZERO)
         return LoadResult(entry, None if changes is None else changes[0])
@@ -195,7 +196,8 @@
             log.debug("service level account not written: error=%s", error)
         self.account.has_unsaved_changes = True
         try:
-            # A newer stored value can only be this leader's own write whose response was lost.
+            # While the leader's key is unchanged, only this leader writes the account: a newer version is that of its
+            # own write whose response was lost. Version 0 means that there is no account yet.
             entry = await self.kv_store.get(ACCOUNT_KEY)
             self._record_version = 0 if entry is None else entry.version
         except (StoreError, Unreachable):
