--- a/roseweir/admin_client.py
+++ b/roseweir/admin_client.py
@@ -11,7 +11,7 @@
 from roseweir.sexp import SettingsError
 
 REQUEST_TIMEOUT = timedelta(seconds=6)
-# Commands carry a request ID and are idempotent, so that they can be retried.
+# Commands are idempotent, since a repeated one names the same drain or workflow, so they can be retried.
 MAX_ATTEMPTS = 8
 RETRY_INTERVAL_S = 1.0
 # A controller may ask for a longer delay before the next attempt, but gets no more than this.
--- a/roseweir/cli.py
+++ b/roseweir/cli.py
@@ -26,7 +26,10 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command line and return the exit status: 0 success, 1 no answer, 2 invalid settings, 130 interrupted."""
+    """Run the command line and return the exit status.
+
+    0: success; 1: failure, such as no answer; 2: invalid settings or arguments, or a refused command; 130: interrupted.
+    """
     args = _build_parser().parse_args(drain_cli.expand_start_shorthand(sys.argv[1:] if argv is None else argv))
     try:
         result: int = args.run(args)
--- a/roseweir/cloud/capacity.py
+++ b/roseweir/cloud/capacity.py
@@ -32,7 +32,10 @@
 
 
 def available_machines(cluster_state: ClusterState, now: datetime) -> Iterable[Machine]:
-    """Yield running machines, and booting ones that are not late; cordoned, draining and lost ones are left out."""
+    """Yield running machines, and booting ones that are not late.
+
+    Left out are machines that are lost, unhealthy, being drained, reclaimed by the cloud or marked for release.
+    """
     slowdown = boot_slowdown(cluster_state, now)
     for machine in cluster_state.machines.values():
         if (
--- a/roseweir/cloud/errors.py
+++ b/roseweir/cloud/errors.py
@@ -29,7 +29,7 @@
 
 
 class NotLeading(CloudError, StoreError):
-    """The request was not sent: after the wait for the rate limiter, this node no longer surely led."""
+    """The request was not sent: after the wait for the rate limiter, the leader lease was no longer valid."""
 
     def __init__(self) -> None:
         super().__init__("leader lease no longer valid; request not sent")
--- a/roseweir/cloud/liveness.py
+++ b/roseweir/cloud/liveness.py
@@ -70,7 +70,8 @@
 
     A failed probe that took much longer than its timeout is not counted: this node was probably overloaded. A heartbeat
     since the probe proves that a silent machine is alive, but proves nothing about a machine that is suspected of a
-    one-way partition: such a machine keeps sending heartbeats.
+    one-way partition: such a machine keeps sending heartbeats. For it, a probe that got no valid response counts as
+    failed even if the connection was accepted, since a valid response would have ended the suspicion.
     """
     if machine.last_heartbeat_at >= probed_at and not machine.is_suspected:
         return
--- a/roseweir/drain/surge_pool.py
+++ b/roseweir/drain/surge_pool.py
@@ -26,7 +26,7 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.model import Machine
 
-# An offer counts as sold out for this long after its last refusal.
+# An offer counts as sold out until this long after its last refusal has expired.
 SOLD_OUT_DURATION = timedelta(seconds=60)
 # A machine that has been idle this long has no image to fetch.
 MIN_IDLE_IN_PLACE = timedelta(seconds=5)
--- a/roseweir/forecast/tools/recorded_load.py
+++ b/roseweir/forecast/tools/recorded_load.py
@@ -25,7 +25,7 @@
 
 
 def read_load(path: Path) -> list[Arrival]:
-    """All arrivals in order of time; SettingsError with the number of the first invalid line.
+    """All arrivals in order of time. Raises SettingsError if the file is unreadable, empty or has an invalid line.
 
     A repeated job id is a retry by the user and counts once, at its earliest time.
     """
