--- a/roseweir/delivery_deadlines/controller.py
+++ b/roseweir/delivery_deadlines/controller.py
@@ -1,4 +1,4 @@
-"""Deadline controller of the leader: assigns and tracks delivery deadlines, and puts workflows at risk first.
+"""The leader's deadline controller: assigns and tracks delivery deadlines, and gives workflows at risk precedence.
 
 The due time is part of the workflow's record, which is durable before the amendment is acknowledged. Everything else is
 derived from workflows, except the reports of past nights and the measured durations of steps by class: these are stored
--- a/roseweir/drain/lifecycle_listener.py
+++ b/roseweir/drain/lifecycle_listener.py
@@ -37,7 +37,7 @@
         self.disruptions.mark_up(run, [placement.index])
 
     def _is_gang_running(self, run: JobRun) -> bool:
-        """Whether every member runs; after a failover some may be gone of which no heartbeat has arrived yet."""
+        """Whether every task runs; after a failover some may be gone, or not listed in a heartbeat yet."""
         return len(run.placements) == run.spec.task_count and all(
             p.state == wire.RUNNING and p.stop_requested_at is None for p in run.placements.values()
         )
--- a/roseweir/drain/machine_health.py
+++ b/roseweir/drain/machine_health.py
@@ -10,7 +10,7 @@
 from roseweir.clock import NEVER
 from roseweir.scheduler.model import JobRun, Machine
 
-# Runs after which a machine's slowdown is significant, and the least weight of a new run in the moving average.
+# Runs after which a machine's slowdown is significant, and the minimum weight of a new run in the moving average.
 MIN_RUNS_FOR_SLOWDOWN, MIN_RUN_WEIGHT = 8, 0.2
 # Failures and expired leases count against a machine for this long.
 INCIDENT_RETENTION = timedelta(hours=1)
--- a/roseweir/drain/settings.py
+++ b/roseweir/drain/settings.py
@@ -65,7 +65,7 @@
 
 
 class DrainSettings(msgspec.Struct):
-    """docs/draining.md gives the reason for each default."""
+    """Settings of drains; docs/draining.md gives the reason for each default."""
 
     hole: float = 0.1  # share of a type's machines that may be missing, or be replaced ahead, at once
     hole_gpus: float | None = None  # the same for GPU types, whose work can run on few machines
--- a/roseweir/forecast/capacity_plan.py
+++ b/roseweir/forecast/capacity_plan.py
@@ -191,7 +191,7 @@
 
 
 def _wastes_gpus(cluster_state: ClusterState, spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether the type has GPUs and the job needs none and fits a type without."""
+    """Whether the type has GPUs that the job does not need, although the job fits a type without GPUs."""
     return spec.gpus <= 0 < machine_type.gpus and any(
         spec.fits_machine_type(k) for k in cluster_state.catalog.values() if k.gpus <= 0
     )
--- a/roseweir/forecast/demand_history.py
+++ b/roseweir/forecast/demand_history.py
@@ -440,7 +440,7 @@
         }
 
     def load_block(self, value: Any, revision: int, now: float, key: str, key_of_block: Callable[[int], str]) -> None:
-        """Add a stored block to the history; InvalidStoredBlock if it is invalid, and then nothing of it is used.
+        """Add a stored block to the history. Raises InvalidStoredBlock, and adds nothing, if it is invalid.
 
         Blocks of an earlier round of the ring, or from the future, are ignored.
         """
--- a/roseweir/forecast/history_store.py
+++ b/roseweir/forecast/history_store.py
@@ -68,7 +68,7 @@
             await sleep(READ_INTERVAL)
 
     async def save(self) -> None:
-        """Write the changed blocks, one at a time; LeadershipLost if the leader key has changed."""
+        """Write the changed blocks, one at a time. Raises LeadershipLost if the leader key has changed."""
         max_bytes = int(self.kv_store.transaction_limits.max_value_bytes * MAX_VALUE_FILL)
         for block in self.history.dirty_blocks():
             await self._save_block(block, max_bytes)
--- a/roseweir/forecast/scaling_planner.py
+++ b/roseweir/forecast/scaling_planner.py
@@ -84,7 +84,7 @@
         return Pool(spec.gpus > 0, allowed_types, spec.zone, spec.allows_spot)
 
     def lead_times_s(self, now: float) -> dict[Pool, float]:
-        """How long before it is needed a machine has to be requested, by pool."""
+        """By pool, how many seconds in advance a machine has to be requested."""
         self._refusal_times = [refused_at for refused_at in self._refusal_times if now - refused_at < REFUSAL_MEMORY_S]
         refusal_lead_s = min(MAX_EXTRA_LEAD_S, EXTRA_LEAD_PER_REFUSAL_S * len(self._refusal_times))
         lead_times_s: dict[Pool, float] = {}
--- a/roseweir/notifier.py
+++ b/roseweir/notifier.py
@@ -1,7 +1,8 @@
 """Wakes the tasks that wait for a topic; unlike an `asyncio.Event`, a notification does not stay set.
 
-Each topic has its own waiters: with one event for all, each commit of the log woke the pending responses of hundreds
-of idle machines needlessly. Hundreds of responses wait at any time, so a wait costs only one future and one timer.
+Each topic has its own waiters: with one event for all, each commit of the log would wake the pending responses of
+hundreds of idle machines needlessly. Hundreds of responses wait at any time, so a wait costs only one future and one
+timer.
 """
 
 import asyncio
--- a/roseweir/rebalancing/controller.py
+++ b/roseweir/rebalancing/controller.py
@@ -60,7 +60,7 @@
     # -- stored state -------------------------------------------------------------------------
 
     def restore(self, stored: Any) -> None:
-        """Restore the plans of earlier leaders. KeyError, TypeError or ValueError if they cannot be decoded."""
+        """Restore the plans of earlier leaders. Raises KeyError, TypeError or ValueError if they cannot be decoded."""
         self.plans = [MovePlan.decode(plan) for plan in stored.get("plans", ())]
         self.moved_at_ms = {str(name): int(at) for name, at in stored.get("moved", {}).items()}
         self._update_reservations()
