--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -1,4 +1,4 @@
-"""Delivery deadlines: due times, status, the order of urgent jobs, and due times that survive failures."""
+"""Delivery deadlines: due times, status, the order of steps at risk, and due times that survive failures."""
 
 import asyncio
 import random
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_urgent_jobs_only_reorder_within_their_team_and_priority(seed: int) -> None:
-    """Jobs of other teams or priorities keep their places, and an unattainable deadline makes no job urgent."""
+    """Jobs of other teams or priorities keep their places, and an unattainable deadline puts no step at risk."""
     rng = random.Random(seed)
     cluster_state = make_cluster_state()
     for number in range(1, 60):
@@ -181,19 +181,19 @@
             job(number, team=rng.choice(["t0", "t1"]), priority=rng.randint(1, 3), accepted_ms=number), number
         )
     queue_without_deadlines = build_queue(cluster_state, NOW)
-    urgent_runs = rng.sample(queue_without_deadlines, 15)
-    cluster_state.slack_ms_by_job = {run.spec.id: rng.randint(-50, 500) * 1000 for run in urgent_runs}
+    runs_at_risk = rng.sample(queue_without_deadlines, 15)
+    cluster_state.slack_ms_by_job = {run.spec.id: rng.randint(-50, 500) * 1000 for run in runs_at_risk}
     queue = build_queue(cluster_state, NOW)
     groups = [(run.spec.team, run.spec.priority, run.is_within_quota) for run in queue_without_deadlines]
     assert [(run.spec.team, run.spec.priority, run.is_within_quota) for run in queue] == groups
     for group in set(groups):
         runs = [run for run, run_group in zip(queue, groups, strict=True) if run_group == group]
         slack = [cluster_state.slack_ms_by_job.get(run.spec.id) for run in runs]
-        urgent_slack = [value for value in slack if value is not None]
-        assert slack[: len(urgent_slack)] == sorted(urgent_slack)
+        slack_at_risk = [value for value in slack if value is not None]
+        assert slack[: len(slack_at_risk)] == sorted(slack_at_risk)
         other_accepted_ms = [run.spec.accepted_ms for run in runs if run.spec.id not in cluster_state.slack_ms_by_job]
         assert other_accepted_ms == sorted(other_accepted_ms)
-    run = urgent_runs[0]
+    run = runs_at_risk[0]
     cluster_state.slack_ms_by_job[run.spec.id] = 30_000
     assert time_budget(cluster_state, run, seconds(0)) == seconds(18), "machines are rented within a part of the slack"
     unattainable = evaluate_deadline(make_workflow(5_000, *make_steps()), lambda step: 100.0, 0, 1)
@@ -276,11 +276,11 @@
         ), lots
 
 
-def on_time_share(seeds: range, prioritizes_urgent: bool, monkeypatch: pytest.MonkeyPatch) -> float:
+def on_time_share(seeds: range, prioritizes_steps_at_risk: bool, monkeypatch: pytest.MonkeyPatch) -> float:
     on_time = lots = 0
     for seed in seeds:
         with monkeypatch.context() as context:
-            if not prioritizes_urgent:
+            if not prioritizes_steps_at_risk:
                 context.setattr(
                     "roseweir.delivery_deadlines.controller.slack_of_steps_at_risk", lambda statuses, workflows: {}
                 )
@@ -295,7 +295,8 @@
 
 def test_urgent_job_order_delivers_more_lots_on_time(monkeypatch: pytest.MonkeyPatch) -> None:
     without_priority, with_priority = (
-        on_time_share(range(7800, 7803), prioritizes_urgent, monkeypatch) for prioritizes_urgent in (False, True)
+        on_time_share(range(7800, 7803), prioritizes_steps_at_risk, monkeypatch)
+        for prioritizes_steps_at_risk in (False, True)
     )
     assert with_priority > without_priority + 0.15, (without_priority, with_priority)
 
