--- a/roseweir/controller/leader.py
+++ b/roseweir/controller/leader.py
@@ -286,7 +286,7 @@
         while True:
             sent_at = monotonic_now()
             try:
-                # These reads come before the log writer's recovery, which cannot be repeated if one of them fails.
+                # These reads come first: the log writer's recovery can't be repeated if one of them fails after it.
                 drain_records, workflow_records = await gather_pair(
                     self.drain_controller.read_records(), self.workflow_controller.read_entries()
                 )
--- a/roseweir/controller/process.py
+++ b/roseweir/controller/process.py
@@ -162,7 +162,7 @@
         }
 
     def _on_leadership_uncertain(self, now: datetime) -> None:
-        """Redirect some workers to look for another leader, while neither the store nor a peer can confirm this one."""
+        """Redirect some workers to search for another leader, while neither store nor peers can confirm this one."""
         leader_term = self.leadership.ready_term
         if leader_term is None:
             return
--- a/roseweir/kv_store/client.py
+++ b/roseweir/kv_store/client.py
@@ -203,7 +203,7 @@
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         """Extend a lease to its full time to live; LeaseExpired if it does not exist any more.
 
-        The request rate limit does not delay renewals, since the leader would lose its lease by a late renewal.
+        The request rate limit does not delay renewals, since a late renewal could cost the leader its lease.
         """
         reply = await self._call("POST", f"/holds/{lease_id}/extend", timeout=timeout)
         if reply.status == 404:
--- a/roseweir/membership/messages.py
+++ b/roseweir/membership/messages.py
@@ -12,7 +12,7 @@
 class AcknowledgedCancellations(msgspec.Struct, rename={"job_ids": "cancelled"}):
     """The latest known term, and the jobs whose cancellation was acknowledged to users in the queried time.
 
-    `job_ids` is None if the controller started later than that, so that its list may be incomplete.
+    `job_ids` is None if the list may be incomplete: the controller started within that time, or has discarded entries.
     """
 
     term: int
--- a/roseweir/membership/store_isolation.py
+++ b/roseweir/membership/store_isolation.py
@@ -6,7 +6,8 @@
 
 from roseweir.clock import NEVER, seconds
 
-# How long most, or some, controllers must be unreachable before a node that can't reach the store counts as isolated.
+# How long requests to the store must fail before a node counts as isolated: if at least half of the controllers do not
+# answer, and if fewer do not.
 MAJORITY_UNREACHABLE_TIMEOUT = seconds(2)
 MINORITY_UNREACHABLE_TIMEOUT = seconds(6)
 # Maximum number of times that a node removes itself from the load balancer because of missing answers, within the time
@@ -36,8 +37,8 @@
     | evidence | takes effect after | reason |
     | --- | --- | --- |
     | a worker reports a later term than any known here | 0 s | another leader has been elected meanwhile |
-    | most controllers do not answer | MAJORITY_UNREACHABLE_TIMEOUT | in an outage they would answer and report it |
-    | a minority does not answer | MINORITY_UNREACHABLE_TIMEOUT | a crashed controller has restarted by then |
+    | at least half do not answer | MAJORITY_UNREACHABLE_TIMEOUT | in an outage they would answer and report it |
+    | fewer controllers do not answer | MINORITY_UNREACHABLE_TIMEOUT | a crashed controller has restarted by then |
 
     Drawback: in an outage of the whole store with unreachable peers, the node is removed from the load balancer, which
     adds it again two health checks after the outage, and no sooner than 3 s after the removal. The balancer doubles
--- a/roseweir/membership/worker_probes.py
+++ b/roseweir/membership/worker_probes.py
@@ -30,7 +30,7 @@
         return ProbeResult(reachable, redirected)
 
     def record_redirected(self, heartbeat: HeartbeatHeader) -> None:
-        """Record a heartbeat that this node answered by redirecting the worker to the leader."""
+        """Record a heartbeat that this node received while it did not lead."""
         self._redirected_workers.record_heartbeat(
             heartbeat.machine_name, (heartbeat.incarnation, heartbeat.sequence), monotonic_now()
         )
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -605,8 +605,8 @@
     """Return how long a leader that cannot read cancellations may go on answering heartbeats.
 
     Another leader may have accepted a cancellation right after our last read. A task that our answers keep alive ends
-    with its lease, at most lease_s after our last answer, and must be gone within cancel_s of the cancellation. Clock
-    drift on both spans and two seconds for late timers and answers are subtracted.
+    with its lease, at most `lease_duration` after our last answer, and must be gone within `cancel_timeout` of the
+    cancellation. Clock drift on both spans and two seconds for late timers and answers are subtracted.
     """
     workers = settings.params.workers
     return max(
--- a/roseweir/scheduler/headroom.py
+++ b/roseweir/scheduler/headroom.py
@@ -2,9 +2,9 @@
 
 Some classes have the highest priority and a start-time objective shorter than the boot time of any machine. On a fleet
 filled with lower-priority tasks, each of their tasks waited for another to end: 0.9 s in the median, and up to a minute
-if the tasks had to be spread over zones and lower-priority tasks held all room of one zone (simulated cluster, log). So
-lower-priority jobs leave room for HEADROOM_JOBS_PER_ZONE such jobs free in each zone, on the machines that hold most of
-their images. Headroom that has been used is restored as lower-priority tasks end, before others of them start.
+if the tasks had to be spread over zones and lower-priority tasks held all room of one zone (as logged in the simulated
+cluster). So lower-priority jobs leave room for HEADROOM_JOBS_PER_ZONE such jobs in each zone, on the machines that hold
+most of their images. Headroom that has been used is restored as lower-priority tasks end, before others of them start.
 
 Bound: at most MAX_HEADROOM_CPU_FRACTION of a zone's CPUs is kept free, and nothing if no class has such an objective.
 The queue order is unchanged: the headroom only spares the first job the wait for running tasks.
--- a/roseweir/scheduler/heartbeat_reconciliation.py
+++ b/roseweir/scheduler/heartbeat_reconciliation.py
@@ -14,7 +14,7 @@
 | --- | --- |
 | shows our term, newer than the machine's newest message | which tasks the machine has: those listed, and no others |
 | incarnation above one that showed our term | the earlier one's tasks are gone; the new one must show our term |
-| shows another term | a node received the machine's heartbeats once; a lease renewed by our answer is recorded |
+| shows another term | only that the machine sent it at some time; a lease renewed by our answer is recorded |
 | not newer than the machine's newest message | nothing |
 
 `lease_renewal.py` decides what the answer to a heartbeat that proves nothing may do to the worker's lease.
--- a/roseweir/scheduler/lease_renewal.py
+++ b/roseweir/scheduler/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Decides whether the answer to a heartbeat that was not applied may renew a lease, and its stop commands.
+"""Decides whether the answer to a heartbeat that was not applied may renew a lease, and which tasks it stops.
 
 Every answer that carries our fencing token may renew a lease, so each heartbeat that is not applied is classified
 before it is answered. A heartbeat that was overtaken by the response to a direct command or probe, which has a higher
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -192,8 +192,13 @@
 
 @lru_cache(maxsize=16384)
 def parse_task_name(task_name: str) -> tuple[str, int]:
-    """Return the job id and index in a task's name, the inverse of `Placement.task_name`; cached, since most
-    heartbeats repeat their tasks. ValueError: the name does not end in a number."""
+    """Return the job id and index in a task's name, the inverse of `Placement.task_name`.
+
+    Cached, since most heartbeats repeat their tasks.
+
+    Raises:
+        ValueError: The name does not end in a number.
+    """
     job_id, _, index_text = task_name.rpartition("/")
     return job_id, int(index_text)
 
--- a/roseweir/scheduler/preemption.py
+++ b/roseweir/scheduler/preemption.py
@@ -39,8 +39,8 @@
 def may_preempt(cluster_state: ClusterState, run: JobRun, victim: JobRun) -> bool:
     """Whether the job may preempt the victim, by the protocol's rules for stopping other work.
 
-    It may if its priority is higher, or if it is within its team's guarantee and the victim runs on capacity that
-    another team uses beyond its own guarantee.
+    It may if its priority is higher, unless only the victim is within its team's guarantee, or if it is within its
+    team's guarantee and the victim runs on capacity that another team uses beyond its own guarantee.
     """
     if victim.spec.id == run.spec.id or victim.final_state:
         return False
@@ -201,7 +201,7 @@
         ):
             continue
         # CPU-only victims: a gang with checkpoints counts as little lost work, and would be stopped for a replica of
-        # 2 CPUs (71 times in the simulation `rough`).
+        # 2 CPUs (71 times on one simulated day).
         slots += _find_slots(cluster_state, run, machine, tasks_wanted, now, cpu_only=True)
     # The lost work of a slot with victims includes the image fetch, which favours machines that hold the image.
     slots.sort(key=lambda slot: (slot.lost_work_s, slot.machine.machine_type.gpus > 0, slot.machine.name))
--- a/roseweir/scheduler/queue_order.py
+++ b/roseweir/scheduler/queue_order.py
@@ -23,7 +23,7 @@
 
 
 def _order_by_deadline_slack(cluster_state: ClusterState, waiting_runs: list[JobRun]) -> list[JobRun]:
-    """Among one team's jobs of equal rank, those that may miss a delivery deadline go first, least slack first.
+    """Among one team's jobs of equal rank, those that may miss a deadline go first, least slack first.
 
     Only positions of the same team's jobs are exchanged, so the positions of other teams' jobs do not change.
     """
--- a/roseweir/scheduler/quota.py
+++ b/roseweir/scheduler/quota.py
@@ -14,8 +14,8 @@
 def mark_within_quota(cluster_state: ClusterState) -> None:
     """Mark each job that fits its team's guarantee together with the team's earlier unfinished jobs.
 
-    Sets `JobRun.is_within_quota`. Does nothing unless jobs were added or removed since the last call
-    (`needs_quota_update`).
+    Sets `JobRun.is_within_quota`. Does nothing unless jobs were added, held, released or ended since the
+    last call (`needs_quota_update`).
     """
     if not cluster_state.needs_quota_update:
         return
--- a/roseweir/scheduler/reservations.py
+++ b/roseweir/scheduler/reservations.py
@@ -53,8 +53,8 @@
     jobs can start at once; on the other machines, jobs within a guarantee regain the room by preemption. If a placement
     policy is active, CPUs are also reserved for as many GPUs as GPU jobs wait for, whether these GPUs are free or not:
     a CPU-only task on a GPU's CPUs leaves the GPU idle, and the GPU's next task waits for it to end. Without that, at
-    most 48 of 160 GPUs were in use while GPU jobs waited for CPUs that replicas without GPUs held (simulated cluster of
-    model services, `--crowded`).
+    most 48 of 160 GPUs were in use while GPU jobs waited for CPUs that replicas without GPUs held (in a crowded
+    simulated cluster of model services).
     """
     gpu_machines = [m for m in machines if m.machine_type.gpus > 0]
     if now >= cluster_state.overflow_until:
--- a/roseweir/scheduler/starvation.py
+++ b/roseweir/scheduler/starvation.py
@@ -2,8 +2,8 @@
 
 A stream of small jobs can delay a large one indefinitely: each takes freed capacity before enough of it adds up. By
 guarantee, priority and arrival alone, a gang of eight whose team was above its guarantee came after every gang within
-one, and waited 281 to 346 s (simulated cluster, all controllers lost, at 1.5 times the load). The service-level
-objective is that the largest jobs of a class start within four minutes. So:
+one, and waited 281 to 346 s (in the simulated cluster, with all controllers lost, at 1.5 times the load). The
+service-level objective is that the largest jobs of a class start within four minutes. So:
 
 | a job that has waited for | is queued | because |
 | --- | --- | --- |
--- a/roseweir/submissions/acceptance.py
+++ b/roseweir/submissions/acceptance.py
@@ -94,8 +94,8 @@
     def _is_best_effort(self, spec: JobSpec) -> bool:
         """Whether the job's team has no guarantee while another team has one.
 
-        If no team has a guarantee, no team is best-effort: limiting all teams rejected 931 requests in the first half
-        minute of a day (third deployment, steady load).
+        If no team has a guarantee, no team is best-effort: at a steady load, limiting all teams rejected 931 requests
+        in the first half minute of a day.
         """
         return self._has_guaranteed_team and not self._teams[spec.team].has_guarantee
 
--- a/roseweir/submissions/idempotency.py
+++ b/roseweir/submissions/idempotency.py
@@ -1,7 +1,7 @@
 """Confirms an unanswered acceptance or cancellation by reading the key that it writes.
 
-A key that is present proves it, whichever request wrote the key. A missing key proves nothing, since the transaction
-may be applied later.
+A key that is present proves that the job is accepted or cancelled, whichever request wrote the key. A missing key
+proves nothing, since the transaction may be applied later.
 """
 
 from datetime import timedelta
@@ -19,7 +19,7 @@
 class KeyConfirmation:
     """Reads the key that an acceptance or a cancellation writes, and records whether it was found.
 
-    Several retries may read the key; `is_confirmed` is true once one of them has found it.
+    The key may be read several times; `is_confirmed` is true once a read has found it.
     """
 
     def __init__(self, find_revision: ConfirmWrite) -> None:
--- a/roseweir/submissions/jobs/model.py
+++ b/roseweir/submissions/jobs/model.py
@@ -43,8 +43,8 @@
 
     The object is stored in the field in which the record of a workflow step has a list. A version that supports only
     the list can't decode such a record: it keeps the job but starts none of its tasks (`ClusterState.add_record` of
-    that version), which is correct for a job that waits. So the two versions of a rolling upgrade need not agree on a
-    format before this is written.
+    that version), which is correct for a job that waits. So this may be written before both versions of a rolling
+    upgrade have the same feature level (`FEATURE_LEVEL` in leader_election/messages.py).
     """
 
     job_ids: list[str] = []
--- a/roseweir/submissions/rejections.py
+++ b/roseweir/submissions/rejections.py
@@ -1,4 +1,4 @@
-"""Counts the submissions that were rejected with a time to retry, by team and job class."""
+"""Counts the valid submissions that were rejected with a time to retry, by team and job class."""
 
 from roseweir.submissions.jobs import JobSpec
 
--- a/roseweir/workers/answer_authority.py
+++ b/roseweir/workers/answer_authority.py
@@ -39,8 +39,9 @@
     def may_answer(self, now: datetime) -> bool:
         """Whether heartbeats may be answered: after the window, another leader may have accepted unread cancellations.
 
-        The window also starts at the last renewal of the leader's lease. A leader whose renewals failed while its watch
-        still worked renewed workers' leases for longer than its successor assumed, and tasks ran twice.
+        The window counts from the last read of cancellations or the last confirmation of the leadership, whichever is
+        earlier. Otherwise a leader whose renewals fail while its watch still works would renew workers' leases for
+        longer than its successor assumes, and tasks would run twice.
         """
         return (
             now - self.cancellations_complete_until < self.cluster_state.stale_cancellation_window
@@ -51,6 +52,6 @@
         """Whether tasks may be started: the lease is valid, and cancellations have been read recently.
 
         A valid lease is not enough: after an outage the lease is renewed before cancellations are read again, and
-        tasks of jobs that users had cancelled at other nodes during the outage were started.
+        tasks of jobs that users had cancelled at other nodes during the outage would be started.
         """
         return self.leader_lease.is_valid() and now - self.cancellations_read_at < MAX_CANCELLATION_STALENESS
--- a/roseweir/workers/direct_commands.py
+++ b/roseweir/workers/direct_commands.py
@@ -18,7 +18,7 @@
 
 DIRECT_COMMAND_TIMEOUT = timedelta(seconds=1)
 URGENT_STOP_INTERVAL = seconds(0.05)
-# Maximum of concurrent direct commands: one for this many of the process's sockets, but no fewer than the minimum.
+# Maximum number of concurrent direct commands: one for this many of the process's sockets, but at least the minimum.
 SOCKETS_PER_DIRECT_COMMAND = 25
 MIN_CONCURRENT_DIRECT_COMMANDS = 8
 
@@ -34,11 +34,11 @@
         self._heartbeat_reconciler = HeartbeatReconciler(cluster_state)
 
     async def run(self) -> None:
-        """Send stop commands that all tasks of a gang must get together as soon as they are due; never returns.
+        """Send urgent stop commands, such as those to all tasks of a gang, as soon as they are due; never returns.
 
-        They are sent only to machines with current heartbeats, and only a bounded number at a time. After a zone was
-        cut off, stop commands to hundreds of unreachable machines each held a socket until they timed out. A machine
-        without current heartbeats receives its commands with the response to its next heartbeat.
+        They are sent only to machines with current heartbeats, and only a bounded number at a time. Otherwise, when a
+        zone is cut off, stop commands to hundreds of unreachable machines would each hold a socket until they time out.
+        A machine without current heartbeats receives its commands with the response to its next heartbeat.
         """
         cluster_state = self.cluster_state
         max_concurrent = max(
--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -31,7 +31,7 @@
     Attributes:
         authority: Decides whether the leader may answer heartbeats and start tasks.
         direct_commands: Sends the commands that cannot wait for a heartbeat.
-        leader_search: Redirects some workers to look for another leader.
+        leader_search: Redirects some workers to search for another leader.
     """
 
     def __init__(
@@ -66,8 +66,8 @@
     async def handle_heartbeat(self, request: Request) -> Response:
         """Apply a heartbeat and answer with the machine's commands, delayed for a short time if more may follow.
 
-        Returns 400 for a heartbeat that can't be read, 421 if its worker reports a later term, 503 if this leader
-        may not answer any worker, or this one.
+        Returns 400 for a heartbeat that can't be read, 421 if its worker reports a later term, and 503 if this leader
+        may not answer any worker, refuses this one, or redirects it to search for another leader.
         """
         try:
             heartbeat = msgspec.convert(orjson.loads(request.body), wire.Heartbeat)
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -51,8 +51,9 @@
 ):
     """A heartbeat with status, also the answer of a worker to a direct command.
 
-    `incarnation` counts the worker's starts and `sequence` its messages since; `fencing_token` is the highest term that
-    it has received; `reclaim_notice_s` is how many seconds remain until a spot machine is taken away.
+    `incarnation` increases when the worker's lease expires or it restarts, and `sequence` with each of its messages;
+    `fencing_token` is the highest term that it has received; `reclaim_notice_s` is how many seconds remain until a spot
+    machine is reclaimed.
     """
 
     machine_name: str
