--- a/roseweir/cloud/liveness.py
+++ b/roseweir/cloud/liveness.py
@@ -4,7 +4,7 @@
 a hung machine still accepts the connection, but its worker does not answer. So silent machines are probed: one that
 accepts the connection is kept, one that does not is released sooner than after `silence_timeout`. Without probes, 200
 machines that hung for less than their lease were released after two missed heartbeats, and their replacements took 50 s
-to boot (simulated day, a failure of many machines at once at 1.8 times the size).
+to boot (simulated day, a failure of many machines at once at 1.8 times the usual fleet size).
 
 - A hung machine is lost MAX_HUNG_LEASES leases after its last heartbeat.
 - A machine that accepts no connection is lost once its heartbeat is overdue and MIN_FAILED_PROBES probes have failed,
--- a/roseweir/scheduler/one_way_partition.py
+++ b/roseweir/scheduler/one_way_partition.py
@@ -1,4 +1,4 @@
-"""Detects one-way partitions: whether our answers reach a machine whose heartbeats reach us. Pure: no I/O.
+"""Detects one-way partitions: whether this leader's answers reach a machine whose heartbeats reach us. Pure: no I/O.
 
 A heartbeat proves that the path from the machine is open, and nothing about the path back. A worker whose answers are
 lost keeps sending heartbeats, ends its tasks when its lease expires, and returns with the next incarnation, again and
@@ -65,14 +65,14 @@
 
 
 def mark_suspected(machine: Machine, now: datetime) -> None:
-    """Suspect that our answers do not reach the machine, unless it is suspected already."""
+    """Suspect that this leader's answers do not reach the machine, unless it is suspected already."""
     if not machine.is_suspected:
         machine.suspected_since = now
         machine.missed_probe_count = 0
 
 
 def mark_reachable(machine: Machine) -> None:
-    """Clear the suspicion: an answer or probe of ours reached the machine."""
+    """Clear the suspicion: an answer or probe of this leader's reached the machine."""
     machine.suspected_since = machine.unreachable_since = NEVER
     machine.dropped_command_count = machine.missed_probe_count = 0
 
--- a/roseweir/workers/messages.py
+++ b/roseweir/workers/messages.py
@@ -51,9 +51,12 @@
 ):
     """A heartbeat with status, also the answer of a worker to a direct command.
 
-    `incarnation` increases when the worker's lease expires or it restarts, and `sequence` with each of its messages;
-    `fencing_token` is the highest term that it has received; `reclaim_notice_s` is how many seconds remain until a spot
-    machine is reclaimed.
+    `incarnation` starts at 1 and increases each time the worker's lease expires. `sequence` increases with every
+    heartbeat and every response to a direct command or status query. Of two messages, the one with the larger
+    (incarnation, sequence) is the newer.
+
+    `fencing_token` is the highest term that the worker has received; `reclaim_notice_s` is how many seconds remain
+    until a spot machine is reclaimed.
     """
 
     machine_name: str
