--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -6,7 +6,7 @@
 
 from tests import versions
 from tests.simulation.cluster import SimulatedCluster
-from tests.versions import PRESENT, HistoryMissing, extract, production
+from tests.versions import PRESENT, RENAMING_COMMIT, HistoryMissing, descends_from, extract, load, production
 
 
 def test_missing_commit_fails_with_one_line_message(tmp_path: Path) -> None:
@@ -50,3 +50,26 @@
     assert {type(service) for service in cluster.leader_by_term.values()} == {
         production_version.find("controller.process", "ControllerProcess")
     }
+
+
+def test_name_that_had_another_meaning_in_between_is_not_mistaken() -> None:
+    """The tables name `leadership` as the older name of `leader_election`; after the renaming both names exist.
+
+    Looked up by its older name, the attribute of a version in between was an object of another class.
+    """
+    renamed_version, production_version = load(RENAMING_COMMIT), production()
+    assert not renamed_version.has_older_names and production_version.has_older_names and not PRESENT.has_older_names
+    cluster = SimulatedCluster(1, without_random_faults=True, versions=[renamed_version] * 3)
+    cluster.run(length_s=20, job_count=8)
+    assert not cluster.errors and not cluster.rule_violations
+    for service in cluster.leader_by_term.values():
+        assert hasattr(service, "leadership")
+        assert renamed_version.attribute(service, "leader_election") is service.leader_election
+    assert renamed_version.module("controller.leadership").__name__.startswith(renamed_version.package)
+
+
+def test_descent_from_the_renaming_is_read_from_the_history() -> None:
+    assert descends_from(RENAMING_COMMIT, RENAMING_COMMIT)
+    assert not descends_from(versions.production_commit(), RENAMING_COMMIT)
+    with pytest.raises(HistoryMissing, match="lacks"):
+        descends_from("0" * 40, RENAMING_COMMIT)
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -37,8 +37,12 @@
 PACKAGE = "roseweir"
 COMMIT_DIGITS = 12  # of the commit's hash, in the package name
 
-# Names that differ between the present tree and older versions, each as present name -> older name. If a version lacks
-# the older name, the present one is used, so the tables serve commits before and after a rename.
+# The last commit of the rework that renamed most of the package. A version that descends from it is looked up by its
+# present names only, because some older names have another meaning there.
+RENAMING_COMMIT = "177a1326a7947a172d1dd862936707f7fcf0f806"
+
+# Names that differ between the present tree and versions that do not descend from RENAMING_COMMIT, each as present
+# name -> older name. If such a version lacks the older name, the present one is used.
 #
 # Modules below the package: {"notifier": "bell"}.
 MODULES_IN_HISTORY: dict[str, str] = {
@@ -188,14 +192,14 @@
         ModuleNotFoundError if this version has neither that path nor the one in MODULES_IN_HISTORY.
         """
         path_in_history = MODULES_IN_HISTORY.get(path)
-        if path_in_history is not None and not self.is_present and self._has_module(path_in_history):
+        if path_in_history is not None and self.has_older_names and self._has_module(path_in_history):
             path = path_in_history
         return importlib.import_module(f"{self.package}.{path}")
 
     def locate(self, path: str, name: str) -> tuple[Any, str]:
         """This version's module for a class or function, and its name there, by present module and name."""
         module_in_history, _, name_in_history = NAMES_IN_HISTORY.get(f"{path}:{name}", "").rpartition(":")
-        if module_in_history and not self.is_present and self._has_module(module_in_history):
+        if module_in_history and self.has_older_names and self._has_module(module_in_history):
             module = importlib.import_module(f"{self.package}.{module_in_history}")
             if hasattr(module, name_in_history):
                 return module, name_in_history
@@ -218,7 +222,7 @@
     def _name_of(self, owner: Any, name_in_history: str | None, present_name: str) -> str:
         return (
             present_name
-            if name_in_history is None or self.is_present or not hasattr(owner, name_in_history)
+            if name_in_history is None or not self.has_older_names or not hasattr(owner, name_in_history)
             else name_in_history
         )
 
@@ -232,6 +236,11 @@
     def is_present(self) -> bool:
         return self.package == PACKAGE
 
+    @property
+    def has_older_names(self) -> bool:
+        """Whether the tables of names in history apply to this version."""
+        return self.package in PACKAGES_WITH_OLDER_NAMES
+
     def make_service(self, settings: Settings, operator_config: OperatorConfig, connect: Callable[..., Any]) -> Any:
         """Creates a controller process of this version that sends its requests through `connect`."""
         service_class = self.find("controller.process", "ControllerProcess")
@@ -311,6 +320,8 @@
 
 PRESENT = Version(PACKAGE)
 LOADED = [PRESENT]  # all versions that this process has imported
+# The packages of loaded versions that do not descend from RENAMING_COMMIT.
+PACKAGES_WITH_OLDER_NAMES: set[str] = set()
 
 
 def production() -> Version:
@@ -323,6 +334,8 @@
     """The version at a commit, by its full hash; HistoryMissing if the repository's history does not hold it."""
     package = f"{PACKAGE}_{commit[:COMMIT_DIGITS]}"
     sys.meta_path.insert(0, _Finder(package, extract(commit)))
+    if not descends_from(commit, RENAMING_COMMIT):
+        PACKAGES_WITH_OLDER_NAMES.add(package)
     LOADED.append(Version(package))
     return LOADED[-1]
 
@@ -340,6 +353,19 @@
     return result.stdout.decode().strip()
 
 
+def descends_from(commit: str, ancestor: str, root: Path = ROOT) -> bool:
+    """Whether a commit is the other one or descends from it; HistoryMissing if the history lacks one of them."""
+    try:
+        result = subprocess.run(
+            ["git", "-C", str(root), "merge-base", "--is-ancestor", ancestor, commit], capture_output=True, check=False
+        )
+    except FileNotFoundError:
+        raise HistoryMissing(f"git is not installed, so the names in version {commit} can't be determined") from None
+    if result.returncode not in (0, 1):
+        raise HistoryMissing(f"the history of {root} lacks {ancestor} or {commit} (a shallow clone? fetch all of it)")
+    return result.returncode == 0
+
+
 def production_commit() -> str:
     """The commit in production, as `deploy/service.toml` names it."""
     return str(tomllib.loads(DEPLOYMENT.read_text())["production"])
