--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1399,3 +1399,11 @@
         for version in LOADED:
             patches.enter_context(patch.object(*version.locate("clock", "utc_now"), virtual_utc_now))
         yield
+
+
+def raise_first_failure(cluster: SimulatedCluster) -> None:
+    """Raises the first error of a run, or else the first broken rule."""
+    if cluster.errors:
+        raise cluster.errors[0]
+    if cluster.rule_violations:
+        raise cluster.rule_violations[0]
--- a/tests/simulation/rolling_upgrade.py
+++ b/tests/simulation/rolling_upgrade.py
@@ -8,7 +8,7 @@
 from roseweir.delivery_deadlines.settings import DeadlinePolicy, DeadlineSettings
 from roseweir.forecast.settings import PredictiveScalingSettings
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX
-from tests.simulation.cluster import SimulatedCluster, SimulatedKeyValueStore, virtual_now
+from tests.simulation.cluster import SimulatedCluster, SimulatedKeyValueStore, raise_first_failure, virtual_now
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.versions import PRESENT, Version, production
 
@@ -82,13 +82,6 @@
         assert not unfinished, f"seed {self.seed}: these jobs did not end: {sorted(unfinished)}"
 
 
-def raise_first_failure(cluster: SimulatedCluster) -> None:
-    if cluster.errors:
-        raise cluster.errors[0]
-    if cluster.rule_violations:
-        raise cluster.rule_violations[0]
-
-
 def terms_led_by(cluster: SimulatedCluster, version: Version) -> list[bool]:
     """For each term in order, whether a process of this version led it."""
     process_class = version.find("controller.process", "ControllerProcess")
--- a/tests/test_delivery_deadlines.py
+++ b/tests/test_delivery_deadlines.py
@@ -33,11 +33,16 @@
 from roseweir.scheduler.queue_order import build_queue
 from roseweir.sexp import SettingsError
 from roseweir.workflows.model import Workflow, WorkflowStep
-from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    PARTIAL_PARTITION_FAULTS,
+    SimulatedCluster,
+    raise_first_failure,
+    virtual_now,
+)
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.workflows import WorkflowCluster, workflow_config
 from tests.test_scheduler import NOW, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 from tests.test_workflows import observe_workflows
 
 TORONTO = Calendar(time_zone="America/Toronto", holidays={(None, 12, 25), (2026, 12, 28)})
--- a/tests/test_demand_history.py
+++ b/tests/test_demand_history.py
@@ -32,11 +32,11 @@
     SimulatedCluster,
     SimulatedController,
     SimulatedKeyValueStore,
+    raise_first_failure,
     virtual_wall_clock,
 )
 from tests.simulation.cluster import make_settings as make_controller_settings
 from tests.simulation.demand_weeks import make_demand
-from tests.test_simulated_days import raise_first_failure
 
 SLOT = 300
 BEGIN = 1_780_000_000 // BLOCK_DURATION_S * BLOCK_DURATION_S
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -34,12 +34,11 @@
 from roseweir.submissions.dependency_storage import split_dependencies
 from roseweir.submissions.jobs import StoredDependencies, completed_job
 from tests.simulation import virtual_time
-from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, virtual_now
+from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, raise_first_failure, virtual_now
 from tests.simulation.job_dependencies import DependencyCluster
 from tests.simulation.job_specs import make_job_spec
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_scheduler import NOW, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/test_eviction_days.py
+++ b/tests/test_eviction_days.py
@@ -26,10 +26,10 @@
     SimulatedCluster,
     SimulatedTask,
     SimulatedWorker,
+    raise_first_failure,
     virtual_now,
 )
 from tests.simulation.eviction import EvictionCluster
-from tests.test_simulated_days import raise_first_failure
 
 MAX_DISRUPTED_SHARE = 0.2
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -35,6 +35,7 @@
     SimulatedCluster,
     SimulatedTask,
     SimulatedWorker,
+    raise_first_failure,
     virtual_now,
 )
 from tests.simulation.fault_combinations import FaultCombinationCluster, FaultSchedule, LongTaskCluster, is_caught
@@ -45,7 +46,6 @@
 from tests.test_job_durability import MAX_UNANSWERED_S, schedule_polling_users
 from tests.test_rebalancing import FragmentedCluster, make_rebalancing_config
 from tests.test_scheduler import NOW, TERM, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 from tests.test_workflows import observe_workflows
 
 Patch = pytest.MonkeyPatch
--- a/tests/test_job_durability.py
+++ b/tests/test_job_durability.py
@@ -6,9 +6,14 @@
 
 from roseweir.http import Request
 from roseweir.membership.store_isolation import StoreIsolationDetector
-from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    PARTIAL_PARTITION_FAULTS,
+    SimulatedCluster,
+    raise_first_failure,
+    virtual_now,
+)
 from tests.simulation.load_balancer import LoadBalancer, PollingUsers
-from tests.test_simulated_days import raise_first_failure
 
 MAX_UNANSWERED_S = 10.0
 
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -23,11 +23,16 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX
 from roseweir.workers import messages as wire
 from tests.simulation import virtual_time
-from tests.simulation.cluster import LEASE_DURATION_S, SimulatedCluster, SimulatedKeyValueStore, make_settings
+from tests.simulation.cluster import (
+    LEASE_DURATION_S,
+    SimulatedCluster,
+    SimulatedKeyValueStore,
+    make_settings,
+    raise_first_failure,
+)
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/test_machine_faults.py
+++ b/tests/test_machine_faults.py
@@ -17,7 +17,14 @@
 from roseweir.scheduler.model import Machine, PlacementPhase
 from roseweir.workers import messages as wire
 from roseweir.workers.direct_commands import DirectCommandSender
-from tests.simulation.cluster import ZONES, SimulatedCluster, SimulatedTask, SimulatedWorker, virtual_now
+from tests.simulation.cluster import (
+    ZONES,
+    SimulatedCluster,
+    SimulatedTask,
+    SimulatedWorker,
+    raise_first_failure,
+    virtual_now,
+)
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught
 from tests.simulation.machine_faults import (
     CheckedCluster,
@@ -29,7 +36,6 @@
 )
 from tests.test_fault_combinations import reuse_previous_term
 from tests.test_partial_partitions import accept_heartbeats_of_any_term
-from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 Variant = Callable[[Patch], None]
--- a/tests/test_partial_partitions.py
+++ b/tests/test_partial_partitions.py
@@ -22,11 +22,11 @@
     PARTIAL_PARTITION_FAULTS,
     SimulatedCluster,
     SimulatedTask,
+    raise_first_failure,
     virtual_now,
 )
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, TERM, FakeWorker, make_cluster_state, place_and_start
-from tests.test_simulated_days import raise_first_failure
 
 ALL_FAULTS = [*EXTENDED_FAULTS, *PARTIAL_PARTITION_FAULTS, *PARTIAL_PARTITION_FAULTS]
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -37,11 +37,10 @@
 from roseweir.sexp import SettingsError
 from roseweir.submissions.jobs import ARRAY, GANG, SERVICE, MachineType, rejection_reason
 from roseweir.workers import messages as wire
-from tests.simulation.cluster import SimulatedCluster, virtual_now
+from tests.simulation.cluster import SimulatedCluster, raise_first_failure, virtual_now
 from tests.simulation.eviction import EvictionCluster
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 LARGE_GPU_MACHINE = MachineType("gpu", 96, 8, 384, 200, 1.0, 24.0, 9.0, 50, ("a", "b"))
 LARGE_TASK_SIZE: TaskSize = (80.0, 8.0, 304.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,8 +14,13 @@
 from roseweir.leader_election.election import LeaderElection, LeaderLease
 from roseweir.leader_election.messages import LEADER_KEY
 from roseweir.scheduler.model import PlacementPhase
-from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, SimulatedController, virtual_now
-from tests.test_simulated_days import raise_first_failure
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    SimulatedCluster,
+    SimulatedController,
+    raise_first_failure,
+    virtual_now,
+)
 
 RESTART_DELAY_RANGE_S = (0.05, 1.0)
 
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -9,12 +9,11 @@
 import pytest
 
 from roseweir.leader_election.messages import FEATURE_LEVEL, LeaderRecord
-from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.cluster import SimulatedCluster, raise_first_failure
 from tests.simulation.rolling_upgrade import (
     ROLL_BEGINS_AT_S,
     ROLL_INTERVAL_RANGE_S,
     RollingUpgradeCluster,
-    raise_first_failure,
     terms_led_by,
 )
 from tests.versions import PRESENT, Version, production
--- a/tests/test_scheduling_faults.py
+++ b/tests/test_scheduling_faults.py
@@ -14,7 +14,7 @@
 from roseweir.scheduler.model import Machine, Placement, PlacementPhase
 from roseweir.scheduler.scheduling_pass import run_scheduling_pass
 from roseweir.submissions.jobs import CompletedJob, JobSpec
-from tests.simulation.cluster import ZONES, SimulatedCluster, virtual_now
+from tests.simulation.cluster import ZONES, SimulatedCluster, raise_first_failure, virtual_now
 from tests.simulation.fault_combinations import QUIET_S, FaultCombinationCluster, FaultSchedule, is_caught
 from tests.simulation.job_specs import make_job_spec as job
 from tests.simulation.machine_faults import (
@@ -29,7 +29,6 @@
 from tests.test_fault_combinations import ignore_previous_leader_leases
 from tests.test_machine_faults import CheckedLongTaskCluster, Patch, Variant
 from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 
 def test_scale_out_rents_cpu_machine_in_zone_with_only_gpu_machines() -> None:
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -17,10 +17,9 @@
 from roseweir.submissions.jobs import SERVICE, completed_job
 from roseweir.submissions.rejections import OTHER_ROW
 from roseweir.workers import messages as wire
-from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, virtual_now
+from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, raise_first_failure, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 
 def expected_account(cluster: SimulatedCluster) -> dict[TeamAndClass, tuple[int, int, int]]:
--- a/tests/test_service_replicas.py
+++ b/tests/test_service_replicas.py
@@ -11,8 +11,13 @@
 from roseweir.scheduler.model import JobRun, PlacementPhase
 from roseweir.scheduler.recovery import LogRecovery, RecoveredStarts
 from roseweir.submissions.jobs import SERVICE
-from tests.simulation.cluster import EXTENDED_FAULTS, SimulatedCluster, SimulatedController, virtual_now
-from tests.test_simulated_days import raise_first_failure
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    SimulatedCluster,
+    SimulatedController,
+    raise_first_failure,
+    virtual_now,
+)
 
 PARAMS: dict[str, Any] = {
     "teams": [{"name": "t0"}, {"name": "t1"}],
--- a/tests/test_simulated_days.py
+++ b/tests/test_simulated_days.py
@@ -16,17 +16,10 @@
     TEAM_GPU_LIMIT,
     ZONES,
     SimulatedCluster,
+    raise_first_failure,
     virtual_now,
 )
 
-
-def raise_first_failure(cluster: SimulatedCluster) -> None:
-    if cluster.errors:
-        raise cluster.errors[0]
-    if cluster.rule_violations:
-        raise cluster.rule_violations[0]
-
-
 # With these seeds a recovery that fails half-way must leave no cancelled job and no segment in the cluster state.
 FAILED_RECOVERY_SEEDS = [378, 394, 539]
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -32,10 +32,9 @@
     sum_largest,
 )
 from roseweir.submissions.jobs import GANG, JobSpec
-from tests.simulation.cluster import SimulatedCluster, virtual_now
+from tests.simulation.cluster import SimulatedCluster, raise_first_failure, virtual_now
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import NOW, FakeWorker, commit_placements, make_cluster_state
-from tests.test_simulated_days import raise_first_failure
 
 
 def first_large_start_s(job_shape: str, minutes: float) -> float:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -30,11 +30,10 @@
 from roseweir.workflows.model import Workflow, WorkflowStep
 from roseweir.workflows.store import WorkflowStore
 from tests.simulation import virtual_time
-from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.cluster import SimulatedCluster, raise_first_failure
 from tests.simulation.job_specs import make_job_spec as job
 from tests.test_scheduler import CPU, NOW, make_cluster_state
 from tests.test_settings import EXAMPLE_SETTINGS_PATH, write_changed_settings
-from tests.test_simulated_days import raise_first_failure
 
 NOW_MS = 1_700_000_000_000
 STORE_LIMITS: dict[str, Any] = {"rps": 120.0, "write_rps": 30.0, "value_kb": 8.0, "txn_ops": 24}
--- a/tests/test_store_unreachable.py
+++ b/tests/test_store_unreachable.py
@@ -21,9 +21,8 @@
 from roseweir.scheduler import cluster_state as cluster_state_module
 from roseweir.submissions.jobs import LIVE_JOB_PREFIX
 from roseweir.workers.answer_authority import AnswerAuthority
-from tests.simulation.cluster import SimulatedCluster, SimulatedWorker, virtual_now
+from tests.simulation.cluster import SimulatedCluster, SimulatedWorker, raise_first_failure, virtual_now
 from tests.simulation.fault_combinations import LongTaskCluster, is_caught, worker_params
-from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/test_stored_value_compatibility.py
+++ b/tests/test_stored_value_compatibility.py
@@ -13,8 +13,8 @@
 from roseweir.submissions.jobs import COMPLETED_JOB_PREFIX, LIVE_JOB_PREFIX, JobSpec, StoredDependencies, to_stored
 from roseweir.workflows import store as workflow_store
 from tests.simulation import virtual_time
-from tests.simulation.cluster import CANCEL_DEADLINE_S, SimulatedCluster, virtual_now
-from tests.simulation.rolling_upgrade import MixedVersionCluster, raise_first_failure, stored_job_state, terms_led_by
+from tests.simulation.cluster import CANCEL_DEADLINE_S, SimulatedCluster, raise_first_failure, virtual_now
+from tests.simulation.rolling_upgrade import MixedVersionCluster, stored_job_state, terms_led_by
 from tests.simulation.stored_value_rewriting import read_delta, rewrite_value
 from tests.versions import PRESENT, Version, production
 
--- a/tests/test_user_faults.py
+++ b/tests/test_user_faults.py
@@ -44,6 +44,7 @@
     SimulatedController,
     SimulatedKeyValueStore,
     json_reply,
+    raise_first_failure,
     virtual_now,
 )
 from tests.simulation.eviction import EvictionCluster
@@ -52,7 +53,6 @@
 from tests.simulation.workflows import WorkflowCluster
 from tests.test_delivery_deadlines import DeadlineCluster, make_deadline_config
 from tests.test_eviction_days import make_eviction_cluster
-from tests.test_simulated_days import raise_first_failure
 
 Patch = pytest.MonkeyPatch
 Variant = Callable[[Patch], None]
--- a/tests/test_workflows.py
+++ b/tests/test_workflows.py
@@ -21,9 +21,14 @@
 from roseweir.workflows.settings import WorkflowSettings, parse_workflow_settings
 from roseweir.workflows.step_dependencies import step_dependencies
 from roseweir.workflows.store import PAGE_KEY_PREFIX
-from tests.simulation.cluster import EXTENDED_FAULTS, PARTIAL_PARTITION_FAULTS, SimulatedCluster, virtual_now
+from tests.simulation.cluster import (
+    EXTENDED_FAULTS,
+    PARTIAL_PARTITION_FAULTS,
+    SimulatedCluster,
+    raise_first_failure,
+    virtual_now,
+)
 from tests.simulation.workflows import WorkflowCluster, workflow_config
-from tests.test_simulated_days import raise_first_failure
 
 WorkflowClusterT = TypeVar("WorkflowClusterT", bound=WorkflowCluster)
 
