--- a/roseweir/scheduler/capacity_snapshot.py
+++ b/roseweir/scheduler/capacity_snapshot.py
@@ -1,7 +1,8 @@
-"""Free capacity as one scheduling pass finds it, cached for as long as it holds.
+"""Free capacity of the machines during one scheduling pass, cached as long as it is valid.
 
-No I/O. Within a pass nothing changes a machine but the pass itself, and `Machine.change_count` counts that, so what
-was computed for one job serves the others. Each of 300 waiting jobs sorted the same tasks' ends on the same machines.
+No I/O. Within a pass only the pass itself changes machines, and `Machine.change_count` counts these changes, so results
+computed for one job are reused for others. Otherwise each of 300 waiting jobs would sort the expected ends of the same
+tasks on the same machines.
 """
 
 from collections.abc import Callable
@@ -12,18 +13,18 @@
 from roseweir.scheduler.model import JobRun, Machine, Placement, max_fitting_tasks
 from roseweir.submissions.jobs import JobSpec
 
-# Free CPUs, GPUs and GB are sums of floats: room that is short by no more than this is enough.
+# Free CPUs, GPUs and GB are sums of floats: a shortage of no more than this is ignored.
 CAPACITY_TOLERANCE = 1e-6
 
 # CPUs, GPUs and GB of memory that a task takes.
 TaskSize = tuple[float, float, float]
-# Which machines a job allows at all: types, zone, whether spot machines, and whether it needs GPUs: CPU-only work
-# finds less room on a machine with GPUs, which is kept for those that do.
+# Which machines a job allows: types, zone, whether spot machines, and whether it needs GPUs. CPU-only work has less
+# room on a machine with GPUs, where CPUs are reserved for tasks that need GPUs.
 MachineRequirements = tuple[tuple[str, ...] | None, str | None, bool, bool]
 
 
 def allows_machine(spec: JobSpec, machine: Machine) -> bool:
-    """Whether the job allows the machine: its type, zone, spot or not, and an image cache that holds its image."""
+    """Whether the job allows the machine by type, zone and spot status, and its image fits into the image cache."""
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
         and (spec.zone is None or machine.zone == spec.zone)
@@ -33,12 +34,12 @@
 
 
 def task_size(spec: JobSpec) -> TaskSize:
-    """What one task of the job takes."""
+    """Return the resources that one task of the job takes."""
     return (spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def machine_requirements(spec: JobSpec) -> MachineRequirements:
-    """Which machines the job allows, as a key of caches."""
+    """Return which machines the job allows, as a cache key."""
     return (
         None if spec.machine_types is None else tuple(spec.machine_types),
         spec.zone,
@@ -48,7 +49,7 @@
 
 
 class FreeCapacity:
-    """What is free on a machine, and what would be if more tasks left it."""
+    """Free resources of a machine, to which those of its tasks can be added as if the tasks had ended."""
 
     __slots__ = ("cpus", "gpus", "memory_gb")
 
@@ -56,29 +57,29 @@
         self.cpus, self.gpus, self.memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory
 
     def release(self, placement: Placement) -> None:
-        """Count what the task takes as free."""
+        """Add the task's resources to the free ones."""
         spec = placement.run.spec
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
 
     def task_capacity(self, spec: JobSpec) -> int:
-        """How many tasks of the job fit into what is free."""
+        """Return how many tasks of the job fit into the free resources."""
         return max_fitting_tasks(spec, self.cpus, self.gpus, self.memory_gb)
 
 
 class MachineWithRoom(NamedTuple):
-    """A machine, and when it will have room for one more task than the entries for it before this one."""
+    """A machine, and when it will have room for one task more than its earlier entries in the same list take."""
 
     free_at: datetime
     machine: Machine
 
 
 class CapacitySnapshot:
-    """Free capacity of the fleet in one scheduling pass, and when more of it comes free."""
+    """Free capacity of the fleet in one scheduling pass, and when more becomes free."""
 
     def __init__(self, cluster_state: ClusterState, machines: list[Machine], now: datetime) -> None:
-        """Take a snapshot; `machines`: those that tasks may be started on."""
+        """Take a snapshot; `machines` are those on which tasks may be started."""
         self.cluster_state = cluster_state
         self.machines = machines
         self.now = now
@@ -89,15 +90,15 @@
         self._expected_ends_by_machine: dict[str, tuple[int, list[tuple[datetime, Placement]]]] = {}
         self._earliest_room_order: list[tuple[datetime, str, Machine]] | None = None
         self._estimated_durations: dict[JobRun, timedelta] = {}
-        # Task sizes that no machine has room for, by what the job allows.
+        # Task sizes for which no machine has room, by machine requirements and access level.
         self._full_sizes: dict[tuple[MachineRequirements, int], list[TaskSize]] = {}
 
     def rank(self, machine: Machine) -> int:
-        """The machine's position among those of the pass: the last criterion between equal machines."""
+        """Return the machine's position among those of the pass, the tie-breaker between equal machines."""
         return self._rank_by_machine[machine.name]
 
     def urgent_image_penalty(self, machine: Machine) -> float:
-        """1.0 for a machine that holds images of low-latency classes, else 0.0."""
+        """Return 1.0 for a machine that has cached images of low-latency classes, else 0.0."""
         penalty = self._urgent_image_penalties.get(machine.name)
         if penalty is None:
             urgent_images = self.cluster_state.low_latency_images
@@ -107,7 +108,7 @@
         return penalty
 
     def fitting_gpu_machines(self, spec: JobSpec) -> list[Machine]:
-        """Machines with GPUs that could take a task of the job if they were empty."""
+        """Return the machines with GPUs on which a task of the job would fit if they were empty."""
         key = (machine_requirements(spec), task_size(spec))
         fitting = self._fitting_gpu_machines.get(key)
         if fitting is None:
@@ -120,7 +121,7 @@
         return fitting
 
     def fitting_gpu_machines_by_zone(self, spec: JobSpec) -> dict[str, list[Machine]]:
-        """The machines of `fitting_gpu_machines` by zone."""
+        """Return the machines of `fitting_gpu_machines` by zone."""
         key = (machine_requirements(spec), task_size(spec))
         machines_by_zone = self._fitting_gpu_machines_by_zone.get(key)
         if machines_by_zone is None:
@@ -129,13 +130,13 @@
                 machines_by_zone.setdefault(machine.zone, []).append(machine)
         return machines_by_zone
 
-    # -- what has no room ---------------------------------------------------------------------
+    # -- sizes without room -------------------------------------------------------------------
 
     def is_full(self, spec: JobSpec, access_level: int) -> bool:
-        """No machine has room for a task that takes no more than one of this job, and allows the same.
+        """Whether a task no larger than the job's, with the same machine requirements, was recorded to have no room.
 
-        `access_level`: which reserved room the job may use (`CapacityReservations.access_level`); what is full at one
-        level may not be at another.
+        `access_level`: which reserved room the job may use (`CapacityReservations.access_level`). A size without room
+        at one level may have room at another.
         """
         return any(
             size[0] <= spec.cpus and size[1] <= spec.gpus and size[2] <= spec.memory_gb
@@ -143,11 +144,11 @@
         )
 
     def record_full(self, spec: JobSpec, access_level: int) -> None:
-        """Remember that no machine has room for a task of the job."""
+        """Record that no machine has room for a task of the job."""
         self._full_sizes.setdefault((machine_requirements(spec), access_level), []).append(task_size(spec))
 
     def invalidate_after_preemption(self) -> None:
-        """Tasks were preempted: what had no room may have some, and sooner."""
+        """Discard results that preemption makes invalid: sizes without room may have room, and it may come earlier."""
         self._full_sizes.clear()
         self._earliest_room_order = None
 
@@ -156,10 +157,10 @@
     def earliest_machines_with_room(
         self, spec: JobSpec, zone: str | None, tasks_wanted: int, is_excluded: Callable[[Machine], bool]
     ) -> list[MachineWithRoom]:
-        """The machines with GPUs that will soonest have room for tasks of the job, one entry for each task.
+        """Return the machines with GPUs that will have room for tasks of the job first, one entry for each task.
 
-        Machines are searched in the order of the earliest time at which they could have room for anything, and the
-        search ends at the first that cannot have room before the last of those found.
+        Machines are searched in the order of the earliest time at which they could have room for any GPU task, and the
+        search ends at the first machine that cannot have room before the last entry so far.
 
         Args:
             spec: the job.
@@ -190,9 +191,9 @@
         return [MachineWithRoom(free_at, machine) for free_at, _, machine in earliest]
 
     def _machines_by_earliest_room(self) -> list[tuple[datetime, str, Machine]]:
-        """Machines with GPUs by the instant before which they have no room for a task that takes any.
+        """Return the machines with GPUs in the order of the earliest instant at which one may have room for a GPU task.
 
-        What the pass places on them meanwhile takes room and gives none, so this holds until a task is preempted.
+        Placements made by the pass only take room, so the order's instants stay lower bounds until a task is preempted.
         """
         if self._earliest_room_order is None:
             self._earliest_room_order = [
@@ -216,7 +217,7 @@
         return duration
 
     def _room_times(self, machine: Machine, spec: JobSpec, tasks_wanted: int) -> list[datetime]:
-        """When there will be room for the first, the second and further tasks."""
+        """Return when the machine will have room for the first, the second and further tasks."""
         free_capacity = FreeCapacity(machine)
         room_times = [self.now] * min(tasks_wanted, free_capacity.task_capacity(spec))
         if len(room_times) >= tasks_wanted:
@@ -229,7 +230,7 @@
         return room_times
 
     def _expected_ends(self, machine: Machine) -> list[tuple[datetime, Placement]]:
-        """The machine's tasks in the order in which they should end."""
+        """Return (expected end, placement) of the machine's tasks, earliest first."""
         cached = self._expected_ends_by_machine.get(machine.name)
         if cached is not None and cached[0] == machine.change_count:
             return cached[1]
--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -35,23 +35,23 @@
 
 log = logging.getLogger(__name__)
 
-# Steady clocks drift apart by up to 0.05%; twice that on every span measured on another machine's clock.
+# Monotonic clocks drift apart by up to 0.05%; spans measured on another machine's clock are extended by twice that.
 CLOCK_DRIFT_FACTOR = 1.001
-# Messages may sit in buffers for a moment after they came in, before they are stamped here.
+# How long a received message may wait in buffers before its arrival time is recorded.
 RECEIVE_DELAY_ALLOWANCE = timedelta(milliseconds=500)
 # Boot times measured within this window predict the next ones.
 BOOT_HISTORY_WINDOW = timedelta(minutes=3)
-# Phases in which a machine may have received a task's start order.
+# Phases in which a machine may have received a task's start command.
 POSSIBLY_STARTED_PHASES = (PlacementPhase.SENT, PlacementPhase.CONFIRMED, PlacementPhase.RECOVERED)
 # How much later than two heartbeat intervals a heartbeat may be, from a worker that has found this leader.
 HEARTBEAT_TOLERANCE = timedelta(seconds=0.75)
-# The same from a worker in search of the leader: it gives up on an answer after 4 s and tries the next node 1 s later.
+# The same from a worker that searches for the leader: it waits 4 s for an answer and tries the next node 1 s later.
 LEADER_SEARCH_TOLERANCE = timedelta(seconds=5)
 # How much later than two intervals the last heartbeat may be before nothing is started on the machine.
 HEARTBEAT_DELAY_ALLOWANCE = timedelta(seconds=1.5)
-# How long a released machine is told from an unknown one: duplicates of its heartbeats arrive late.
+# How long released machines are remembered: duplicates of their heartbeats arrive late and must not add them again.
 RELEASED_MACHINE_RETENTION = timedelta(hours=1)
-# Of at most this many released machines.
+# How many released machines are remembered at most.
 MAX_RELEASED_MACHINES = 20_000
 # A wait objective of at least this leaves time for a machine to become free.
 MIN_RELAXED_WAIT_TARGET = timedelta(seconds=120)
@@ -70,7 +70,7 @@
 
 
 class ClusterState:
-    """What one leader knows of jobs, machines and placements during its term."""
+    """One leader's state of jobs, machines and placements during its term."""
 
     def __init__(self, settings: Settings, operator_config: OperatorConfig, term: int, now: datetime) -> None:
         self.settings = settings
@@ -81,9 +81,9 @@
         self.max_lease_duration = workers.lease_duration * CLOCK_DRIFT_FACTOR + RECEIVE_DELAY_ALLOWANCE
         # The last heartbeat of a reachable machine is no older than this, an allowance for delays included.
         self.max_heartbeat_age = workers.heartbeat_interval * 2 + HEARTBEAT_DELAY_ALLOWANCE
-        # Until when a machine that has not shown our term may still obey an earlier leader: that
-        # leader answers heartbeats for `stale_cancellation_window` after it last knew of every
-        # cancellation, at most, and the last lease that it renewed runs from a heartbeat sent by then.
+        # A machine that has not shown our term may follow an earlier leader until `previous_leader_lease_expiry`. That
+        # leader answers heartbeats for at most `stale_cancellation_window` after it last read all cancellations, and
+        # the last lease that it renews runs from a heartbeat sent by then.
         self.stale_cancellation_window = stale_cancellation_window(settings)
         self.previous_leader_lease_expiry = (
             now + self.stale_cancellation_window * CLOCK_DRIFT_FACTOR + self.max_lease_duration
@@ -95,25 +95,25 @@
         self.released_machines: dict[str, datetime] = {}
         self.usage_by_team: dict[str, TeamUsage] = {}
         self.limits = StartupLimits(operator_config.ban_window, operator_config.lookahead)
-        # The monotonic instant of the wall clock's epoch, as far as known: jobs' acceptance times refer to it.
+        # The Unix epoch on the monotonic clock, None if not set: jobs' acceptance times are Unix times.
         self.wall_clock_epoch: datetime | None = None
         self.job_sizes = JobSizeHistogram()
         # Zones whose image fetch tokens are reserved for a starving job, in this scheduling pass.
         self.fetch_reserved_zones: set[str] = set()
         self.runtime_ratios: dict[str, float] = {}
-        # The smallest request of a waiting task: CPUs of those without GPUs, GPUs of those with, since the last pass.
+        # The smallest requests of waiting tasks since the last pass: CPUs of CPU-only tasks, GPUs of GPU tasks.
         self.min_waiting_cpus = self.min_waiting_gpus = 0.0
         self.highest_gpu_priority = 1 << 30  # the highest priority of GPU jobs seen: lower numbers come first
         self.max_task_gpus = 0.0  # GPUs of the largest task seen
         self.max_gang_tasks = 1  # tasks of the largest GPU gang seen
         self.max_cpus_per_gpu = 0.0  # the most CPUs for each GPU that a GPU job seen requests
-        # Until then CPU-only work may overflow onto the CPUs of idle GPU machines: no others can be had.
+        # CPU-only work may overflow onto the CPUs of idle GPU machines until then: no others can be obtained.
         self.overflow_until = NEVER
         # Images of job classes with a wait objective.
         self.low_latency_images: set[str] = set()
-        # Overflow work leaves whole machines free, enough for `reserved_start_count` starts of the largest GPU task or
-        # gang. Where all classes may wait for longer than most tasks run, machines that become free by themselves do
-        # for the second.
+        # Overflow work leaves enough whole machines free for `reserved_start_count` starts of the largest GPU task or
+        # gang. If all GPU job classes may wait for longer than most tasks run, one start is enough: the second can use
+        # machines whose tasks end in that time.
         self._max_wait_by_class: dict[str | None, timedelta] = {}
         for objective in settings.params.objectives:
             if objective.objective_type == "wait" and objective.threshold is not None:
@@ -126,13 +126,14 @@
         self._low_latency_classes = {
             objective.job_class for objective in settings.params.objectives if objective.objective_type == "wait"
         }
-        # Instance pools (type, zone, spot) in which this leader or a logged one obtained machines.
+        # Instance pools (type, zone, spot) in which this leader, or an earlier one by its log, obtained machines.
         self.obtained_instance_pools: set[tuple[str, str, bool]] = set()
         # Zones most of whose machines send heartbeats, and since when.
         self.zone_responsive_since: dict[str, datetime] = {}
         # Recent boot times by machine type, as multiples of the catalog's figure, with when they were measured.
         self.boot_ratios: dict[str, deque[tuple[datetime, float]]] = {}
-        # Recent image fetch times by machine type, as multiples of what the catalog's rate says.
+        # Recent image fetch times by machine type, as multiples of the time by the catalog's rate, with when they were
+        # measured.
         self.image_fetch_ratios: dict[str, deque[tuple[datetime, float]]] = {}
         self._attempt_counter = 0
         # What the log writer has to write, and whether another scheduling pass is needed.
@@ -140,9 +141,10 @@
         self.dirty_machines: set[str] = set()
         self.dirty_jobs: set[str] = set()
         self.needs_scheduling = True
-        # Jobs have come or gone: which jobs are within their team's quota has to be determined anew.
+        # Jobs were added, held, released or ended: which jobs are within their team's quota must be recomputed.
         self.needs_quota_update = True
-        # Kinds of jobs for which preemption recently found no victims: for how many tasks, and when.
+        # Searches for preemption victims that recently failed: for how many tasks and when, by the properties of a job
+        # that decide which tasks it may preempt.
         self.failed_preemptions: dict[tuple[object, ...], tuple[int, datetime]] = {}
         # The drain that cordons a machine, by machine name: nothing new starts there.
         self.drain_by_machine: dict[str, str] = {}
@@ -155,18 +157,18 @@
         # The placement policy for GPU tasks, if any, and whether it also applies without GPU services.
         self.placement_chooser: PlacementPolicy | None = None
         self.is_chooser_always_enabled = False
-        self.has_gpu_services = False  # some have been seen: their replicas do not end, so fragmentation stays
+        self.has_gpu_services = False  # set by the first: its replicas do not end, so fragmentation persists
         # Receives the tasks' lifecycle events, if set.
         self.lifecycle_listener: TaskLifecycleListener | None = None
         # Called when a task has failed, before the next scheduling pass.
         self.on_task_failed: Callable[[JobRun], None] = lambda run: None
-        # Machines whose stop orders are sent by direct command rather than with the next heartbeat's answer.
+        # Machines whose stop commands are sent directly rather than with the answer to the next heartbeat.
         self.urgent_stop_machines: set[str] = set()
 
     # -- jobs ---------------------------------------------------------------------------------
 
     def add_job(self, spec: JobSpec, version: int) -> JobRun:
-        """Add a live job unless it is known; `version` is that of its record. Returns its run."""
+        """Add a live job unless it is present already, and return its run; `version` is that of its record."""
         run = self.jobs.get(spec.id)
         if run is None:
             run = self.jobs[spec.id] = new_job_run(spec, version)
@@ -174,10 +176,10 @@
             if spec.job_type == SERVICE and spec.gpus > 0:
                 self.has_gpu_services = True
             if spec.workflow_id:
-                # Until the workflow controller releases it.
+                # Held until the workflow controller releases it.
                 run.hold_reason = WAITING_FOR_WORKFLOW_STEPS
             elif spec.dependencies:
-                # Until all of them are durably completed (`dependencies/reconciler.py`).
+                # Held until all of them are durably completed (`dependencies/reconciler.py`).
                 run.hold_reason = WAITING_FOR_DEPENDENCIES
             self.needs_quota_update = True
             if spec.gpus > 0:
@@ -201,15 +203,15 @@
     def add_stored_job(self, job_id: str, stored_value: object, version: int) -> JobRun:
         """Add a live job from its stored record.
 
-        A job whose record cannot be decoded is held: none of its tasks start, and those that run are accounted for.
-        Raising here would end every leader's term in turn, and with it the service for everybody.
+        A job whose record cannot be decoded is held: none of its tasks start, and the resources of those that run are
+        accounted for. An exception here would end the term of every leader in turn, and so stop the whole service.
         """
         try:
             return self.add_job(decode_job_spec(stored_value), version)
         except (msgspec.ValidationError, TypeError, ValueError) as e:
             run = self.add_job(decode_partial_job_spec(job_id, stored_value), version)
             if not run.hold_reason:
-                log.error("the record of job %s can't be read, it is held: %s", job_id, e)
+                log.error("job record unreadable, job held: job=%s error=%s", job_id, e)
             run.hold_reason = f"its record to be readable: {e}"
             return run
 
@@ -249,14 +251,14 @@
         return self.placement_chooser if self.is_chooser_always_enabled or self.has_gpu_services else None
 
     def refresh_service_stability(self, now: datetime) -> None:
-        """Clear the crash-looping verdict of services whose replicas run stably by now."""
+        """No longer treat crash-looping services as such once one of their replicas runs stably."""
         for run in self.jobs.values():
             if run.is_crash_looping and run.has_stable_replica(None, now):
                 run.has_run_stably = True
 
     @property
     def reserved_start_count(self) -> int:
-        """For how many starts of the largest GPU task or gang overflow work leaves machines free."""
+        """Number of starts of the largest GPU task or gang for which overflow work leaves machines free."""
         return 1 if self._min_gpu_wait_target >= MIN_RELAXED_WAIT_TARGET else 2
 
     def end_job(self, job_id: str, ended: CompletedJob, now: datetime) -> None:
@@ -282,7 +284,7 @@
             self.dirty_jobs.discard(run.spec.id)
 
     def estimate_runtime(self, spec: JobSpec) -> timedelta:
-        """Return the owner's estimate, corrected by the measured runtimes of the job class."""
+        """Return the job's estimated runtime, corrected by the measured runtimes of its class."""
         return spec.estimated_duration * self.runtime_ratios.get(spec.job_class, 1.0)
 
     def allocate_attempt(self) -> int:
@@ -328,7 +330,7 @@
         return placement
 
     def restore_machine(self, name: str, machine_type: MachineType, zone: str, is_spot: bool, now: datetime) -> Machine:
-        """Return the machine that an earlier leader's write-ahead log names, added if it is not known."""
+        """Return the machine that an earlier leader's write-ahead log names; it is added unless it is present."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(name, machine_type, zone, is_spot, known_since=now)
@@ -399,7 +401,7 @@
         is_urgent: bool = False,
         cause: DowntimeCause = DowntimeCause.FAILED,
     ) -> None:
-        """Request that a task stops within `grace`; one whose start order was never sent is removed at once."""
+        """Request that a task stops within `grace`; one whose start command was never sent is removed at once."""
         if placement.phase in (PlacementPhase.PLANNED, PlacementPhase.COMMITTED):
             self.remove_placement(placement, now)
             return
@@ -419,7 +421,7 @@
         is_urgent: bool = False,
         cause: DowntimeCause = DowntimeCause.PREEMPTED,
     ) -> None:
-        """Stop a task with time for a checkpoint, if it takes any. All members of a gang are stopped together."""
+        """Request a stop with time for a checkpoint, if the task takes any; a gang's members are stopped together."""
         run = placement.run
         grace = seconds(run.spec.checkpoint_duration_s + 1.0) if run.spec.checkpoint_interval_s > 0 else ZERO
         gang_placements = list(run.placements.values()) if run.spec.job_type == GANG else [placement]
@@ -433,7 +435,9 @@
     def expire_machine(self, machine: Machine, now: datetime, reason: str) -> None:
         """Remove every placement of a machine whose tasks are proven gone."""
         if machine.placements:
-            log.info("machine %s: %s, %d tasks gone", machine.name, reason, len(machine.placements))
+            log.info(
+                "machine's tasks are gone: machine=%s reason=%s tasks=%d", machine.name, reason, len(machine.placements)
+            )
         machine.expired_incarnation = max(machine.expired_incarnation, machine.incarnation)
         for placement in list(machine.placements.values()):
             self.remove_placement(placement, now)
@@ -451,10 +455,10 @@
         self.released_machines[name] = now
         self.needs_scheduling = True
 
-    # -- orders -------------------------------------------------------------------------------
+    # -- commands -----------------------------------------------------------------------------
 
     def collect_orders(self, machine: Machine, now: datetime, may_start_tasks: bool) -> list[dict[str, Any]]:
-        """Return the orders that answer the machine's newest heartbeat; start orders only if `may_start_tasks`."""
+        """Return the commands for the answer to the newest heartbeat; start commands only if `may_start_tasks`."""
         orders: list[dict[str, Any]] = []
         for task_name, attempt, cause in machine.exits_to_clear:
             job_id, _, index_text = task_name.rpartition("/")
@@ -489,7 +493,7 @@
         return orders
 
     def collect_stop_orders(self, machine: Machine) -> list[dict[str, Any]]:
-        """Return stop orders for a direct command: never start orders, which could arrive arbitrarily late."""
+        """Return stop commands to send directly; never start commands, which could arrive arbitrarily late."""
         return [
             wire.stop_command(p.task_name, p.attempt, p.stop_grace)
             for p in machine.placements.values()
@@ -499,7 +503,7 @@
         ]
 
     def pending_order_status(self, machine: Machine) -> tuple[bool, bool]:
-        """Return whether start orders can be sent to the machine, and whether some are yet to be committed."""
+        """Return whether start commands can be sent to the machine, and whether some are yet to be committed."""
         has_planned = False
         for placement in machine.placements.values():
             if placement.phase == PlacementPhase.COMMITTED:
@@ -520,13 +524,13 @@
             if machine.is_booting:
                 continue
             if machine.placements:
-                # A machine that showed our term obeys nobody else, so our own last answer counts.
-                # `lease_renewed_at` is when the heartbeat arrived, which is after it was sent.
+                # A machine that showed our term accepts no earlier leader, so its lease ends with the last that we
+                # renewed. The worker counts it from when it sent the heartbeat, before `lease_renewed_at`.
                 lease_expiry = machine.lease_renewed_at + self.max_lease_duration
                 if not machine.has_acknowledged_term:
                     lease_expiry = max(lease_expiry, self.previous_leader_lease_expiry)
                 if now > lease_expiry:
-                    self.expire_machine(machine, now, "lease ran out")
+                    self.expire_machine(machine, now, "lease expired")
             if machine.spot_reclaim_at is not None:
                 self._drain_reclaimed(machine, now)
         for name in [n for n, at in self.released_machines.items() if now - at > RELEASED_MACHINE_RETENTION]:
@@ -556,8 +560,8 @@
             for placement in run.placements.values():
                 phase_counts[placement.phase] += 1
         log.info(
-            "%d jobs, %d tasks wait, %d being recorded, %d to be sent, %d sent, %d seen, %d from records; "
-            "%d machines, %d up, %.0f CPUs and %.0f GPUs free",
+            "cluster status: jobs=%d tasks_waiting=%d planned=%d committed=%d sent=%d confirmed=%d recovered=%d "
+            "machines=%d machines_up=%d free_cpus=%.0f free_gpus=%.0f",
             len(self.jobs),
             waiting_count,
             *phase_counts,
@@ -600,9 +604,9 @@
 def stale_cancellation_window(settings: Settings) -> timedelta:
     """Return how long a leader that cannot read cancellations may go on answering heartbeats.
 
-    Another may lead and have accepted a cancellation right after our last read. A task that we keep
-    alive ends when its lease does, at most lease_s after our last answer, and has to be gone within
-    cancel_s. Drift on both spans and two seconds for late timers and answers are taken off.
+    Another leader may have accepted a cancellation right after our last read. A task that our answers keep alive ends
+    with its lease, at most lease_s after our last answer, and must be gone within cancel_s of the cancellation. Clock
+    drift on both spans and two seconds for late timers and answers are subtracted.
     """
     workers = settings.params.workers
     return max(
--- a/roseweir/scheduler/heartbeat_reconciliation.py
+++ b/roseweir/scheduler/heartbeat_reconciliation.py
@@ -1,22 +1,23 @@
-"""Reconciles workers' heartbeats with the cluster state: what each may prove, and what it changes.
+"""Reconciles workers' heartbeats with the cluster state: what a heartbeat proves, and what it changes.
 
 Pure: no I/O, and the current instant is always an argument.
 
-A heartbeat proves something about the present only as far as its fencing token, incarnation and sequence number do.
+How much a heartbeat proves about the present depends on its fencing token, incarnation and sequence number.
 Duplicates of heartbeats arrive late, from seconds to well over a lease, also at a leader that receives the machine's
-heartbeats for the first time. So a heartbeat that does not show our own term is *unacknowledged*: it is answered, so
-that its worker learns our term and shows it half a second later, and nothing else is taken from it. Before, a duplicate
-told a new leader of an attempt long gone, the attempt in the real heartbeat was then unknown, and a healthy task was
-stopped (tests/test_partial_partitions.py).
+heartbeats for the first time. A heartbeat that does not show our own term is therefore *unacknowledged*: it is
+answered, so that its worker learns our term and shows it half a second later, but the tasks that it lists are not
+applied. If they were, a late duplicate could make a new leader record an attempt that ended long ago; the attempt in
+the next current heartbeat would then be unknown, and a healthy task would be stopped
+(tests/test_partial_partitions.py).
 
-| what arrived | proves |
+| heartbeat | proves |
 | --- | --- |
-| our term, newer than what is known | all that it lists and does not list |
-| an incarnation above one that showed our term | that one is over, its tasks are gone; our term must be shown anew |
-| another term | that somebody received the machine's heartbeats once; the lease that our answer may renew counts |
-| not newer than what is known | nothing |
+| shows our term, newer than the machine's newest message | which tasks the machine has: those listed, and no others |
+| incarnation above one that showed our term | the earlier one's tasks are gone; the new one must show our term |
+| shows another term | a node received the machine's heartbeats once; a lease renewed by our answer is recorded |
+| not newer than the machine's newest message | nothing |
 
-What the answer to a heartbeat that proves nothing may do to a lease: `lease_renewal.py`.
+`lease_renewal.py` decides what the answer to a heartbeat that proves nothing may do to the worker's lease.
 """
 
 import logging
@@ -50,11 +51,11 @@
         """Apply a worker's heartbeat.
 
         Returns:
-            The machine, if the heartbeat is its newest in our own term and may be answered with orders; else None.
+            The machine, if the heartbeat is its newest in our own term and may be answered with commands; else None.
 
         Raises:
             InvalidHeartbeat: its address is not `host:port`.
-            ValueError: it names a task without a number.
+            ValueError: the name of a task in it does not end in a number.
         """
         cluster_state = self.cluster_state
         if not _ADDRESS_PATTERN.fullmatch(heartbeat.address):
@@ -104,15 +105,15 @@
             machine.idle_since = now if not machine.placements else NEVER
             machine.gpus_idle_since = now
             machine.is_booting = False
-            log.info("machine %s is up: %s in %s", machine.name, machine_type.name, machine.zone)
+            log.info("machine up: machine=%s type=%s zone=%s", machine.name, machine_type.name, machine.zone)
         machine.address = heartbeat.address
 
     def _apply_unacknowledged_heartbeat(self, machine: Machine, heartbeat: wire.Heartbeat, now: datetime) -> None:
-        """A heartbeat that does not show our term: a worker in search of a leader, a restarted one, or a duplicate."""
+        """Apply a heartbeat without our term: its worker searches for the leader or restarted, or it is a duplicate."""
         if not machine.address:
             machine.address = heartbeat.address
         if machine.has_acknowledged_term and heartbeat.incarnation > machine.incarnation:
-            # No duplicate of an earlier one: that incarnation showed our term, and this one is later.
+            # Not a late duplicate: the machine's current incarnation showed our term, and this one is higher.
             self._begin_incarnation(machine, heartbeat, now)
             machine.sequence = heartbeat.sequence
             machine.has_acknowledged_term = False
@@ -122,9 +123,9 @@
             self.cluster_state.needs_scheduling = True
 
     def _begin_incarnation(self, machine: Machine, heartbeat: wire.Heartbeat, now: datetime) -> None:
-        """Remove the tasks of earlier incarnations, which a higher one proves gone.
+        """Remove the tasks of earlier incarnations, which a higher incarnation proves gone.
 
-        A start order that was not sent yet can still be sent to the new one.
+        A start command that was not sent yet can still be sent to the new incarnation.
         """
         for placement in list(machine.placements.values()):
             if placement.phase in (PlacementPhase.SENT, PlacementPhase.CONFIRMED):
@@ -150,10 +151,10 @@
     def apply_probe_response(
         self, heartbeat: wire.Heartbeat, position_before_probe: tuple[int, int], now: datetime
     ) -> None:
-        """Apply the worker's response to our probe: it is reachable, and this is its present status.
+        """Apply the worker's response to our probe: the machine is reachable, and the response shows its position.
 
-        `position_before_probe` is its (incarnation, sequence) when the probe was sent. A response below that comes from
-        a worker that was restarted under the same name, so all its tasks are gone.
+        `position_before_probe` is the machine's (incarnation, sequence) when the probe was sent. A lower position in
+        the response comes from a worker that was restarted under the same name, so all earlier tasks are gone.
         """
         machine = self.cluster_state.machines.get(heartbeat.machine_name)
         if machine is None or heartbeat.machine_name in self.cluster_state.released_machines:
@@ -164,9 +165,9 @@
             machine.incarnation,
             machine.sequence,
         ) == position_before_probe:
-            # Duplicates of its former heartbeats have higher sequence numbers than its present ones: it is not used
-            # again.
-            self.cluster_state.expire_machine(machine, now, "its worker began anew")
+            # The machine is not used again: late duplicates of the earlier worker's heartbeats have higher sequence
+            # numbers than the heartbeats of the new one.
+            self.cluster_state.expire_machine(machine, now, "worker restarted under the same name")
             machine.is_marked_for_release = True
         elif machine.has_acknowledged_term and heartbeat.incarnation == machine.incarnation:
             machine.sequence = max(machine.sequence, heartbeat.sequence)
@@ -180,7 +181,11 @@
         machine.sequence = heartbeat.sequence
         if heartbeat.reclaim_notice_s is not None:
             if machine.spot_reclaim_at is None:
-                log.info("machine %s will be taken back in %.0f s", machine.name, heartbeat.reclaim_notice_s)
+                log.info(
+                    "spot instance about to be reclaimed: machine=%s notice_s=%.0f",
+                    machine.name,
+                    heartbeat.reclaim_notice_s,
+                )
                 if cluster_state.lifecycle_listener is not None:
                     cluster_state.lifecycle_listener.spot_reclaimed(machine, now)
             machine.spot_reclaim_at = now + seconds(heartbeat.reclaim_notice_s)
@@ -214,11 +219,11 @@
         now: datetime,
         is_command_response: bool,
     ) -> None:
-        """Remove placements that the heartbeat does not list, if no start order for them can still be in flight.
+        """Remove placements that the heartbeat does not list, if no start command for them can still be in flight.
 
-        The worker keeps one heartbeat in flight: a later heartbeat of its own proves that the answer to an earlier one
-        was received or lost. The response to a direct command proves no such thing. Having seen our term, the worker
-        drops whatever earlier leaders sent.
+        The worker keeps one heartbeat in flight, so a later heartbeat proves that the answer to an earlier one was
+        received or lost; the response to a direct command does not. Once the worker has seen our term, it ignores
+        commands of earlier leaders.
         """
         cluster_state = self.cluster_state
         for key, placement in list(machine.placements.items()):
@@ -232,7 +237,7 @@
                 and heartbeat.sequence > placement.sent_sequence
             ):
                 if placement.stop_requested_at is None and not placement.run.final_state:
-                    # The order was lost in transit. The start is still committed, so it may be sent again.
+                    # The start command was lost in transit. The start is still committed, so it may be sent again.
                     placement.phase = PlacementPhase.COMMITTED
                     record_dropped_order(machine, now)
                 else:
@@ -251,9 +256,12 @@
                 apply_completion(cluster_state, key, now)
             return
         if placement is None:
-            # On the machine, but not in the write-ahead log: it must stop.
+            # The machine has the task, but the write-ahead log does not: it must stop.
             log.warning(
-                "machine %s runs unknown task %s (attempt %d)", machine.name, task_report.task_id, task_report.attempt
+                "unknown task on machine: machine=%s task=%s attempt=%d",
+                machine.name,
+                task_report.task_id,
+                task_report.attempt,
             )
             machine.unknown_tasks.append((task_report.task_id, task_report.attempt))
             return
@@ -268,7 +276,9 @@
         placement.phase = PlacementPhase.CONFIRMED
         spec = placement.run.spec
         if task_report.state != placement.state:
-            log.debug("%s on %s is %s", task_report.task_id, machine.name, task_report.state)
+            log.debug(
+                "task state changed: task=%s machine=%s state=%s", task_report.task_id, machine.name, task_report.state
+            )
             if task_report.state == wire.RUNNING:
                 placement.running_since = now
                 placement.run.has_started = True
--- a/roseweir/scheduler/job_explanation.py
+++ b/roseweir/scheduler/job_explanation.py
@@ -1,4 +1,4 @@
-"""For operators: why a job waits, as its leader sees it. No I/O; nothing is decided here."""
+"""Explains to operators why a job waits, from its leader's state. No I/O; it makes no scheduling decisions."""
 
 from datetime import datetime
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def explain_job(cluster_state: ClusterState, job_id: str, now: datetime) -> dict[str, Any] | None:
-    """The job's progress and what it waits for, as the answer's JSON object; None for an unknown job."""
+    """Return the job's progress and what it waits for, as the answer's JSON object; None for an unknown job."""
     run = cluster_state.jobs.get(job_id)
     if run is None:
         return None
@@ -31,7 +31,7 @@
 
 
 def _pending_reason(cluster_state: ClusterState, run: JobRun, now: datetime) -> str | None:
-    """What the job waits for, in words; None if none of its tasks is pending."""
+    """Return a description of what the job waits for; None if none of its tasks is pending."""
     spec = run.spec
     if run.hold_reason:
         return run.hold_reason
@@ -56,7 +56,7 @@
 
 
 def _missing_room(cluster_state: ClusterState, run: JobRun, avoided_limits: list[StartupLimit]) -> str:
-    """What room a job waits for that may start as far as quotas and limits go."""
+    """Return a description of the free capacity that a job needs which quotas and limits allow to start."""
     spec = run.spec
     fitting_machines = [
         m for m in cluster_state.machines.values() if allows_machine(spec, m) and spec.fits_machine_type(m.machine_type)
--- a/roseweir/scheduler/lease_renewal.py
+++ b/roseweir/scheduler/lease_renewal.py
@@ -1,13 +1,13 @@
-"""Whether the answer to a heartbeat that proves nothing may renew its worker's lease, and what it orders.
+"""Decides whether the answer to a heartbeat that was not applied may renew a lease, and its stop commands.
 
 Every answer that carries our fencing token may renew a lease, so each heartbeat that is not applied is classified
-before it is answered. A heartbeat that was overtaken by the response to a direct command or probe, whose sequence
-numbers are higher, is still a first arrival: its worker waits for the answer, and the lease that it renews counts. A
-duplicate gets an answer without a fencing token, which renews nothing.
+before it is answered. A heartbeat that was overtaken by the response to a direct command or probe, which has a higher
+sequence number, is still a first arrival: its worker waits for the answer, and the renewal is recorded in
+`Machine.lease_renewed_at`. A duplicate gets an answer without a fencing token, which renews nothing.
 
-The lease that an answer to an unacknowledged heartbeat may renew is counted (`Machine.lease_renewed_at`), so such
-heartbeats are answered for at most one lease, until one is followed by a heartbeat in our own term or the worker
-answers our own probe: late duplicates, however many, keep no lost machine's tasks for longer than that.
+The lease that the answer to an unacknowledged heartbeat may renew is recorded too. Such heartbeats are therefore
+answered for at most one lease, unless a heartbeat in our own term follows or the worker responds to our probe.
+Otherwise late duplicates could delay the removal of a lost machine's tasks without end.
 """
 
 from datetime import datetime
@@ -23,9 +23,9 @@
 class LeaseRenewal(Enum):
     """What the answer to a heartbeat that changes nothing here may do to its worker's lease."""
 
-    COUNTED = 0  # it may renew the lease, and the lease counts
-    NOT_RENEWED = 1  # a duplicate's answer must not renew it
-    REFUSED = 2  # nothing proves that answers reach the machine
+    COUNTED = 0  # it may renew the lease, and the renewal is recorded
+    NOT_RENEWED = 1  # it must not renew the lease: the heartbeat is a duplicate
+    REFUSED = 2  # the heartbeat is refused: nothing proves that answers reach the machine
 
 
 def decide_lease_renewal(cluster_state: ClusterState, heartbeat: wire.Heartbeat, now: datetime) -> LeaseRenewal:
@@ -38,11 +38,11 @@
     """
     machine = cluster_state.machines.get(heartbeat.machine_name)
     if machine is None:
-        return LeaseRenewal.COUNTED  # nothing is on record there, and what it has is told to go
+        return LeaseRenewal.COUNTED  # no placement is recorded there; tasks that it has are stopped
     if heartbeat.fencing_token == cluster_state.term or machine.has_acknowledged_term:
-        # Older than what is known. Responses to commands and probes have higher sequence numbers and renew nothing,
-        # so a heartbeat that one of them has overtaken is the first to do so: its lease was not counted, and what ran
-        # on the machine was started elsewhere while it ran there still.
+        # The heartbeat is older than the machine's newest message. Responses to commands and probes have higher
+        # sequence numbers and renew nothing, so the answer to a heartbeat that one of them overtook does renew the
+        # lease. Unless that is recorded, tasks are started elsewhere while they still run on the machine.
         is_first_arrival = (
             heartbeat.incarnation == machine.incarnation
             and machine.has_acknowledged_term
@@ -62,10 +62,10 @@
 
 
 def stop_orders_for(cluster_state: ClusterState, heartbeat: wire.Heartbeat) -> list[dict[str, Any]]:
-    """Return the stop orders that answer a heartbeat which was not applied.
+    """Return the stop commands for the answer to a heartbeat that was not applied.
 
-    Tasks of jobs that have ended must stop whoever leads. Without these orders, a succession of short-lived leaders
-    received unacknowledged heartbeats only, and a cancelled task ran beyond its cancellation timeout.
+    Tasks of jobs that have ended must stop under any leader. Short-lived leaders may receive only unacknowledged
+    heartbeats; without these commands a cancelled task would run beyond its cancellation timeout.
     """
     machine = cluster_state.machines.get(heartbeat.machine_name)
     if heartbeat.fencing_token == cluster_state.term:
--- a/roseweir/scheduler/lifecycle_events.py
+++ b/roseweir/scheduler/lifecycle_events.py
@@ -16,7 +16,7 @@
     PREEMPTED = "preempted"
     FAILED = "failed"
     LOST = "lost"
-    UNKNOWN = "unknown"  # since before a failover
+    UNKNOWN = "unknown"  # it went down before a failover
 
 
 class TaskLifecycleListener(Protocol):
@@ -29,13 +29,13 @@
         """The task is proven gone, and neither completed nor was requested to stop."""
 
     def running(self, placement: Placement) -> None:
-        """A heartbeat says that the task runs."""
+        """A heartbeat lists the task as running."""
 
     def completed(self, run: JobRun, index: int) -> None:
         """The task completed for the first time."""
 
     def job_ended(self, run: JobRun) -> None:
-        """The key-value store holds that the job is over; `run.final_state` says how."""
+        """The job's end is in the key-value store; `run.final_state` is its final state."""
 
     def runtime_measured(self, placement: Placement, runtime: timedelta) -> None:
         """A task of a job array completed after running for `runtime`."""
--- a/roseweir/scheduler/machine_eligibility.py
+++ b/roseweir/scheduler/machine_eligibility.py
@@ -7,7 +7,7 @@
 
 
 def schedulable_machines(cluster_state: ClusterState, now: datetime) -> list[Machine]:
-    """Machines that tasks may be started on at `now`, in the order in which the cluster state knows them."""
+    """Return the machines on which tasks may be started at `now`, in the cluster state's order."""
     return [
         m
         for m in cluster_state.machines.values()
--- a/roseweir/scheduler/machine_fault_detection.py
+++ b/roseweir/scheduler/machine_fault_detection.py
@@ -1,4 +1,4 @@
-"""Tells faulty and slow machines from faulty jobs, by how tasks fail and how long they run."""
+"""Distinguishes faulty and slow machines from faulty jobs, by task failures and runtimes."""
 
 import logging
 from datetime import datetime, timedelta
@@ -10,33 +10,33 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that failed tasks of this many different jobs since its last success is taken for faulty.
+# A machine that failed tasks of this many different jobs since its last success is considered faulty.
 UNHEALTHY_MIN_FAILED_JOBS = 2
-# After a first failure nothing starts on the machine for this long: the next failures tell whose fault it is.
+# No task starts on a machine for this long after a failure: further failures show whether machine or job is at fault.
 FAILURE_QUARANTINE = timedelta(seconds=15)
 # A replica that failed within this time of its start counts against its machine.
 MAX_START_FAILURE_RUNTIME = timedelta(seconds=5)
-# A machine is released when its tasks took this multiple of the average time (healthy machines of a type differ by a
-# tenth) ...
+# A machine is slow in a job array if its tasks took more than this multiple of the mean time; healthy machines of a
+# type differ by a tenth.
 SLOW_MACHINE_FACTOR = 2.0
-# ... in this many job arrays in a row, ...
+# A machine is released when it was slow in this many consecutive arrays.
 SLOW_MACHINE_MIN_ARRAYS = 2
-# ... each judged by at least this many of the machine's tasks ...
+# Arrays of which the machine ran fewer tasks than this are ignored for it.
 SLOW_MACHINE_MIN_TASKS = 3
-# ... and at least this many machines.
+# Arrays that ran on fewer machines than this are ignored.
 SLOW_MACHINE_MIN_PEERS = 4
 
 
 def apply_failure(cluster_state: ClusterState, placement: Placement, now: datetime) -> None:
-    """Decide whether a failed task speaks against its machine or its job, and record it.
+    """Attribute a failed task to its machine or its job, and record the failure.
 
-    A faulty machine fails tasks of several jobs; a crash-looping job fails on several machines. A machine at fault is
-    quarantined for `FAILURE_QUARANTINE` and in the end marked for release.
+    A faulty machine fails tasks of several jobs; a crash-looping job fails on several machines. A machine that may be
+    at fault is quarantined for `FAILURE_QUARANTINE`, and marked for release once further evidence confirms the fault.
     """
     run, machine = placement.run, placement.machine
     # A service never completes, so its failures would add up over its life: after the third faulty machine it would
     # count as crash-looping and be scheduled last, and after the sixth failure its replicas would wait for the restart
-    # limit, as if the job were at fault. Replicas that run show otherwise.
+    # limit, as if the job were at fault. A replica that runs stably shows that the job is not at fault.
     is_stable_elsewhere = run.has_stable_replica(placement, now)
     if is_stable_elsewhere:
         run.has_run_stably = True
@@ -44,7 +44,7 @@
         run.failure_count += 1
     run.failed_machines.add(machine.name)
     if run.is_crash_looping:
-        # The job speaks against itself, not against the machines that it failed on.
+        # The job is at fault: clear the machines on which no other job failed.
         for other_machine in cluster_state.machines.values():
             if other_machine.failed_job_ids == {run.spec.id} and not other_machine.is_marked_for_release:
                 other_machine.failed_job_ids.clear()
@@ -60,7 +60,11 @@
         if (
             len(machine.failed_job_ids) >= UNHEALTHY_MIN_FAILED_JOBS or is_machine_at_fault
         ) and not machine.is_marked_for_release:
-            log.info("machine %s fails tasks of %d jobs and goes back", machine.name, len(machine.failed_job_ids))
+            log.info(
+                "faulty machine marked for release: machine=%s failed_jobs=%d",
+                machine.name,
+                len(machine.failed_job_ids),
+            )
             machine.is_marked_for_release = True
     if run.failure_count >= cluster_state.operator_config.failure_count:
         renew_restart_limit(cluster_state.limits, run.spec.id, cluster_state.operator_config, now)
@@ -70,7 +74,7 @@
 def detect_slow_machines(cluster_state: ClusterState, placement: Placement, runtime: timedelta, now: datetime) -> None:
     """Record a task's runtime and, at the end of its job array, mark slow machines for release.
 
-    Only whole arrays are judged: before the end, machines that happened to run long tasks look slow.
+    Only completed arrays are evaluated: before the end, machines that happened to run long tasks look slow.
     """
     run = placement.run
     total, count = run.runtimes_by_machine.get(placement.machine.name, (ZERO, 0))
@@ -88,7 +92,9 @@
             machine.slow_array_count + 1 if total / count > mean_runtime * SLOW_MACHINE_FACTOR else 0
         )
         if machine.slow_array_count >= SLOW_MACHINE_MIN_ARRAYS and not machine.is_marked_for_release:
-            log.info("machine %s took %.1f times as long as others and goes back", name, total / count / mean_runtime)
+            log.info(
+                "slow machine marked for release: machine=%s runtime_ratio=%.1f", name, total / count / mean_runtime
+            )
             machine.is_marked_for_release = True
 
 
--- a/roseweir/scheduler/one_way_partition.py
+++ b/roseweir/scheduler/one_way_partition.py
@@ -1,24 +1,25 @@
 """Detects one-way partitions: whether our answers reach a machine whose heartbeats reach us. Pure: no I/O.
 
-A heartbeat proves that the path from the machine is open, and nothing about the path back: a worker whose answers are
-lost sends heartbeats all the time, ends its tasks as its lease expires, and returns with the next incarnation, for
-ever. What proves that an answer was received, and what speaks against it, rests on the protocol:
+A heartbeat proves that the path from the machine is open, and nothing about the path back. A worker whose answers are
+lost keeps sending heartbeats, ends its tasks when its lease expires, and returns with the next incarnation, again and
+again. The protocol gives these signs of whether an answer was received:
 
-| sign | rests on |
+| sign | reason |
 | --- | --- |
 | proof: the next sequence number, before a worker gives up | without an answer it waits 4 s, then tries another node |
-| proof: it responds to our probe | the path to it is open now |
-| suspicion: a sequence number is missing, after 4 s or more | it went to others, though we answered the one before |
-| suspicion: start orders not received twice in a row | an answer may be lost once |
+| proof: the worker responds to our probe | the path to it is open now |
+| suspicion: a sequence number is missing, after 4 s or more | it tried other nodes, though we answered the one before |
+| suspicion: start commands not received twice in a row | a single answer may be lost |
 | suspicion: the next incarnation, though just answered | its lease expired: no answer arrived for a whole lease |
 
-Nothing new is sent to a suspected machine, and it is probed (`cloud/liveness.py`): a response ends the suspicion, two
-failed probes make it *unreachable*. What was not sent yet is then rescheduled at once, and replacements are scaled out.
-Its tasks run until it shows the next incarnation, which is the earliest proof that they are gone, or until a lease
-after our last answer. A machine that stays unreachable for a lease is released.
+A suspected machine gets no start commands and is probed (`cloud/liveness.py`): a response ends the suspicion, two
+failed probes make the machine *unreachable*. Placements not sent to it yet are then rescheduled at once, and machines
+are scaled out to replace it. Tasks sent to it count as running until it shows the next incarnation, which is the
+earliest proof that they are gone, or until one lease after our last answer. A machine that stays unreachable for a
+lease is released.
 
-Where most of the leader's machines are suspected the fault is the leader's own: they count as overdue, and it asks
-whether another node reaches them (`membership/failure_detector.py`).
+If most of the leader's machines are suspected, the fault is taken to be the leader's own: the machines count as
+overdue, and the leader asks whether another node reaches them (`membership/failure_detector.py`).
 """
 
 from datetime import datetime, timedelta
@@ -29,7 +30,7 @@
 
 # How long a worker waits for an answer (PROTOCOL-roseweir.md).
 WORKER_ANSWER_TIMEOUT = timedelta(seconds=4)
-# Consecutive start orders not received that make a machine suspected.
+# A machine is suspected after this many consecutive start commands that it did not receive.
 MAX_DROPPED_ORDERS = 2
 
 
@@ -39,14 +40,14 @@
 
 
 def check_answer_received(machine: Machine, heartbeat: wire.Heartbeat, now: datetime) -> None:
-    """Evaluate what a new heartbeat in our term says about the answer to the one before."""
+    """Decide from a new heartbeat in our term whether the answer to the previous one was received."""
     incarnation, sequence = machine.last_answered_heartbeat
     if incarnation == 0:
         return
     time_since_answer = now - machine.last_answered_at
     if heartbeat.incarnation > incarnation:
-        # Its lease expired although it was answered a moment ago; otherwise its heartbeats were missing, which
-        # `cloud/liveness.py` handles.
+        # The lease expired although a heartbeat was answered a moment ago. After a longer time heartbeats were missing,
+        # which `cloud/liveness.py` handles.
         if time_since_answer < WORKER_ANSWER_TIMEOUT * 2:
             mark_suspected(machine, now)
     elif heartbeat.sequence == max(sequence, machine.sequence) + 1:
@@ -57,7 +58,7 @@
 
 
 def record_dropped_order(machine: Machine, now: datetime) -> None:
-    """Count a start order that was sent in an answer and did not reach the machine."""
+    """Count a start command that was sent in an answer and did not reach the machine."""
     machine.dropped_order_count += 1
     if machine.dropped_order_count >= MAX_DROPPED_ORDERS:
         mark_suspected(machine, now)
--- a/roseweir/scheduler/task_exits.py
+++ b/roseweir/scheduler/task_exits.py
@@ -1,4 +1,4 @@
-"""What the exit of a task changes: completions, retries, gangs, runtime estimates and the health of its machine."""
+"""Applies task exits to completions, retries, gangs, runtime estimates and the health of machines."""
 
 import logging
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-# Weight of one measured runtime in a class's moving average: a single task says little.
+# Weight of one measured runtime in its job class's moving average; low, since one task is weak evidence.
 RUNTIME_RATIO_WEIGHT = 0.2
 
 
@@ -22,7 +22,13 @@
     """Apply a worker's exit status to a placement whose attempt it names; the placement is removed."""
     run, machine = placement.run, placement.machine
     spec = run.spec
-    log.debug("%s on %s (%s) ended: %s", task_report.task_id, machine.name, spec.job_class, task_report.exit_reason)
+    log.debug(
+        "task exited: task=%s machine=%s class=%s reason=%s",
+        task_report.task_id,
+        machine.name,
+        spec.job_class,
+        task_report.exit_reason,
+    )
     if task_report.exit_reason == wire.DONE:
         if spec.image:
             machine.record_image_use(spec.image, spec.image_gb)
@@ -35,14 +41,19 @@
     if task_report.exit_reason == wire.ERROR:
         apply_failure(cluster_state, placement, now)
     elif task_report.exit_reason in (wire.INSUFFICIENT_RESOURCES, wire.ATTEMPT_CONFLICT, wire.UNKNOWN_TASK):
-        log.info("machine %s refused %s: %s", machine.name, task_report.task_id, task_report.exit_reason)
+        log.info(
+            "task refused by machine: machine=%s task=%s reason=%s",
+            machine.name,
+            task_report.task_id,
+            task_report.exit_reason,
+        )
     cluster_state.remove_placement(placement, now, DowntimeCause.FAILED)
     if (
         spec.job_type == GANG
         and run.placements
         and task_report.exit_reason in (wire.ERROR, wire.GANG_PEER_LOST, wire.STOPPED, wire.GANG_WAIT_TIMED_OUT)
     ):
-        # The attempt has failed; what is left of it must go before the next one.
+        # The gang's attempt has failed: its remaining tasks must be gone before the next attempt starts.
         run.is_gang_stopping = True
         for gang_placement in list(run.placements.values()):
             if gang_placement.stop_requested_at is None and task_report.exit_reason != wire.STOPPED:
@@ -50,7 +61,7 @@
 
 
 def apply_completion(cluster_state: ClusterState, key: tuple[str, int], now: datetime) -> None:
-    """Record that the task `key` (job id, index) completed, if its job is live, and stop it where it is placed."""
+    """Record that the task `key` (job id, index) completed, if its job is live, and stop its placement if any."""
     run = cluster_state.jobs.get(key[0])
     if run is None or run.final_state or run.spec.job_type == SERVICE or key[1] >= run.spec.task_count:
         return
