--- a/roseweir/scheduler/cluster_state.py
+++ b/roseweir/scheduler/cluster_state.py
@@ -457,9 +457,9 @@
 
     # -- commands -----------------------------------------------------------------------------
 
-    def collect_orders(self, machine: Machine, now: datetime, may_start_tasks: bool) -> list[dict[str, Any]]:
+    def collect_commands(self, machine: Machine, now: datetime, may_start_tasks: bool) -> list[dict[str, Any]]:
         """Return the commands for the answer to the newest heartbeat; start commands only if `may_start_tasks`."""
-        orders: list[dict[str, Any]] = []
+        commands: list[dict[str, Any]] = []
         for task_name, attempt, cause in machine.exits_to_clear:
             job_id, _, index_text = task_name.rpartition("/")
             run = self.jobs.get(job_id)
@@ -472,15 +472,15 @@
                 and (int(index_text) in run.uncommitted_completions or not run.is_completed(int(index_text)))
             ):
                 continue  # the completion must be durable before the worker may forget it
-            orders.append(wire.clear_command(task_name, attempt))
+            commands.append(wire.clear_command(task_name, attempt))
         for task_name, attempt in machine.unknown_tasks:
-            orders.append(wire.stop_command(task_name, attempt, ZERO))
+            commands.append(wire.stop_command(task_name, attempt, ZERO))
         for placement in machine.placements.values():
             if placement.stop_requested_at is not None:
                 if placement.phase in (PlacementPhase.SENT, PlacementPhase.CONFIRMED) and not (
                     placement.state == wire.SAVING_CHECKPOINT and placement.stop_grace > ZERO
                 ):
-                    orders.append(wire.stop_command(placement.task_name, placement.attempt, placement.stop_grace))
+                    commands.append(wire.stop_command(placement.task_name, placement.attempt, placement.stop_grace))
             elif (
                 placement.phase == PlacementPhase.COMMITTED
                 and may_start_tasks
@@ -489,10 +489,10 @@
             ):
                 placement.phase = PlacementPhase.SENT
                 placement.sent_sequence = machine.sequence
-                orders.append(wire.run_command(placement.task_name, placement.attempt))
-        return orders
+                commands.append(wire.run_command(placement.task_name, placement.attempt))
+        return commands
 
-    def collect_stop_orders(self, machine: Machine) -> list[dict[str, Any]]:
+    def collect_stop_commands(self, machine: Machine) -> list[dict[str, Any]]:
         """Return stop commands to send directly; never start commands, which could arrive arbitrarily late."""
         return [
             wire.stop_command(p.task_name, p.attempt, p.stop_grace)
@@ -502,7 +502,7 @@
             and p.state != wire.SAVING_CHECKPOINT
         ]
 
-    def pending_order_status(self, machine: Machine) -> tuple[bool, bool]:
+    def pending_command_status(self, machine: Machine) -> tuple[bool, bool]:
         """Return whether start commands can be sent to the machine, and whether some are yet to be committed."""
         has_planned = False
         for placement in machine.placements.values():
--- a/roseweir/scheduler/heartbeat_reconciliation.py
+++ b/roseweir/scheduler/heartbeat_reconciliation.py
@@ -29,7 +29,7 @@
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.errors import InvalidHeartbeat
 from roseweir.scheduler.model import Machine, PlacementPhase, parse_task_name
-from roseweir.scheduler.one_way_partition import check_answer_received, mark_reachable, record_dropped_order
+from roseweir.scheduler.one_way_partition import check_answer_received, mark_reachable, record_dropped_command
 from roseweir.scheduler.task_exits import apply_completion, apply_exit
 from roseweir.submissions.jobs import JobSpec, MachineType
 from roseweir.workers import messages as wire
@@ -239,7 +239,7 @@
                 if placement.stop_requested_at is None and not placement.run.final_state:
                     # The start command was lost in transit. The start is still committed, so it may be sent again.
                     placement.phase = PlacementPhase.COMMITTED
-                    record_dropped_order(machine, now)
+                    record_dropped_command(machine, now)
                 else:
                     cluster_state.remove_placement(placement, now)
 
@@ -272,7 +272,7 @@
                 machine.unknown_tasks.append((task_report.task_id, task_report.attempt))
                 return
         if placement.phase == PlacementPhase.SENT:
-            machine.dropped_order_count = 0
+            machine.dropped_command_count = 0
         placement.phase = PlacementPhase.CONFIRMED
         spec = placement.run.spec
         if task_report.state != placement.state:
--- a/roseweir/scheduler/lease_renewal.py
+++ b/roseweir/scheduler/lease_renewal.py
@@ -61,7 +61,7 @@
     return LeaseRenewal.COUNTED
 
 
-def stop_orders_for(cluster_state: ClusterState, heartbeat: wire.Heartbeat) -> list[dict[str, Any]]:
+def stop_commands_for(cluster_state: ClusterState, heartbeat: wire.Heartbeat) -> list[dict[str, Any]]:
     """Return the stop commands for the answer to a heartbeat that was not applied.
 
     Tasks of jobs that have ended must stop under any leader. Short-lived leaders may receive only unacknowledged
@@ -69,10 +69,10 @@
     """
     machine = cluster_state.machines.get(heartbeat.machine_name)
     if heartbeat.fencing_token == cluster_state.term:
-        return [] if machine is None else cluster_state.collect_stop_orders(machine)
-    stop_orders = []
+        return [] if machine is None else cluster_state.collect_stop_commands(machine)
+    stop_commands = []
     for task_report in heartbeat.tasks:
         run = cluster_state.jobs.get(parse_task_name(task_report.task_id)[0])
         if task_report.state != wire.EXITED and (run is None or run.final_state):
-            stop_orders.append(wire.stop_command(task_report.task_id, task_report.attempt, ZERO))
-    return stop_orders
+            stop_commands.append(wire.stop_command(task_report.task_id, task_report.attempt, ZERO))
+    return stop_commands
--- a/roseweir/scheduler/model.py
+++ b/roseweir/scheduler/model.py
@@ -224,7 +224,7 @@
     last_answered_at: datetime = NEVER
     suspected_since: datetime = NEVER  # since when our answers seem not to reach it, without proof that they do
     unreachable_since: datetime = NEVER  # since when our probes do not reach it either
-    dropped_order_count: int = 0  # consecutive start orders that it did not receive
+    dropped_command_count: int = 0  # consecutive start commands that it did not receive
     known_since: datetime = NEVER
     scaled_out_at: datetime = NEVER
     is_booting: bool = False
--- a/roseweir/scheduler/one_way_partition.py
+++ b/roseweir/scheduler/one_way_partition.py
@@ -31,7 +31,7 @@
 # How long a worker waits for an answer (PROTOCOL-roseweir.md).
 WORKER_ANSWER_TIMEOUT = timedelta(seconds=4)
 # A machine is suspected after this many consecutive start commands that it did not receive.
-MAX_DROPPED_ORDERS = 2
+MAX_DROPPED_COMMANDS = 2
 
 
 def record_answer(machine: Machine, sequence: int, now: datetime) -> None:
@@ -57,10 +57,10 @@
         mark_suspected(machine, now)
 
 
-def record_dropped_order(machine: Machine, now: datetime) -> None:
+def record_dropped_command(machine: Machine, now: datetime) -> None:
     """Count a start command that was sent in an answer and did not reach the machine."""
-    machine.dropped_order_count += 1
-    if machine.dropped_order_count >= MAX_DROPPED_ORDERS:
+    machine.dropped_command_count += 1
+    if machine.dropped_command_count >= MAX_DROPPED_COMMANDS:
         mark_suspected(machine, now)
 
 
@@ -74,7 +74,7 @@
 def mark_reachable(machine: Machine) -> None:
     """Clear the suspicion: an answer or probe of ours reached the machine."""
     machine.suspected_since = machine.unreachable_since = NEVER
-    machine.dropped_order_count = machine.missed_probe_count = 0
+    machine.dropped_command_count = machine.missed_probe_count = 0
 
 
 def mark_unreachable(machine: Machine, now: datetime) -> bool:
--- a/roseweir/workers/direct_commands.py
+++ b/roseweir/workers/direct_commands.py
@@ -61,7 +61,7 @@
     async def _send_stop_command(self, machine: Machine, semaphore: asyncio.Semaphore) -> None:
         async with semaphore:
             # Collected only now: a heartbeat may have reported meanwhile that the tasks are gone.
-            orders = self.cluster_state.collect_stop_orders(machine)
+            orders = self.cluster_state.collect_stop_commands(machine)
             if not orders or not self._authority.may_answer(monotonic_now()):
                 return
             send = self._connect(machine.address, 0)
--- a/roseweir/workers/handlers.py
+++ b/roseweir/workers/handlers.py
@@ -16,7 +16,7 @@
 from roseweir.notifier import Notifier
 from roseweir.scheduler.cluster_state import ClusterState
 from roseweir.scheduler.heartbeat_reconciliation import HeartbeatReconciler
-from roseweir.scheduler.lease_renewal import LeaseRenewal, decide_lease_renewal, stop_orders_for
+from roseweir.scheduler.lease_renewal import LeaseRenewal, decide_lease_renewal, stop_commands_for
 from roseweir.scheduler.model import Machine
 from roseweir.scheduler.one_way_partition import record_answer
 from roseweir.workers import messages as wire
@@ -100,7 +100,7 @@
             return json_response(503, {"error": "not known to hear this node"})
         if renewal is LeaseRenewal.NOT_RENEWED:
             return json_response(200, wire.heartbeat_response(None, []))
-        return self._commands_response(stop_orders_for(self.cluster_state, heartbeat))
+        return self._commands_response(stop_commands_for(self.cluster_state, heartbeat))
 
     def _answer_machine(self, machine: Machine, heartbeat: wire.Heartbeat) -> Response:
         """Answer a machine's heartbeat after its hold, with what the machine is to do now."""
@@ -110,9 +110,9 @@
         if (machine.incarnation, machine.sequence) != (heartbeat.incarnation, heartbeat.sequence):
             # A later heartbeat came during the hold. This response renews the machine's lease all the same, and no
             # response may do that without the stop commands.
-            return self._commands_response(self.cluster_state.collect_stop_orders(machine))
+            return self._commands_response(self.cluster_state.collect_stop_commands(machine))
         response = self._commands_response(
-            self.cluster_state.collect_orders(machine, now, self.authority.may_start_tasks(now))
+            self.cluster_state.collect_commands(machine, now, self.authority.may_start_tasks(now))
         )
         record_answer(machine, heartbeat.sequence, now)
         response.connection_class = ConnectionClass.WORKER if machine.placements else ConnectionClass.IDLE_WORKER
@@ -124,7 +124,7 @@
     async def _hold_response(self, machine: Machine, sequence: int, held_since: datetime) -> None:
         """Wait while commands may come that can go out with this response: the heartbeat may have freed resources."""
         while machine.sequence == sequence:
-            is_ready, is_recording = self.cluster_state.pending_order_status(machine)
+            is_ready, is_recording = self.cluster_state.pending_command_status(machine)
             if is_ready:
                 return
             now = monotonic_now()
